--- a/src/core/admission/admission.cc
+++ b/src/core/admission/admission.cc
@@ -6,17 +6,18 @@
 namespace indigolead {
 namespace {
 
-/// Length of one measurement of the rate of work.
+/// Length of a window over which the rate of work is measured.
 constexpr Duration kRateWindow = std::chrono::seconds(1);
 
-/// The queue is searched for hopeless requests at most this often.
+/// Minimum time between two scans of the queue for requests that can no longer
+/// meet their deadline.
 constexpr Duration kSweepInterval = std::chrono::milliseconds(10);
 
-/// Most requests displaced for one new one.
+/// Maximum number of requests evicted for one new request.
 constexpr int kMaxDisplaced = 8;
 
 Duration FromSeconds(double seconds) {
-  // A day bounds what a rate near zero makes of it.
+  // A rate near zero yields huge values; they are limited to one day.
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(std::clamp(seconds, 0.0, 86400.0)));
 }
@@ -132,8 +133,8 @@
 
 Duration Admission::WaitOf(std::uint32_t account) const {
   const double rate = ServiceRate();
-  // Without any target there is no rate to judge by; the request waits, and
-  // is refused once its deadline is out of reach.
+  // Without a target there is no rate to estimate the wait from. The request is
+  // queued, and refused once its deadline cannot be met.
   return rate > 0 ? FromSeconds(queue_.WorkAhead(account) / rate) : Duration{0};
 }
 
@@ -190,7 +191,8 @@
   if (FleetIsIdle()) {
     return Refuse(request.id, RefusalCause::kDeadlineTooShort, std::nullopt);
   }
-  // By then, as much of what is ahead is done as makes it late now.
+  // After this delay, enough of the work ahead is done for the same request to
+  // meet its deadline.
   return Refuse(request.id, RefusalCause::kDeadline, late);
 }
 
@@ -213,7 +215,7 @@
   AdmissionDecision decision =
       runs_now ? Admit(queued, now) : Enqueue(queued, displaced);
   if (decision.verdict != AdmissionVerdict::kRefused) {
-    // Only what is accepted counts against the rates: refusals cost nothing.
+    // Only accepted requests count towards the rate limits.
     AccountState& state = accounts_[*account];
     state.requests.Take(1);
     state.tokens.Take(static_cast<double>(request.prompt_tokens) +
@@ -274,10 +276,10 @@
   window_saturated_ = window_saturated_ && queue_.size() > 0;
 }
 
-// A request that comes late because it waited here says nothing of the
-// targets. Taking it for overload closes the limit, which lengthens the wait,
-// which makes the next ones late: the engines idle while the queue is full,
-// and it stays so after the peak. Only time lost at the targets counts.
+// Only time spent at the targets indicates overload. If requests that are late
+// because of their wait in this queue were counted too, the concurrency limit
+// would drop, the wait would grow and further requests would be late: the
+// engines would idle with a full queue, even after the load peak.
 bool Admission::ShowsOverload(const AdmissionTicket& ticket, AdmissionEnd end,
                               TimePoint now) const {
   constexpr int kSlow = 2;
@@ -299,8 +301,8 @@
   MeasureRate(ticket.work, now);
 }
 
-// Only a window in which something waited throughout shows what the targets
-// can do; in any other, the rate is that of the arrivals.
+// Only a window during which the queue was never empty measures the capacity of
+// the targets; otherwise, it measures the arrival rate.
 void Admission::MeasureRate(double work, TimePoint now) {
   window_work_ += work;
   const Duration elapsed = now - window_start_;
--- a/src/core/admission/admission.h
+++ b/src/core/admission/admission.h
@@ -18,40 +18,40 @@
 
 namespace indigolead {
 
-/// What admission needs to know of a request.
+/// Properties of a request on which its admission depends.
 struct AdmissionRequest {
   RequestId id;
-  std::string_view account;  ///< Name; need only live until `Offer` returns.
-  std::uint64_t prompt_tokens = 0;  ///< Those that no cache covers, at best.
-  std::uint64_t output_tokens = 0;  ///< Estimate or limit.
+  std::string_view account;         ///< Name; must outlive the call to `Offer`.
+  std::uint64_t prompt_tokens = 0;  ///< Uncached ones, at the best target.
+  std::uint64_t output_tokens = 0;  ///< Estimated or maximum number.
   TimePoint deadline{};
-  /// Time that it takes once dispatched, as the router expects; zero if no
-  /// target is known now.
+  /// Time from dispatch to completion that the router expects; zero if no
+  /// target is known at present.
   Duration service{0};
 };
 
-/// Right to run one request, to be given back with `OnEnded`.
+/// Permission to run one request, to be returned through `Admission::OnEnded`.
 struct AdmissionTicket {
   std::uint32_t account = 0;
   double work = 0;
   TimePoint started_at{};
-  Duration service{0};  ///< Expected from there to the end.
+  Duration service{0};  ///< Expected time from `started_at`.
 
   friend bool operator==(const AdmissionTicket&,
                          const AdmissionTicket&) = default;
 };
 
-/// Why a request was refused. All of these are "not run".
+/// Reason for refusing a request. A refused request has not run.
 enum class RefusalCause {
   kNone,
   kUnknownAccount,
-  kDeadlineTooShort,  ///< It would be late even on an idle fleet.
-  kDeadline,          ///< It would be late after the wait expected now.
+  kDeadlineTooShort,  ///< Cannot be met even by an idle fleet.
+  kDeadline,          ///< Cannot be met after the expected wait.
   kRequestRate,
   kTokenRate,
   kConcurrency,
   kQueueFull,
-  kDisplaced,  ///< Gave its place in the queue to a better claim.
+  kDisplaced,  ///< Evicted for a request with precedence.
 };
 
 /// Returns the stable, lower-case name of `cause`, as shown to callers.
@@ -60,13 +60,13 @@
 /// Whether a request may run now.
 enum class AdmissionVerdict { kAdmitted, kQueued, kRefused };
 
-/// Outcome for one request.
+/// Admission decision on one request.
 struct AdmissionDecision {
   RequestId id;
   AdmissionVerdict verdict = AdmissionVerdict::kRefused;
   RefusalCause cause = RefusalCause::kNone;
-  /// Refused: when the same request has a good prospect; absent if waiting
-  /// cannot help.
+  /// If refused, the delay after which a retry is likely to succeed; absent if
+  /// waiting cannot help.
   std::optional<Duration> retry_after;
   AdmissionTicket ticket;  ///< Valid if admitted.
 
@@ -82,64 +82,69 @@
   kNeutral,     ///< Cancelled or failed for a reason other than load.
 };
 
-/// Bounds and weights of an admission.
+/// Limits and weights of `Admission`.
 struct AdmissionOptions {
   FairQueue::Options queue;
   ConcurrencyLimit::Options concurrency;
-  /// Work of one output token in prompt tokens, until targets report rates.
+  /// Work of one output token, in prompt tokens, until targets report their
+  /// rates.
   double output_token_work = 5;
-  /// Prefill that may wait at the targets, in seconds of their rate. More is
-  /// of no use there, and cannot be put in a better order any more.
+  /// Maximum prefill work queued at the targets, in seconds at their reported
+  /// rate. More does not keep the engines busier and can no longer be
+  /// reordered.
   double max_target_backlog_s = 0.5;
-  /// Requests at the targets, as a multiple of their slots.
+  /// Maximum requests at the targets, as a multiple of their slots.
   double max_slots_share = 1.0;
   Duration min_retry_after = std::chrono::milliseconds(100);
   Duration max_retry_after = std::chrono::seconds(60);
 };
 
-/// Decides for one deployment at one entry which request runs when.
+/// Decides which requests of one deployment run at one entry, and when.
 ///
-/// The engines run what they are given; whatever waits there cannot be
-/// reordered or refused any more. So they get just enough to stay busy, and
-/// the rest waits here, where it is ordered by priority and fair share, and is
-/// refused as soon as its deadline is out of reach: a request that runs and
-/// comes late has cost as much as one in time and serves nobody.
+/// Requests queued at an engine can no longer be reordered or refused. Engines
+/// therefore receive just enough requests to stay busy. The others wait here,
+/// ordered by priority and fair share, and are refused as soon as their
+/// deadline cannot be met: a late answer costs as much as a timely one and is
+/// of no use to the caller.
 ///
-/// Not thread-safe. `Offer` and `Advance` give final answers at once; nothing
-/// that is given up keeps waiting.
+/// Not thread-safe. A refusal is reported as soon as it is decided; a refused
+/// request does not stay in the queue.
 class Admission {
  public:
   using OnDecision = std::function<void(const AdmissionDecision&)>;
 
   explicit Admission(const AdmissionOptions& options);
 
-  /// Takes over the client accounts of `spec`. Those that are gone accept
-  /// nothing more; what they have waiting goes on.
+  /// Applies the client accounts of `spec`. Accounts that are no longer listed
+  /// accept no new requests; their queued requests are still processed.
   void Configure(const DeploymentSpec& spec);
 
-  /// Takes the load of the targets, which opens and closes the gate.
+  /// Sets the load of the targets, which determines whether requests are
+  /// dispatched.
   void SetFleet(const FleetLoad& fleet) { fleet_ = fleet; }
 
-  /// Decides on a new request. If it takes another one's place in the queue,
-  /// that one's refusal is given to `displaced`.
+  /// Decides on a new request. If it evicts queued requests, `displaced` is
+  /// called with the refusal of each.
   AdmissionDecision Offer(const AdmissionRequest& request, TimePoint now,
                           const OnDecision& displaced);
 
-  /// Gives to `on_decision` what may run now, and refuses what has become
-  /// hopeless. Call after each end, load report and tick. `fleet` returns the
-  /// load of the targets after each dispatch.
+  /// Admits queued requests that may run now and refuses those that can no
+  /// longer meet their deadline; `on_decision` is called with each decision.
+  /// Must be called after each request end, load report and tick. `fleet`
+  /// returns the load of the targets after each dispatch.
   void Advance(TimePoint now, const std::function<FleetLoad()>& fleet,
                const OnDecision& on_decision);
 
   /// Records the end of an admitted request.
   void OnEnded(const AdmissionTicket& ticket, AdmissionEnd end, TimePoint now);
 
-  /// Forgets a waiting request whose caller has gone. Returns false if it
-  /// does not wait.
+  /// Removes a queued request whose caller has disconnected. Returns false if
+  /// the request is not queued.
   bool Cancel(const RequestId& id);
 
-  /// Returns the tokens of work per second that the targets can do together,
-  /// as measured while work was waiting, else as reported.
+  /// Returns the total rate of the targets in tokens of work per second: the
+  /// rate measured while requests were queued, or the reported rate if none was
+  /// measured.
   double ServiceRate() const;
 
   std::uint32_t queued() const { return queue_.size(); }
@@ -184,8 +189,8 @@
   FleetLoad fleet_;
   std::vector<AccountState> accounts_;
   double average_service_s_ = 1;
-  /// Measured rate of work as a share of the rate that the targets report.
-  /// Kept as a share, so that the loss of a target counts at once.
+  /// Ratio of the measured to the reported rate of work. Storing a ratio makes
+  /// the loss of a target take effect immediately.
   double efficiency_ = 1;
   TimePoint window_start_{};
   double window_work_ = 0;
--- a/src/core/admission/concurrency_limit.cc
+++ b/src/core/admission/concurrency_limit.cc
@@ -5,7 +5,7 @@
 namespace indigolead {
 
 void ConcurrencyLimit::OnEnded(bool overloaded, TimePoint now) {
-  // A limit that does not bind says nothing about what more would do.
+  // Success below the limit does not show that a higher limit is safe.
   const bool binding = static_cast<double>(in_flight_) >= 0.9 * limit_;
   in_flight_ -= in_flight_ > 0 ? 1 : 0;
   if (!overloaded) {
--- a/src/core/admission/concurrency_limit.h
+++ b/src/core/admission/concurrency_limit.h
@@ -7,12 +7,13 @@
 
 namespace indigolead {
 
-/// Limits requests in flight, adapting to what the targets can take.
+/// Limits the requests in flight and adapts the limit to the capacity of the
+/// targets.
 ///
-/// Additive increase while the limit binds and answers come in time,
-/// multiplicative decrease on signs of overload, at most once per interval:
-/// one overload is seen by every request in flight, and counting each would
-/// close the limit on a single bad moment.
+/// Additive increase while the limit is reached and requests end without
+/// overload; multiplicative decrease on overload, at most once per interval.
+/// All requests in flight observe the same overload, and decreasing the limit
+/// for each would collapse it after a single short overload.
 class ConcurrencyLimit {
  public:
   struct Options {
@@ -31,7 +32,8 @@
   }
   void OnStarted() { ++in_flight_; }
 
-  /// Records an end. `overloaded`: refused for overload or past its deadline.
+  /// Records the end of a request. `overloaded` is true if its end indicates
+  /// overload of a target.
   void OnEnded(bool overloaded, TimePoint now);
 
   double limit() const { return limit_; }
--- a/src/core/admission/entry_retry_budget.h
+++ b/src/core/admission/entry_retry_budget.h
@@ -12,32 +12,34 @@
 
 namespace indigolead {
 
-/// Further arrivals at a service's targets that one entry of a fleet may make.
+/// Bounds the arrivals that one entry causes at a service's targets by retries
+/// and hedges.
 ///
-/// The operator bounds what all entries make together in a window: a share of
-/// its requests, and a fixed allowance. Entries ask nobody, so each keeps to a
-/// bound of its own, and the sum of these keeps the operator's: each earns
-/// `share` with every request and its part of the allowance with time, and
-/// saves up that part and `saved_per_request` of its own requests of the last
-/// window.
+/// The operator sets a limit for all entries together: per window, a share of
+/// the requests plus a fixed allowance. Entries do not coordinate, so each
+/// enforces a limit of its own such that the sum stays within the operator's.
+/// An entry earns `share` with each request and its part of the allowance over
+/// time. It accumulates at most that part plus `saved_per_request` for each of
+/// its own requests in the last window.
 ///
-/// A process begins with nothing: entries that are killed again and again
-/// would get a grant at each start, beyond any bound on the sum.
+/// A process starts with an empty budget: with an initial grant, entries that
+/// restart repeatedly would exceed any limit on the sum.
 ///
-/// The load: a hundred entries with two or three requests a second each, of
-/// which one in seven fails and is worth a second try. With a part of the
-/// allowance alone an entry saves up one try and a half; after a try the next
-/// failure within two seconds found nothing left and went back to its caller,
-/// while the fleet used a quarter of what it was allowed.
+/// `saved_per_request` exists for large fleets with little traffic per entry.
+/// With 100 entries at two or three requests a second each, of which one in
+/// seven fails and can be retried, the part of the allowance alone accumulates
+/// 1.5 retries. A second failure within two seconds of a retry was then
+/// returned to the caller, although the fleet used only a quarter of its limit.
 class EntryRetryBudget {
  public:
   struct Options {
     double share = 0.14;
     RetryPart part{10, 0};
-    double initial = 0;  ///< Arrivals that a process begins with.
+    double initial = 0;  ///< Arrivals available at process start.
     double saved_per_request = 0;
-    Duration window = std::chrono::seconds(10);  ///< The operator's.
-    /// One whole attempt: with less to save up none could ever be made.
+    Duration window = std::chrono::seconds(10);  ///< Of that limit.
+    /// Arrivals of one attempt; with a lower maximum, no attempt could ever be
+    /// made.
     double least_saved = 1;
   };
 
@@ -55,10 +57,10 @@
     budget_.SetBurst(MostSaved(now));
   }
 
-  /// Gives back arrivals that were taken and not made.
+  /// Returns arrivals that were taken from the budget but not used.
   void GiveBack(double arrivals) { budget_.Grant(arrivals); }
 
-  /// A request came.
+  /// Records a request.
   void OnRequest(TimePoint now) {
     requests_.Add(now);
     Refill(now);
@@ -66,17 +68,17 @@
     budget_.OnFirstAttempt();
   }
 
-  /// Takes a further attempt that makes `arrivals`. Returns false if there is
-  /// not enough.
+  /// Takes `arrivals` for one retry or hedge from the budget. Returns false if
+  /// the budget is insufficient.
   bool TryTake(double arrivals, TimePoint now) {
     Refill(now);
     return budget_.TryTake(arrivals);
   }
 
-  /// Returns the arrivals that are left.
+  /// Returns the remaining arrivals.
   double left() const { return budget_.left(); }
 
-  /// Returns the most arrivals that may be saved up now.
+  /// Returns the maximum number of arrivals that may be accumulated now.
   double MostSaved(TimePoint now) const {
     const auto recent = static_cast<double>(requests_.Count(now));
     return std::max(options_.part.saved + options_.saved_per_request * recent,
@@ -84,7 +86,7 @@
   }
 
  private:
-  /// Adds what has come back since the last time.
+  /// Adds the part of the allowance earned since the last call.
   void Refill(TimePoint now) {
     const std::chrono::duration<double> elapsed =
         now - refilled_at_.value_or(now);
--- a/src/core/admission/fair_queue.cc
+++ b/src/core/admission/fair_queue.cc
@@ -36,8 +36,8 @@
   }
   account.priority = priority;
   account.weight = std::max<std::uint32_t>(weight, 1);
-  // Classes without accounts go, so that their number stays below that of
-  // the accounts over any number of reconfigurations.
+  // Removes classes without accounts, so that repeated reconfiguration does not
+  // make their number exceed that of the accounts.
   std::erase_if(classes_, [this](const PriorityClass& it) {
     return it.count == 0 && std::none_of(accounts_.begin(), accounts_.end(),
                                          [&it](const Account& other) {
@@ -47,8 +47,8 @@
 }
 
 bool FairQueue::HasRoom(double work) const {
-  // A single request larger than the bound may wait alone; it would
-  // otherwise be refused for ever.
+  // A request larger than `max_work` is accepted into an empty queue; otherwise
+  // it could never run.
   return size_ < options_.max_requests &&
          (size_ == 0 || work_ + work <= options_.max_work);
 }
@@ -58,8 +58,8 @@
   PriorityClass& priority = ClassOf(account.priority);
   if (account.count == 0) {
     active_.push_back(request.account);
-    // An account that was idle starts level with the others: it may not save
-    // up idle time and then shut them out.
+    // An account that was idle starts at the virtual time of its class. Idle
+    // time earns no credit with which it could starve the others.
     account.virtual_time =
         std::max(account.virtual_time, priority.virtual_time);
   }
@@ -228,8 +228,9 @@
       weights += it == account ? 0 : other.weight;
     }
   }
-  // With its share, the account works its own queue off first; but it never
-  // waits for more than everything that is there.
+  // The account's own queue is processed at its share of the total weight, but
+  // a new request never waits for more than all the queued work of its
+  // priority.
   return above + std::min(level, asking.work * weights / asking.weight);
 }
 
--- a/src/core/admission/fair_queue.h
+++ b/src/core/admission/fair_queue.h
@@ -11,26 +11,28 @@
 
 namespace indigolead {
 
-/// A request that waits to be dispatched.
+/// Request waiting to be dispatched.
 struct QueuedRequest {
   RequestId id;
   std::uint32_t account = 0;  ///< Index of the client account.
   double work = 0;            ///< Tokens of work.
   TimePoint deadline{};
-  Duration service{0};  ///< Time it takes once dispatched, as expected.
+  Duration service{0};  ///< Expected time from dispatch to end.
 
   friend bool operator==(const QueuedRequest&, const QueuedRequest&) = default;
 };
 
-/// Queues requests per client account and picks the next one.
+/// Queues requests by client account and selects the next one to dispatch.
 ///
-/// Between priorities the higher goes first, but each lower one that waits
-/// earns a floor, a share of the work dispatched above it, so that it is slow
-/// under a flood from above and never stopped. Within a priority, accounts
-/// share by weight in tokens of work (start-time fair queueing): counted in
-/// requests, an account with long prompts would take most of the engines.
+/// Higher priorities go first. Each lower priority with queued requests
+/// receives a minimum share of the work dispatched at higher priorities, so
+/// that it is never starved. Within a priority, accounts share by weight
+/// (start-time fair queueing). Shares are counted in tokens of work, because
+/// counting requests would give most of the engines to an account with long
+/// prompts.
 ///
-/// Bounded in requests and in work. Allocates only in the constructor.
+/// The queue is bounded in requests and in work. It allocates memory only in
+/// the constructor.
 class FairQueue {
  public:
   struct Options {
@@ -42,35 +44,39 @@
 
   explicit FairQueue(const Options& options);
 
-  /// Sets the rights of the account at `index`, below `max_accounts`.
+  /// Sets priority and weight of the account at `index`, which must be less
+  /// than `max_accounts`.
   void SetAccount(std::uint32_t index, int priority, std::uint32_t weight);
 
   /// Returns true if a request of `work` fits.
   bool HasRoom(double work) const;
 
-  /// Appends a request, which must fit.
+  /// Appends `request`, for which `HasRoom` must be true.
   void Push(const QueuedRequest& request);
 
-  /// Removes the request to dispatch next, or returns nothing.
+  /// Removes and returns the next request to dispatch, if any.
   std::optional<QueuedRequest> Pop();
 
-  /// Removes the newest request of the account that holds the largest queue
-  /// for its weight, among those of the lowest priority, if `account` has the
-  /// better claim to that place. Returns nothing if it has not.
+  /// Evicts one request in favor of a request of `account` with `work`. Among
+  /// the accounts of the lowest priority, the one with the most queued work
+  /// relative to its weight loses its newest request, provided that `account`
+  /// has a higher priority, or the same priority and less queued work relative
+  /// to its weight. Returns the evicted request, if any.
   std::optional<QueuedRequest> MakeRoomFor(std::uint32_t account, double work);
 
-  /// Removes the request named `id`, if it waits.
+  /// Removes and returns the request with `id`, if it is queued.
   std::optional<QueuedRequest> Remove(const RequestId& id);
 
-  /// Removes every request that `is_hopeless` and gives it to `removed`.
+  /// Removes each request for which `is_hopeless` returns true and passes it to
+  /// `removed`.
   void RemoveIf(const std::function<bool(const QueuedRequest&)>& is_hopeless,
                 const std::function<void(const QueuedRequest&)>& removed);
 
-  /// Returns the work that will be dispatched before a new request of
-  /// `account`, if nothing of a higher priority arrives.
+  /// Returns the expected work dispatched before a new request of `account`, if
+  /// no requests of a higher priority arrive.
   double WorkAhead(std::uint32_t account) const;
 
-  /// Returns the number of requests that `account` has waiting.
+  /// Returns the number of queued requests of `account`.
   std::uint32_t CountOf(std::uint32_t account) const {
     return accounts_[account].count;
   }
@@ -90,7 +96,7 @@
     int priority = 0;
     double weight = 1;
     double work = 0;
-    double virtual_time = 0;  ///< Work dispatched over weight.
+    double virtual_time = 0;  ///< Work dispatched divided by weight.
     std::uint32_t count = 0;
     std::uint32_t head = kNone;
     std::uint32_t tail = kNone;
@@ -99,7 +105,7 @@
     int priority = 0;
     double virtual_time = 0;
     double floor_credit = 0;
-    std::uint32_t count = 0;  ///< Requests waiting.
+    std::uint32_t count = 0;  ///< Queued requests.
   };
 
   PriorityClass& ClassOf(int priority);
@@ -111,7 +117,7 @@
   Options options_;
   std::vector<Node> nodes_;
   std::vector<Account> accounts_;
-  std::vector<std::uint32_t> active_;   ///< Accounts that have requests.
+  std::vector<std::uint32_t> active_;   ///< Accounts with queued requests.
   std::vector<PriorityClass> classes_;  ///< Highest priority first.
   std::uint32_t free_ = kNone;
   std::uint32_t size_ = 0;
--- a/src/core/admission/limit_share.cc
+++ b/src/core/admission/limit_share.cc
@@ -7,8 +7,8 @@
 namespace indigolead {
 namespace {
 
-/// Returns true if the entry of `view` is among the first `count` entries in
-/// the order of the hash of `target`.
+/// Returns true if the entry of `view` is among the `count` entries with the
+/// highest rendezvous weights for `target`.
 bool IsAmongFirst(const std::string& target, const EntryView& view,
                   std::size_t count) {
   const std::uint64_t own = RendezvousWeight(target, view.own_name);
--- a/src/core/admission/limit_share.h
+++ b/src/core/admission/limit_share.h
@@ -11,11 +11,13 @@
 
 namespace indigolead {
 
-/// One entry's share of the rate that a target takes from all entries together.
+/// One entry's share of the request rate that a target accepts from all entries
+/// together.
 struct RateShare {
-  double per_second = 0;  ///< 0: the entry sends nothing.
-  /// Time for which a request that is due may be sent; after that the next one
-  /// is due a period later. Nothing: it may be saved up, one at most.
+  double per_second = 0;  ///< 0 if the entry may send no requests.
+  /// Time during which a due request may be sent; after that, the next one is
+  /// due a period later. If absent, a due request does not expire, and at most
+  /// one accumulates.
   std::optional<Duration> valid_for;
 
   friend bool operator==(const RateShare&, const RateShare&) = default;
@@ -23,54 +25,58 @@
 
 /// Divides a target's limit among the entries of a fleet of any size.
 ///
-/// Entries do not ask each other before they send, so each computes its share
-/// from the list of entries alone, and the shares add up to less than the
-/// limit.
+/// Entries do not coordinate before sending: each computes its share from the
+/// list of entries alone, such that the shares add up to less than the limit.
 ///
-/// Up to `MostParticipants` entries have equal shares. In a larger fleet that
-/// many, chosen by a hash of the target's name, have an equal share each. The
-/// others only probe now and then whether the limit still holds, and may not
-/// save a probe up: hundreds of them could then be sent within one second.
+/// In a fleet of at most `MostParticipants` entries, all entries have equal
+/// shares. In a larger fleet, that many entries are chosen by rendezvous hash
+/// of the target's name and have equal shares. The others only send occasional
+/// probes that detect the end of the limit. Probes that are not sent in time
+/// expire, because hundreds of entries could otherwise send an accumulated
+/// probe within one second.
 class LimitShare {
  public:
   struct Options {
-    /// Share of a limit that is divided among the participants. The rest is for
-    /// requests that bunch on their way, and for entries that still serve and
-    /// are on no list any more.
+    /// Share of a limit that is divided among the participants. The rest allows
+    /// for requests that arrive in bunches, and for entries that still serve
+    /// although no list contains them any more.
     double used_share = 0.8;
-    /// Share of a limit that all other entries probe with.
+    /// Share of a limit that is divided among the other entries, for their
+    /// probes.
     double probing_share = 0.1;
-    /// Time for which a probe that is due may be sent.
+    /// Time after which a due probe expires.
     Duration probe_validity = std::chrono::seconds(1);
-    /// Bounds the participants by a fixed number, and one that grows with the
-    /// limit: each may have saved up one request, and all of them may send it
-    /// within the same second.
+    /// The maximum number of participants is a constant plus a number
+    /// proportional to the limit: each participant may have accumulated one
+    /// request, and all of them may send it within the same second.
     double participants_base = 3;
     double participants_per_rps = 2;
-    /// Divided in place of a lower limit, or nobody would notice its end.
+    /// Replaces lower limits; without any requests, no entry would notice the
+    /// end of a limit.
     double least_limit_rps = 0.05;
-    /// Time from an entry's registration until all others have listed it and
-    /// reduced their shares.
+    /// Time from the registration of an entry until all others have listed it
+    /// and reduced their shares.
     Duration join_time = std::chrono::seconds(7);
-    /// A list older than this may lack newcomers; the share is then multiplied
-    /// by `stale_factor`.
+    /// A list older than this may lack new entries; the share is then
+    /// multiplied by `stale_factor`.
     Duration fresh_list = std::chrono::seconds(5);
     double stale_factor = 0.5;
   };
-  /// An entry that has not joined has no share.
+  /// Standing of an entry; one that has not joined has no share.
   using Standing = EntryStanding;
 
   explicit LimitShare(Options options) : options_(options) {}
 
-  /// Returns where the entry of `view` stands.
+  /// Returns the standing of the entry of `view`.
   Standing StandingOf(const EntryView& view, TimePoint now) const;
 
-  /// Returns the share that the entry of `view` has of the limit of `target`,
-  /// which is `limit_rps` requests a second.
+  /// Returns the share of the entry of `view` in the limit of `target`, which
+  /// is `limit_rps` requests per second.
   RateShare Of(const std::string& target, double limit_rps,
                const EntryView& view, Standing standing) const;
 
-  /// Returns the number of entries that may have a usable share of a limit.
+  /// Returns the maximum number of entries that divide a limit of `limit_rps`
+  /// equally.
   std::size_t MostParticipants(double limit_rps) const;
 
  private:
--- a/src/core/admission/named_limits.cc
+++ b/src/core/admission/named_limits.cc
@@ -14,7 +14,8 @@
     return LimitChange{before, notice.limit};
   }
   const auto it = limits_.find(target);
-  // The answer to an earlier request may have begun before the limit.
+  // An answer to a request sent before the limit became known may predate the
+  // limit.
   if (it == limits_.end() || !notice.served ||
       notice.sent_at < it->second.named_at) {
     return std::nullopt;
--- a/src/core/admission/named_limits.h
+++ b/src/core/admission/named_limits.h
@@ -11,18 +11,19 @@
 
 namespace indigolead {
 
-/// What the head of a target's answer says of the target's limit.
+/// Rate limit information in the header fields of a target's answer.
 struct LimitNotice {
-  std::optional<double> limit;  ///< Requests a second, of all entries together.
-  /// The target ran the request. An answer of any other kind may come from a
-  /// part of the target that does not know of its need, and ends no limit.
+  std::optional<double> limit;  ///< Requests per second from all entries.
+  /// True if the target ran the request. Other answers may come from a
+  /// component of the target that does not know its limit, and do not end a
+  /// limit.
   bool served = false;
-  TimePoint sent_at{};  ///< When the request was sent.
+  TimePoint sent_at{};  ///< Time at which the request was sent.
 
   friend bool operator==(const LimitNotice&, const LimitNotice&) = default;
 };
 
-/// A change of what is believed of a target's limit, in requests a second.
+/// Change of the limit in force for a target, in requests per second.
 struct LimitChange {
   std::optional<double> before;
   std::optional<double> after;
@@ -30,29 +31,32 @@
   friend bool operator==(const LimitChange&, const LimitChange&) = default;
 };
 
-/// Remembers which targets say how many requests a second they take.
+/// Stores the rate limits that targets advertise in their answers.
 ///
-/// Not thread-safe. Memory: one record for each target that names a limit.
+/// Not thread-safe. Uses one record per target with a limit.
 class NamedLimits {
  public:
-  /// `max_unnamed` answers in a row without a limit end it.
+  /// After `max_unnamed` consecutive answers without a limit, the limit ends.
   explicit NamedLimits(std::uint32_t max_unnamed = 2)
       : max_unnamed_(max_unnamed) {}
 
-  /// Takes what an answer of `target` says. Returns the change of belief.
+  /// Processes the notice in an answer of `target`. Returns the change of the
+  /// limit, if any.
   std::optional<LimitChange> OnAnswer(const std::string& target,
                                       const LimitNotice& notice, TimePoint now);
 
-  /// Takes what other entries have told of `target`, which changed. Returns the
-  /// change of belief. What this entry was told itself is newer, and stays.
+  /// Processes a changed limit of `target` that other entries have shared.
+  /// Returns the change of the limit, if any. A shared value starts or ends a
+  /// limit but does not replace a value that is in force: the one that this
+  /// entry received itself is newer.
   std::optional<LimitChange> OnShared(const std::string& target,
                                       std::optional<double> limit,
                                       TimePoint now);
 
-  /// The target's run is over, and its limit with it.
+  /// Removes the limit of `target`. Called when the target's process has ended.
   void Forget(const std::string& target) { limits_.erase(target); }
 
-  /// Returns the limit in force, in requests a second, or nothing.
+  /// Returns the limit in force in requests per second, if any.
   std::optional<double> Find(const std::string& target) const;
 
   /// Returns the number of targets with a limit.
@@ -61,8 +65,8 @@
  private:
   struct Limit {
     double value = 0;
-    TimePoint named_at{};       ///< When it was named last.
-    std::uint32_t unnamed = 0;  ///< Answers without it since, in a row.
+    TimePoint named_at{};       ///< Time of the latest value.
+    std::uint32_t unnamed = 0;  ///< Consecutive answers without it since then.
   };
 
   std::uint32_t max_unnamed_;
--- a/src/core/admission/recent_count.h
+++ b/src/core/admission/recent_count.h
@@ -9,9 +9,11 @@
 
 namespace indigolead {
 
-/// Counts events of the last window, forgetting them a tenth of it at a time.
+/// Counts the events of a sliding window, which advances in steps of a tenth of
+/// its length.
 ///
-/// Counts too few rather than too many: of the oldest tenth nothing is left.
+/// May undercount but never overcounts: the oldest, partly expired tenth is
+/// excluded.
 class RecentCount {
  public:
   explicit RecentCount(Duration window) : step_(window / kSteps) {}
@@ -25,7 +27,8 @@
   }
 
   /// Returns the time until at most `n` events are left in the window if none
-  /// is added. Errs on the late side, by a tenth of the window at most.
+  /// is added. The result is never too short, and too long by at most a tenth
+  /// of the window.
   Duration UntilAtMost(std::uint64_t n, TimePoint now) const {
     std::uint64_t left = 0;
     for (const Slot& it : slots_) {
--- a/src/core/admission/retry_allowance.h
+++ b/src/core/admission/retry_allowance.h
@@ -10,48 +10,49 @@
 
 namespace indigolead {
 
-/// One entry's part of a `RetryAllowance`.
+/// Part of a `RetryAllowance` that one entry may use.
 struct RetryPart {
-  double saved = 0;     ///< Arrivals that the entry may save up.
-  double refilled = 0;  ///< Arrivals that come back in a window.
+  double saved = 0;     ///< Maximum arrivals that accumulate.
+  double refilled = 0;  ///< Arrivals earned per window.
 
   friend bool operator==(const RetryPart&, const RetryPart&) = default;
 };
 
-/// Further arrivals at a service's targets that all entries together may make
-/// on top of a share of the traffic.
+/// Limits the arrivals that all entries together cause at a service's targets
+/// by retries and hedges, in addition to a share of the traffic.
 ///
-/// The failure: each entry may save up the same number, and a fleet of a
-/// hundred entries makes a hundred times as many in the seconds in which a
-/// failure domain is lost. The symptom: targets that are left are overrun, and
-/// the operator's bound on repeated work is broken, on large fleets only. Each
-/// entry has an equal part instead; what it does not use, no other one may.
+/// The allowance is divided equally among the entries, and an entry cannot use
+/// what another leaves unused. If each entry could accumulate the same fixed
+/// number, a fleet of 100 entries would cause 100 times as many arrivals when a
+/// failure domain is lost. On large fleets, this would overload the remaining
+/// targets and exceed the operator's limit on repeated work.
 ///
-/// Lists differ while entries come and go. An entry has a part only once every
-/// list by which another takes one has it too, and while its own list is young.
-/// So whoever has a part counts all who have one, and the parts add up to the
-/// whole at most.
+/// The lists of entries differ between entries while the fleet changes. An
+/// entry has a part only after every fresh list of another entry contains it,
+/// and only while its own list is fresh. Each entry with a part therefore
+/// counts all others that have one, and the parts never add up to more than the
+/// allowance.
 class RetryAllowance {
  public:
-  double arrivals = 50;  ///< Of all entries, for each service.
-  /// Of it, what all entries may have saved up at the beginning of a window,
-  /// and what comes back to them in it. The last tenth is for arrivals that
-  /// were allowed just before the window and come in it.
+  double arrivals = 50;  ///< Of all entries, per service.
+  /// Shares of the allowance that all entries may have accumulated at the start
+  /// of a window, and that they earn during it. The remaining tenth covers
+  /// arrivals that were allowed just before the window and arrive within it.
   double share_saved = 0.6;
   double share_refilled = 0.3;
   /// Entries list each other within 20 s, and a list may be 8 s old when it is
-  /// read.
+  /// read; `join_time` is `fresh_list` plus these 8 s.
   StandingTimes times{std::chrono::seconds(30), std::chrono::seconds(22)};
 
   friend bool operator==(const RetryAllowance&,
                          const RetryAllowance&) = default;
 
-  /// Returns where the entry of `view` stands.
+  /// Returns the standing of the entry of `view`.
   EntryStanding Standing(const EntryView& view, TimePoint now) const {
     return StandingOf(view, times, now);
   }
 
-  /// Returns the part of the entry of `view`; none unless its standing is
+  /// Returns the part of the entry of `view`; empty unless its standing is
   /// fresh.
   RetryPart PartOf(const EntryView& view, TimePoint now) const {
     if (Standing(view, now) != EntryStanding::kFresh) {
--- a/src/core/admission/retry_budget.cc
+++ b/src/core/admission/retry_budget.cc
@@ -19,7 +19,7 @@
 }
 
 bool RetryBudget::TryTake(double arrivals) {
-  // Sums of a share such as 0.1 fall short of a whole by rounding.
+  // Tolerance for rounding: ten times 0.1 adds up to slightly less than 1.
   constexpr double kRounding = 1e-9;
   if (level_ < arrivals - kRounding) {
     return false;
--- a/src/core/admission/retry_budget.h
+++ b/src/core/admission/retry_budget.h
@@ -8,42 +8,42 @@
 
 namespace indigolead {
 
-/// Bounds retries and hedges of one deployment to a share of its traffic.
+/// Limits retries and hedges of one deployment to a share of its traffic.
 ///
-/// When a failure domain is lost, every attempt fails at once. If each were
-/// retried up to its own limit, the remaining targets would get a multiple of
-/// the load just when there are fewer of them: callers see an outage that
-/// outlasts its cause. A share of the first attempts bounds that multiple,
-/// whatever the number of callers.
+/// When a failure domain is lost, many attempts fail at once. If each were
+/// retried up to a limit of its own, fewer targets would receive a multiple of
+/// the load, and the outage would outlast its cause. Limiting retries to a
+/// share of the first attempts bounds that multiple for any number of callers.
 class RetryBudget {
  public:
   struct Options {
     double share = 0.1;  ///< Retries per first attempt.
-    double burst = 10;   ///< Most retries saved up in quiet times.
-    double initial = 0;  ///< Retries to begin with, for a quiet start.
+    double burst = 10;   ///< Maximum retries that accumulate.
+    double initial = 0;  ///< Retries available at the start.
   };
 
   explicit RetryBudget(const Options& options)
       : options_(options), level_(options.initial) {}
 
-  /// Sets the share from now on.
+  /// Sets the number of retries earned per first attempt.
   void SetShare(double share) { options_.share = share; }
 
-  /// Sets the most retries that are saved up; more of them are lost.
+  /// Sets the maximum number of retries that accumulate; any excess is
+  /// discarded.
   void SetBurst(double burst);
 
-  /// Adds retries, up to the most that are saved up.
+  /// Adds `arrivals` to the budget, up to the maximum.
   void Grant(double arrivals);
 
-  /// Records a first attempt, which earns its share of a retry.
+  /// Records a first attempt and adds its share to the budget.
   void OnFirstAttempt();
 
-  /// Takes a retry that makes `arrivals` at targets from the budget. Returns
-  /// false if there is not enough; the caller then gets the outcome of the
-  /// attempt that it had.
+  /// Takes a retry that causes `arrivals` at targets from the budget. Returns
+  /// false if the budget is insufficient; the outcome of the previous attempt
+  /// is then final.
   bool TryTake(double arrivals = 1);
 
-  /// Returns the arrivals that are left.
+  /// Returns the remaining arrivals.
   double left() const { return level_; }
   std::uint64_t first_attempts() const { return first_attempts_; }
   std::uint64_t retries() const { return retries_; }
@@ -55,15 +55,15 @@
   std::uint64_t retries_ = 0;
 };
 
-/// How long to wait before a retry.
+/// Exponential backoff with full jitter.
 struct Backoff {
   Duration base = std::chrono::milliseconds(20);
   Duration cap = std::chrono::seconds(2);
 
-  /// Returns the delay before retry number `retry`, counted from 0: drawn
-  /// uniformly from zero to the cap that doubles with each. The draw over the
-  /// whole range keeps attempts that failed together from coming back
-  /// together.
+  /// Returns the delay before retry number `retry`, counted from 0: uniformly
+  /// distributed between zero and a maximum that starts at `base` and doubles
+  /// with each retry up to `cap`. Drawing from the whole range keeps attempts
+  /// that failed together from being retried together.
   Duration Delay(std::uint32_t retry, std::uint64_t random_bits) const;
 };
 
--- a/src/core/admission/send_pacer.cc
+++ b/src/core/admission/send_pacer.cc
@@ -5,7 +5,7 @@
 namespace indigolead {
 namespace {
 
-/// Of a share that is not zero.
+/// Returns the time between two requests for a nonzero share.
 Duration PeriodOf(const RateShare& share) {
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(1 / share.per_second));
--- a/src/core/admission/send_pacer.h
+++ b/src/core/admission/send_pacer.h
@@ -8,29 +8,31 @@
 
 namespace indigolead {
 
-/// Spaces an entry's requests to one target by the entry's share of a rate.
+/// Spaces an entry's requests to one target according to its share of the
+/// target's rate limit.
 ///
 /// Not thread-safe.
 class SendPacer {
  public:
-  /// Takes another share. Where it differs in kind, the next request is due
-  /// after `phase`, from [0, 1), of a period, since entries that hear of a
-  /// limit in the same moment must not send in the same moment; and not before
-  /// `not_before`.
+  /// Sets the share. If the previous share was zero or had another `valid_for`,
+  /// the next request is due after the fraction `phase`, in [0, 1), of a
+  /// period, but not before `not_before`. The random phase keeps entries that
+  /// learn of a limit at the same time from sending at the same time.
   void SetShare(const RateShare& share, double phase, TimePoint not_before,
                 TimePoint now);
 
   /// Returns the time until the next request may be sent, zero if it may be
-  /// now; nothing if there is no share.
+  /// sent now; nullopt if the share is zero.
   std::optional<Duration> WaitFor(TimePoint now) const;
 
-  /// A request is sent. One that did not wait for its turn delays the next.
+  /// Records a sent request. A request sent before it was due delays the next
+  /// one.
   void OnSent(TimePoint now);
 
   const RateShare& share() const { return share_; }
 
  private:
-  /// Returns when the next request is due, after those that stayed unsent.
+  /// Returns when the next request is due, skipping those that expired unsent.
   TimePoint DueAt(TimePoint now) const;
 
   RateShare share_;
--- a/src/core/admission/shared_rate_limits.cc
+++ b/src/core/admission/shared_rate_limits.cc
@@ -7,7 +7,8 @@
 namespace indigolead {
 namespace {
 
-/// Share of a limit by which what entries were told may differ from it.
+/// Relative difference from the limit up to which a shared value is not
+/// updated.
 constexpr double kSharedPrecision = 0.1;
 
 }  // namespace
--- a/src/core/admission/shared_rate_limits.h
+++ b/src/core/admission/shared_rate_limits.h
@@ -17,87 +17,92 @@
 
 namespace indigolead {
 
-/// Keeps what an entry sends to targets that name a limit within its share.
+/// Limits the requests that an entry sends to targets with a rate limit to the
+/// entry's share of it.
 ///
-/// The failure: a target in need says how many requests a second it takes, and
-/// still gets as many as before. The symptom: it falls further behind, and each
-/// request placed there is late while other targets have room. Every request
-/// counts, first or further, to read a prompt or to make an answer.
+/// An overloaded target that advertises a limit but receives as many requests
+/// as before falls further behind, and its requests are late while other
+/// targets have capacity. All requests count: first attempts, retries and
+/// hedges, for prefill and for decode.
 ///
-/// A limit is averaged over `kAveragingTime`, and what an entry sent in that
-/// time before it heard of the limit counts: a target that names one has mostly
-/// had too much already.
+/// Limits apply to the average over `kAveragingTime`. Requests sent within that
+/// time before the entry learned of the limit count as well, because a target
+/// that advertises a limit has usually received too many already.
 ///
-/// Not thread-safe. Memory: one small record for each target.
+/// Not thread-safe. Uses one small record per target.
 class SharedRateLimits {
  public:
   SharedRateLimits(const LimitShare::Options& options, RandomSource random);
 
-  /// Takes the list of entries, or what else changed of the entry's standing.
+  /// Sets the list of entries and the registration that determine the standing.
   void OnEntries(EntryView view, TimePoint now);
 
-  /// Takes what an answer of `target` says. Returns the change of belief.
+  /// Processes the notice in an answer of `target`. Returns the change of the
+  /// limit, if any.
   std::optional<LimitChange> OnAnswer(const std::string& target,
                                       const LimitNotice& notice, TimePoint now);
 
-  /// Takes the limit that entries share of `target`. Returns the change of
-  /// belief; nothing where the same was shared before.
+  /// Processes the limit of `target` that other entries have shared. Returns
+  /// the change of the limit, if any; nullopt if the same limit was shared
+  /// before.
   std::optional<LimitChange> OnShared(const std::string& target,
                                       std::optional<double> limit,
                                       TimePoint now);
 
-  /// Returns true if the entries should be told what is believed of `target`,
-  /// and takes it that they are; again after `kShareInterval`, until it shows.
+  /// Returns true if the caller should share the limit of `target` with the
+  /// other entries, and assumes that it does. Returns true again after
+  /// `kShareInterval` until `OnShared` reports about the same limit.
   ///
-  /// The failure: each entry learns of a limit by a request of its own. The
-  /// symptom: on a fleet of a hundred entries these requests alone are more
-  /// than the limit, for as long as it takes until all have made theirs.
+  /// If each entry learned of a limit only through a request of its own, these
+  /// requests alone would exceed the limit on a fleet of 100 entries, until
+  /// every entry has sent one.
   bool ShouldShare(const std::string& target, TimePoint now);
 
-  /// Returns the limit of `target`, in requests a second, or nothing.
+  /// Returns the limit of `target` in requests per second, if any.
   std::optional<double> LimitOf(const std::string& target) const {
     return named_.Find(target);
   }
 
   /// Returns the time until a request may be sent to `target`, zero if it may
-  /// be now; nothing if this entry has no share of its limit.
+  /// be sent now; nullopt if this entry has no share of the limit.
   std::optional<Duration> WaitFor(const std::string& target,
                                   TimePoint now) const;
   bool MaySend(const std::string& target, TimePoint now) const {
     return WaitFor(target, now) == Duration{0};
   }
 
-  /// A request is sent to `target`, in its turn or not, with a limit or
-  /// without.
+  /// Records a request sent to `target`, whether or not it was due and whether
+  /// or not the target has a limit.
   void OnSent(const std::string& target, TimePoint now);
 
-  /// The target's run is over, and its limit with it.
+  /// Removes all state of `target`. Called when the target's process has ended.
   void Forget(const std::string& target);
 
-  /// Acts on what time alone decides. Call several times a second.
+  /// Updates the shares if the standing has changed with time. Must be called
+  /// several times a second.
   void Tick(TimePoint now);
 
-  /// Returns where this entry stands among those that share the limits.
+  /// Returns the standing of this entry, which determines its shares.
   LimitShare::Standing standing() const { return standing_; }
 
   /// Returns the number of targets with a limit.
   std::size_t size() const { return pacers_.size(); }
 
-  /// Returns this entry's share of the limit of `target`; zero if there is
-  /// none.
+  /// Returns this entry's share of the limit of `target`; zero without a limit.
   RateShare ShareOf(const std::string& target) const;
 
  private:
   static constexpr Duration kAveragingTime = std::chrono::seconds(4);
-  /// Between two attempts to tell the entries of one target.
+  /// Minimum time between two attempts to share the limit of one target.
   static constexpr Duration kShareInterval = std::chrono::seconds(2);
-  /// What the entries know of a target from each other.
+  /// Limit of a target as shared among the entries.
   struct Shared {
     std::optional<double> limit;
-    std::optional<TimePoint> told_at;  ///< When this entry last told them.
+    std::optional<TimePoint> told_at;  ///< When this entry last shared it.
   };
 
-  /// Returns when one more request to `target` keeps the average of `share`.
+  /// Returns when one more request to `target` keeps the average within
+  /// `share`.
   TimePoint DueByAverage(const std::string& target, const RateShare& share,
                          TimePoint now) const;
   void Follow(const std::string& target, const LimitChange& change,
@@ -110,7 +115,7 @@
   NamedLimits named_;
   EntryView view_;
   LimitShare::Standing standing_ = LimitShare::Standing::kNotJoined;
-  std::map<std::string, SendPacer> pacers_;  ///< Of each target in `named_`.
+  std::map<std::string, SendPacer> pacers_;  ///< By target with a limit.
   std::map<std::string, Shared> shared_;
   std::unordered_map<std::string, RecentCount> sent_;
 };
--- a/src/core/admission/target_rests.h
+++ b/src/core/admission/target_rests.h
@@ -10,34 +10,38 @@
 
 namespace indigolead {
 
-/// Remembers which targets want no request of this entry, and until when.
+/// Stores which targets have asked this entry to send no requests, and until
+/// when.
 ///
-/// The failure: a target that turns a request away says for how long it wants
-/// nothing more, and gets more. The symptom: each of these requests is turned
-/// away as well, and its caller loses an attempt while other targets have room.
+/// A target that rejects a request may state how long it will reject further
+/// ones. Requests sent during that time would be rejected too, and each would
+/// cost its caller an attempt while other targets have capacity.
 ///
-/// A rest is asked of one entry, and by one run of a target.
+/// Such a period applies to this entry only and ends with the target's process.
 ///
-/// Not thread-safe. Memory: one record for each target at rest.
+/// Not thread-safe. Uses one record per such target.
 class TargetRests {
  public:
-  /// Longest rest that is believed: bounds what one wrong header can do.
+  /// Maximum duration that is accepted; limits the effect of an erroneous
+  /// header.
   static constexpr Duration kLongestRest = std::chrono::hours(1);
 
-  /// The target asks for rest of `length` from `now` on. A longer one that it
-  /// has asked for before goes on. Returns the time that is left.
+  /// Records that `target` asks for no requests for `length` from `now`. Does
+  /// not shorten an earlier, longer period. Returns the remaining time.
   Duration OnAsked(const std::string& target, Duration length, TimePoint now);
 
-  /// The target's run is over, and its rest with it.
+  /// Removes the record of `target`. Called when the target's process has
+  /// ended.
   void Forget(const std::string& target) { ends_.erase(target); }
 
-  /// Returns the time until the target takes requests again; zero if it does.
+  /// Returns the time until `target` accepts requests again; zero if it does
+  /// now.
   Duration WaitFor(const std::string& target, TimePoint now) const;
 
-  /// Forgets the rests that are over. Returns whose they were.
+  /// Removes the periods that have ended. Returns their targets.
   std::vector<std::string> Tick(TimePoint now);
 
-  /// Returns the number of rests that are not forgotten.
+  /// Returns the number of records.
   std::size_t size() const { return ends_.size(); }
 
  private:
--- a/src/core/admission/token_bucket.h
+++ b/src/core/admission/token_bucket.h
@@ -10,15 +10,16 @@
 
 /// Limits a rate, in units per second, with bursts of up to one second.
 ///
-/// A cost larger than the burst is taken on credit once the bucket is not
-/// empty: refusing it would refuse it for ever, and the debt keeps the average.
+/// A cost larger than the burst is allowed while the level is positive, and
+/// leaves the level negative. Such a cost could otherwise never be taken; the
+/// negative level preserves the average rate.
 class TokenBucket {
  public:
   /// A `rate` of 0 means no limit.
   explicit TokenBucket(double rate = 0) : rate_(rate), level_(rate) {}
 
-  /// Sets the rate and keeps the level, so that repeating a configuration
-  /// gives nobody a fresh burst.
+  /// Sets the rate and keeps the level, so that applying a configuration again
+  /// does not allow another burst.
   void SetRate(double rate) {
     if (rate_ <= 0) {
       level_ = rate;
@@ -33,7 +34,7 @@
     return rate_ <= 0 || level_ > 0;
   }
 
-  /// Takes `cost`, which may leave the bucket in debt.
+  /// Takes `cost`, which may make the level negative.
   void Take(double cost) {
     if (rate_ > 0) {
       level_ -= cost;
@@ -54,8 +55,8 @@
   void Refill(TimePoint now) {
     const double elapsed_s =
         std::chrono::duration<double>(now - refilled_at_).count();
-    // A clock that jumped back must not stop the refill until it has caught
-    // up, so the newer time is taken over and only the refill is left out.
+    // If the clock jumps back, only this refill is skipped. The new time is
+    // stored, so that refilling does not stop until the clock has caught up.
     refilled_at_ = now;
     if (elapsed_s > 0) {
       level_ = std::min(level_ + elapsed_s * rate_, rate_);
--- a/tests/core/admission/admission_test.cc
+++ b/tests/core/admission/admission_test.cc
@@ -26,7 +26,8 @@
   return spec;
 }
 
-/// Fleet that does 1000 tokens of work a second on `slots` slots.
+/// Returns the load of an idle fleet that processes 1000 tokens of work per
+/// second and has `slots` slots.
 FleetLoad Idle(double slots = 4) {
   FleetLoad fleet;
   fleet.serving = 1;
@@ -42,7 +43,7 @@
   return fleet;
 }
 
-/// Admission with accounts, and what it has decided.
+/// Admission with client accounts, and a record of its decisions.
 struct Desk {
   explicit Desk(std::vector<ClientAccountSpec> accounts,
                 AdmissionOptions options = {})
@@ -95,15 +96,15 @@
   std::vector<AdmissionDecision> refused;
 };
 
-TEST_CASE("Admission refuses at once what cannot be done") {
+TEST_CASE("Admission immediately refuses requests that cannot be served") {
   Desk desk({Account("salon")});
 
-  SECTION("an account that is not in the deployment, or no longer") {
+  SECTION("unknown or removed account") {
     CHECK(desk.Offer("nobody", 1).cause == RefusalCause::kUnknownAccount);
     desk.admission.Configure(DeploymentSpec{});
     CHECK(desk.Offer("salon", 1).cause == RefusalCause::kUnknownAccount);
   }
-  SECTION("a deadline that even an idle fleet would miss: come back never") {
+  SECTION("a deadline that even an idle fleet would miss gets no retry delay") {
     desk.admission.SetFleet(Idle());
     const auto decision = desk.Offer("salon", 1, milliseconds(99));
     CHECK(decision.cause == RefusalCause::kDeadlineTooShort);
@@ -111,9 +112,11 @@
     CHECK(desk.Offer("salon", 1, milliseconds(100)).verdict ==
           AdmissionVerdict::kAdmitted);
   }
-  SECTION("a deadline behind the queue: come back when it is worked off") {
+  SECTION(
+      "a deadline missed because of the queue gets the delay after which it "
+      "can be met") {
     REQUIRE(desk.Offer("salon", 10000).verdict == AdmissionVerdict::kQueued);
-    // 10 s of work ahead, 0.1 s of its own: 7.1 s late for a deadline of 3 s.
+    // 10 s of queued work plus 0.1 s of service is 7.1 s past the 3 s deadline.
     const auto decision = desk.Offer("salon", 1, seconds(3));
     CHECK(decision.verdict == AdmissionVerdict::kRefused);
     CHECK(decision.cause == RefusalCause::kDeadline);
@@ -122,8 +125,8 @@
     CHECK(*decision.retry_after < milliseconds(7200));
   }
   SECTION(
-      "a request that became hopeless in the queue is told so at once, "
-      "not at its deadline") {
+      "a queued request is refused as soon as it cannot meet its deadline, "
+      "not when the deadline passes") {
     REQUIRE(desk.Offer("salon", 1, seconds(1)).verdict ==
             AdmissionVerdict::kQueued);
     const auto advance = [&](TimePoint now) {
@@ -139,9 +142,9 @@
   }
 }
 
-TEST_CASE("Admission holds each account to its limits") {
+TEST_CASE("Admission enforces the limits of each account") {
   ClientAccountSpec limited = Account("salon");
-  SECTION("concurrency, running and waiting together") {
+  SECTION("concurrency counts running and queued requests") {
     limited.max_concurrent = 2;
     Desk desk({limited});
     CHECK(desk.Offer("salon", 1).verdict == AdmissionVerdict::kQueued);
@@ -151,7 +154,9 @@
     CHECK_FALSE(desk.admission.Cancel(RequestId{Id128{0, 1}}));
     CHECK(desk.Offer("salon", 1).verdict == AdmissionVerdict::kQueued);
   }
-  SECTION("requests per second, with a Retry-After that holds") {
+  SECTION(
+      "requests per second, with a retry delay after which a request is "
+      "accepted") {
     limited.requests_per_second = 2;
     Desk desk({limited});
     CHECK(desk.Offer("salon", 1).verdict == AdmissionVerdict::kQueued);
@@ -162,7 +167,9 @@
     CHECK(desk.Offer("salon", 1, seconds(9), kStart + *refused.retry_after)
               .verdict == AdmissionVerdict::kQueued);
   }
-  SECTION("tokens per second: a large request runs, and is paid off after") {
+  SECTION(
+      "tokens per second: a large request is accepted and delays the next "
+      "one") {
     limited.tokens_per_second = 100;
     Desk desk({limited});
     CHECK(desk.Offer("salon", 1000).verdict == AdmissionVerdict::kQueued);
@@ -170,11 +177,11 @@
     CHECK(refused.cause == RefusalCause::kTokenRate);
     REQUIRE(refused.retry_after.has_value());
     CHECK(*refused.retry_after > seconds(8));
-    SECTION("a repeated configuration gives no fresh burst") {
+    SECTION("applying the same configuration again allows no new burst") {
       desk.admission.Configure(desk.spec);
       CHECK(desk.Offer("salon", 1).cause == RefusalCause::kTokenRate);
     }
-    SECTION("a clock that jumps back stops no refill") {
+    SECTION("a clock that jumps back does not stop the refill") {
       desk.Offer("salon", 1, seconds(9), kStart - std::chrono::hours(1));
       CHECK(desk.Offer("salon", 1, std::chrono::hours(1),
                        kStart - std::chrono::hours(1) + seconds(10))
@@ -183,7 +190,7 @@
   }
 }
 
-TEST_CASE("Waiting requests go by priority, then by fair share") {
+TEST_CASE("Queued requests are ordered by priority, then by fair share") {
   SECTION("higher priority first") {
     Desk desk({Account("menu", 0), Account("alert", 5)});
     desk.Offer("menu", 10);
@@ -192,14 +199,16 @@
     CHECK(desk.Dispatch(3) ==
           std::vector<std::string>{"alert", "menu", "menu"});
   }
-  SECTION("a lower priority keeps its floor under a flood from above") {
+  SECTION(
+      "a lower priority keeps its minimum share under overload from a higher "
+      "one") {
     Desk desk({Account("menu", 0), Account("alert", 5)});
     for (int it = 0; it < 100; ++it) {
       desk.Offer("menu", 10);
       desk.Offer("alert", 10);
     }
     const auto order = desk.Dispatch(100);
-    // 5% of the work above it, and so about one in twenty-one.
+    // 5% of the work of the higher priority is about 1 in 21 requests.
     const auto n = std::count(order.begin(), order.end(), "menu");
     CHECK(n >= 4);
     CHECK(n <= 6);
@@ -215,7 +224,7 @@
     const auto order = desk.Dispatch(55);
     CHECK(std::count(order.begin(), order.end(), "long") == 5);
   }
-  SECTION("an account that was idle saves up nothing") {
+  SECTION("an idle account earns no credit") {
     Desk desk({Account("a"), Account("b")});
     for (int it = 0; it < 40; ++it) {
       desk.Offer("a", 10);
@@ -229,11 +238,10 @@
   }
 }
 
-// One account floods the queue until it is full. What the other account sees
-// without a safeguard is "queue full" although it sent a single request: the
-// flood took every place. So its request takes the place of the newest of the
-// flood, whose owner is told at once that it did not run.
-TEST_CASE("A flooding account cannot take every place in the queue") {
+// Guards against an account that fills the queue, so that another account is
+// refused with "queue full" although it sent a single request. That request
+// must evict the newest request of the first account, which is refused at once.
+TEST_CASE("One account cannot keep the whole queue from others") {
   AdmissionOptions options;
   options.queue.max_requests = 10;
   Desk desk({Account("flood"), Account("quiet"), Account("urgent", 5)},
@@ -244,14 +252,15 @@
   REQUIRE(desk.admission.queued() == 10);
   CHECK(desk.displaced.empty());
 
-  SECTION("one of equal priority and less work takes a place") {
+  SECTION(
+      "an account of equal priority with less queued work evicts a request") {
     CHECK(desk.Offer("quiet", 10).verdict == AdmissionVerdict::kQueued);
     REQUIRE(desk.displaced.size() == 1);
     CHECK(desk.displaced[0].cause == RefusalCause::kDisplaced);
     CHECK(desk.displaced[0].retry_after.has_value());
     CHECK(desk.admission.queued() == 10);
   }
-  SECTION("places are shared evenly in the end") {
+  SECTION("the queue ends up shared evenly") {
     int queued = 0;
     for (int it = 0; it < 30; ++it) {
       queued += desk.Offer("quiet", 10).verdict == AdmissionVerdict::kQueued;
@@ -259,7 +268,7 @@
     CHECK(queued >= 4);
     CHECK(queued <= 5);
   }
-  SECTION("one of higher priority takes places from all below") {
+  SECTION("an account of higher priority evicts requests of lower ones") {
     for (int it = 0; it < 10; ++it) {
       CHECK(desk.Offer("urgent", 10).verdict == AdmissionVerdict::kQueued);
     }
@@ -283,19 +292,21 @@
         });
     return n;
   };
-  SECTION("as many as there are slots") { CHECK(admitted() == 3); }
-  SECTION("none while prefill piles up") {
+  SECTION("at most as many requests as there are slots") {
+    CHECK(admitted() == 3);
+  }
+  SECTION("none while too much prefill is queued at the targets") {
     load.queued_prefill_tokens = 501;
     CHECK(admitted() == 0);
   }
-  SECTION("none without any target, and no refusal before it is hopeless") {
+  SECTION("none without a target, and no refusal while deadlines can be met") {
     load = FleetLoad{};
     CHECK(admitted() == 0);
     CHECK(desk.admission.queued() == 10);
   }
 }
 
-TEST_CASE("The concurrency limit follows what the targets can take") {
+TEST_CASE("The concurrency limit adapts to the capacity of the targets") {
   ConcurrencyLimit::Options options;
   options.initial = 10;
   ConcurrencyLimit limit(options);
@@ -307,7 +318,7 @@
       limit.OnEnded(overloaded, now);
     }
   };
-  SECTION("it grows only while it binds") {
+  SECTION("it grows only while it is reached") {
     run(5, false, kStart);
     CHECK(limit.limit() == 10);
     for (int it = 0; it < 20; ++it) {
@@ -315,13 +326,13 @@
     }
     CHECK(limit.limit() > 10.9);
   }
-  SECTION("one overload, seen by many, counts once") {
+  SECTION("one overload seen by many requests decreases it once") {
     run(10, true, kStart);
     CHECK(limit.limit() == 8);
     run(10, true, kStart + seconds(1));
     CHECK(limit.limit() == Approx(6.4));
   }
-  SECTION("it never closes altogether") {
+  SECTION("it does not fall below its minimum") {
     for (int it = 0; it < 100; ++it) {
       run(1, true, kStart + seconds(it));
     }
@@ -330,7 +341,7 @@
   }
 }
 
-TEST_CASE("Admission keeps its promises for any offers") {
+TEST_CASE("Admission keeps its invariants for random requests") {
   const bool held = rc::check(
       "bounds, limits, and one final answer for each request",
       [](std::uint64_t seed) {
@@ -392,7 +403,7 @@
   CHECK(held);
 }
 
-TEST_CASE("Shares converge to the weights for any sizes of request") {
+TEST_CASE("Shares converge to the weights for random request sizes") {
   const bool held = rc::check("weighted fair shares", [](std::uint64_t seed) {
     RandomSource random = MakeSeededRandom(seed);
     FairQueue::Options options;
--- a/tests/core/admission/limit_share_test.cc
+++ b/tests/core/admission/limit_share_test.cc
@@ -24,7 +24,8 @@
 }
 
 TEST_CASE(
-    "The shares of a limit add up to less than it on fleets of any size") {
+    "The shares of a limit add up to no more than the limit on fleets of any "
+    "size") {
   const LimitShare shares({});
   const std::size_t entries = GENERATE(1, 4, 13, 14, 26, 103, 400);
   const double limit = GENERATE(0.0, 0.5, 5.0, 300.0);
@@ -40,11 +41,11 @@
   }
   CHECK(sum <= std::max(limit, LimitShare::Options{}.least_limit_rps));
   CHECK(sum >= 0.75 * limit);
-  // Each of them may have one request saved up, and send it at any moment.
+  // Each of them may have accumulated one request and send it at any time.
   CHECK(static_cast<double>(saving) <= 2 * limit + 3);
 }
 
-TEST_CASE("Targets choose different entries for the usable shares") {
+TEST_CASE("Different targets choose different entries as participants") {
   const LimitShare shares({});
   const EntryView view = ViewOf(400);
   int chosen = 0;
@@ -53,22 +54,22 @@
         shares.Of("e" + std::to_string(n), 5, view, Standing::kFresh);
     chosen += share.valid_for ? 0 : 1;
   }
-  // 13 of 400 for each target.
+  // Each target chooses 13 of 400 entries.
   CHECK(chosen > 10);
   CHECK(chosen < 70);
 }
 
-TEST_CASE("An entry has its share while the others know of it") {
+TEST_CASE("An entry has a share while the other entries know it") {
   const LimitShare shares({});
   EntryView view = ViewOf(4);
   CHECK(shares.StandingOf(view, kNow) == Standing::kFresh);
 
-  SECTION("none before all have had the time to list it") {
+  SECTION("none before all others have had the time to list it") {
     view.registered_at = kNow - seconds(6);
     CHECK(shares.StandingOf(view, kNow) == Standing::kNotJoined);
     CHECK(shares.StandingOf(view, kNow + seconds(1)) == Standing::kFresh);
   }
-  SECTION("none once its registration was taken back, or without a list") {
+  SECTION("none after its registration is removed, or without a list") {
     view.registered_at.reset();
     CHECK(shares.StandingOf(view, kNow) == Standing::kNotJoined);
     view = ViewOf(4);
@@ -76,7 +77,7 @@
     CHECK(shares.StandingOf(view, kNow) == Standing::kNotJoined);
     CHECK(shares.Of("e1", 5, view, Standing::kNotJoined) == RateShare{});
   }
-  SECTION("half of it while its own list is old") {
+  SECTION("half of the share while its own list is stale") {
     CHECK(shares.StandingOf(view, kNow + seconds(5)) == Standing::kStale);
     CHECK(shares.Of("e1", 5, view, Standing::kStale).per_second ==
           shares.Of("e1", 5, view, Standing::kFresh).per_second / 2);
--- a/tests/core/admission/named_limits_test.cc
+++ b/tests/core/admission/named_limits_test.cc
@@ -17,7 +17,7 @@
   return {std::nullopt, served, sent_at};
 }
 
-TEST_CASE("A limit holds for as long as the target names it") {
+TEST_CASE("A limit holds while the target's answers contain it") {
   NamedLimits limits;
   CHECK(limits.OnAnswer("e1", Unnamed(kStart), kStart) == std::nullopt);
   CHECK(limits.OnAnswer("e1", Named(5, kStart), kStart) ==
@@ -26,17 +26,17 @@
   CHECK(limits.Find("e2") == std::nullopt);
   const TimePoint later = kStart + milliseconds(10);
 
-  SECTION("the same again is no change, another figure is one") {
+  SECTION("the same value is no change, a different value is one") {
     CHECK(limits.OnAnswer("e1", Named(5, later), later) == std::nullopt);
     CHECK(limits.OnAnswer("e1", Named(4, later), later) == LimitChange{5, 4});
   }
-  SECTION("two answers in a row without it end it") {
+  SECTION("two consecutive answers without it end it") {
     CHECK(limits.OnAnswer("e1", Unnamed(later), later) == std::nullopt);
     CHECK(limits.OnAnswer("e1", Unnamed(later), later) ==
           LimitChange{5, std::nullopt});
     CHECK(limits.size() == 0);
   }
-  SECTION("one without it between others does not") {
+  SECTION("a single answer without it does not end it") {
     limits.OnAnswer("e1", Unnamed(later), later);
     limits.OnAnswer("e1", Named(5, later), later);
     limits.OnAnswer("e1", Unnamed(later), later);
@@ -49,19 +49,19 @@
     }
     CHECK(limits.Find("e1") == 5);
   }
-  SECTION("others' word begins and ends it, and corrects nothing") {
+  SECTION("a shared limit starts or ends it but does not replace its value") {
     CHECK(limits.OnShared("e1", 9, later) == std::nullopt);
     CHECK(limits.Find("e1") == 5);
     CHECK(limits.OnShared("e1", std::nullopt, later) ==
           LimitChange{5, std::nullopt});
     CHECK(limits.OnShared("e1", std::nullopt, later) == std::nullopt);
     CHECK(limits.OnShared("e1", 9, later) == LimitChange{std::nullopt, 9});
-    // An answer to a request that was sent before says nothing of it.
+    // An answer to a request sent before the limit was known is ignored.
     limits.OnAnswer("e1", Unnamed(kStart), later);
     limits.OnAnswer("e1", Unnamed(kStart), later);
     CHECK(limits.Find("e1") == 9);
   }
-  SECTION("another run of the target begins without it") {
+  SECTION("a restarted target has no limit") {
     limits.Forget("e1");
     CHECK(limits.Find("e1") == std::nullopt);
   }
--- a/tests/core/admission/recent_count_test.cc
+++ b/tests/core/admission/recent_count_test.cc
@@ -10,7 +10,7 @@
 
 constexpr TimePoint kStart{seconds(1000)};
 
-TEST_CASE("A window tells when enough of what it counts has left it") {
+TEST_CASE("RecentCount reports when enough events have left the window") {
   RecentCount count(seconds(4));
   CHECK(count.UntilAtMost(0, kStart) == Duration{0});
   for (int n = 0; n < 10; ++n) {
@@ -18,7 +18,7 @@
   }
   const TimePoint now = kStart + milliseconds(3600);
   CHECK(count.UntilAtMost(10, now) == Duration{0});
-  // Late by a tenth of the window at most, never early.
+  // The result is late by at most a tenth of the window and never early.
   for (std::uint64_t n = 0; n < 10; ++n) {
     const TimePoint last_gone =
         kStart + (9 - static_cast<int>(n)) * milliseconds(400) + seconds(4);
--- a/tests/core/admission/retry_allowance_test.cc
+++ b/tests/core/admission/retry_allowance_test.cc
@@ -14,7 +14,7 @@
 
 constexpr TimePoint kNow{std::chrono::seconds(1000)};
 
-/// Returns the view of one of `entries` that has long joined.
+/// Returns the view of one of `entries` entries that joined long ago.
 EntryView ViewOf(std::size_t entries) {
   EntryView view;
   view.own_name = "e1";
@@ -24,7 +24,7 @@
   return view;
 }
 
-TEST_CASE("The allowance is parted among the entries") {
+TEST_CASE("The allowance is divided equally among the entries") {
   RetryAllowance allowance;
   allowance.arrivals = 50;
   CHECK(allowance.PartOf(ViewOf(4), kNow) == RetryPart{7.5, 3.75});
@@ -32,9 +32,9 @@
   CHECK(allowance.PartOf(ViewOf(0), kNow) == RetryPart{30, 15});
 }
 
-/// Guards against parts by lists that lack entries, or of entries that others
-/// do not count.
-TEST_CASE("An entry has a part while all lists agree on it") {
+/// Guards against parts computed from lists that lack entries, and parts of
+/// entries that others do not count.
+TEST_CASE("An entry has a part only while all lists contain it") {
   const RetryAllowance allowance;
   EntryView view = ViewOf(4);
   REQUIRE(allowance.PartOf(view, kNow).saved > 0);
@@ -44,11 +44,11 @@
     CHECK(allowance.PartOf(view, kNow) == RetryPart{});
     CHECK(allowance.PartOf(view, kNow + std::chrono::seconds(1)).saved > 0);
   }
-  SECTION("none once it has taken its registration back") {
+  SECTION("none after its registration is removed") {
     view.registered_at.reset();
     CHECK(allowance.PartOf(view, kNow) == RetryPart{});
   }
-  SECTION("none by a list that may lack newcomers, or without any") {
+  SECTION("none with a stale list, or without a list") {
     CHECK(allowance.PartOf(view, kNow + std::chrono::seconds(22)) ==
           RetryPart{});
     view.listed_at.reset();
@@ -56,10 +56,10 @@
   }
 }
 
-TEST_CASE("What an entry has used of its part comes back within two windows") {
+TEST_CASE("The used part of an entry is refilled within two windows") {
   TimePoint now{std::chrono::seconds(1000)};
   EntryRetryBudget budget({.share = 0, .part = {6, 3}});
-  CHECK_FALSE(budget.TryTake(1, now));  // Nothing for having started.
+  CHECK_FALSE(budget.TryTake(1, now));  // A process starts empty.
   now += std::chrono::seconds(4);
   CHECK(budget.TryTake(1, now));
   CHECK_FALSE(budget.TryTake(1, now));
@@ -71,7 +71,7 @@
   CHECK_FALSE(budget.TryTake(1, now));
 }
 
-/// Entries of one fleet, each bounded alone.
+/// Entries of one fleet, each with its own budget.
 struct Fleet {
   Fleet(std::size_t entries, const RetryAllowance& allowance, double share) {
     options.share = share;
@@ -80,16 +80,16 @@
     budgets.assign(entries, EntryRetryBudget(options));
   }
 
-  static constexpr double kAttempt = 2;  ///< Arrivals of one attempt.
+  static constexpr double kAttempt = 2;  ///< Arrivals per attempt.
   EntryRetryBudget::Options options;
   std::vector<EntryRetryBudget> budgets;
 };
 
-// A failure domain is lost: every attempt fails at once, every request wants
-// further attempts, and all processes are killed and start anew, five times in
-// a window. In no window may the targets of a service see more further arrivals
-// than the operator's bound; and some must be allowed, on a large fleet too.
-TEST_CASE("A fleet of any size keeps the bound on further arrivals") {
+// Guards against exceeding the operator's limit on retries and hedges when a
+// failure domain is lost: every attempt fails, every request wants further
+// attempts, and all processes are killed and restarted five times per window.
+// Some further attempts must be allowed on large fleets too.
+TEST_CASE("A fleet of any size stays within the limit on further arrivals") {
   const std::size_t entries = GENERATE(1, 4, 25, 100, 420);
   const std::size_t window = GENERATE(500, 4000, 40000);  // Requests.
   constexpr double kRatio = 0.2;
@@ -101,7 +101,7 @@
   allowance.arrivals = kSlack;
   if (saved >
       (1 - allowance.share_refilled) * kSlack + (kRatio - kShare) * requests) {
-    return;  // One attempt saved up at each entry is more than the bound has.
+    return;  // One accumulated attempt per entry already exceeds the limit.
   }
   INFO(entries << " entries, " << window << " requests in a window");
   Fleet fleet(entries, allowance, kShare);
@@ -114,7 +114,7 @@
   double worst = 0;
   for (std::size_t step = 0; step < 6 * window; ++step) {
     now += gap;
-    // A calm time first, in which everyone saves up.
+    // All entries accumulate retries before the failures start.
     const bool failing = step > 3 * window;
     EntryRetryBudget& budget = fleet.budgets[random() % entries];
     budget.OnRequest(now);
@@ -122,7 +122,7 @@
     for (int wish = 0; failing && wish < 4; ++wish) {
       arrivals += budget.TryTake(Fleet::kAttempt, now) ? Fleet::kAttempt : 0;
     }
-    if (step > 4 * window && step % (window / 5) == 0) {  // All are killed.
+    if (step > 4 * window && step % (window / 5) == 0) {  // All restart.
       fleet.budgets.assign(entries, EntryRetryBudget(fleet.options));
     }
     further.push_back(arrivals);
@@ -141,8 +141,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A fleet whose entries have 2.3 requests a second each for one service, of
-/// which a third may be sent again.
+/// Fleet whose entries have 2.3 requests per second each for one service, a
+/// third of which may be retried.
 class CalmFleet {
  public:
   static constexpr double kRatio = 0.2;
@@ -161,8 +161,8 @@
 
   void Restart() { budgets_.assign(kEntries, EntryRetryBudget(options_)); }
 
-  /// Plays `length`; `failing` is the chance that a request wants `wishes`
-  /// further attempts.
+  /// Simulates `length`; `failing` is the probability that a request wants
+  /// `wishes` further attempts.
   void Run(Duration length, double failing, int wishes) {
     const TimePoint end = now_ + length;
     while (now_ < end) {
@@ -185,7 +185,8 @@
 
   int wanted = 0;
   int granted = 0;
-  /// Most further arrivals of a window, over what the operator allows in it.
+  /// Maximum ratio, over all windows, of further arrivals to the operator's
+  /// limit.
   double worst = 0;
 
  private:
@@ -210,11 +211,13 @@
   RandomSource random_ = MakeSeededRandom(20261203);
 };
 
-// One answer in seven of a third of the requests is a failure that a second
-// target would not give, for half a minute. What callers get of the second
-// tries they could have: 0.85 with parts of the allowance alone, 0.96 with what
-// the entry's own requests let it save up beside it.
-TEST_CASE("Entries with little traffic find an attempt left when one fails") {
+// For a third of the requests, one answer in seven is a failure that a retry at
+// another target would avoid. Callers get 0.85 of the possible retries with
+// parts of the allowance alone, and 0.96 if an entry's own requests raise the
+// number that it may accumulate.
+TEST_CASE(
+    "Entries with little traffic have a retry available when an attempt "
+    "fails") {
   constexpr double kFailing = 0.14 / 3;
   CalmFleet before(0);
   CalmFleet now(0.15 * CalmFleet::kRatio);
@@ -230,10 +233,11 @@
   CHECK(now.worst < 1);
 }
 
-// A failure domain is lost just when all have saved up what they may, every
-// request wants four attempts more, and every process is killed and starts
-// anew, twice. In no window may the operator's bound be passed.
-TEST_CASE("What entries save up by their traffic keeps the operator's bound") {
+// Guards against exceeding the operator's limit in any window when a failure
+// domain is lost while all entries have accumulated their maximum: every
+// request wants four further attempts, and all processes are killed and
+// restarted twice.
+TEST_CASE("Retries accumulated from traffic stay within the operator's limit") {
   CalmFleet fleet(0.15 * CalmFleet::kRatio);
   fleet.Run(seconds(30), 0, 0);
   fleet.Run(seconds(4), 1, 4);
@@ -246,7 +250,7 @@
   CHECK(fleet.worst > 0.5);
 }
 
-TEST_CASE("Events are counted for one window") {
+TEST_CASE("RecentCount counts the events of one window") {
   RecentCount count(seconds(10));
   TimePoint now{seconds(1000)};
   for (int it = 0; it < 100; ++it) {
--- a/tests/core/admission/retry_budget_test.cc
+++ b/tests/core/admission/retry_budget_test.cc
@@ -5,10 +5,11 @@
 namespace indigolead {
 namespace {
 
-// A failure domain is lost: every attempt fails, and every caller wants a
-// retry. The budget lets through a tenth of the first attempts, so the targets
-// that are left see at most 1.1 times the traffic.
-TEST_CASE("Retries stay a share of the traffic") {
+// Guards against overload of the remaining targets when a failure domain is
+// lost and every attempt is to be retried. The budget allows retries for a
+// tenth of the first attempts, so the targets receive at most 1.1 times the
+// traffic.
+TEST_CASE("Retries are limited to a share of the traffic") {
   RetryBudget budget({.share = 0.1, .burst = 10});
   for (int it = 0; it < 10000; ++it) {
     budget.OnFirstAttempt();
@@ -24,7 +25,7 @@
   CHECK(amplification >= 1.0999);
 }
 
-TEST_CASE("A retry budget starts empty and saves up to its burst") {
+TEST_CASE("A retry budget starts empty and accumulates up to its burst") {
   RetryBudget budget({.share = 0.5, .burst = 2});
   CHECK_FALSE(budget.TryTake());
   for (int it = 0; it < 100; ++it) {
@@ -38,21 +39,21 @@
   CHECK_FALSE(budget.TryTake());
 }
 
-TEST_CASE("A retry budget's bound may change, and hold what is granted") {
+TEST_CASE("The burst of a retry budget can change and limits grants") {
   RetryBudget budget({.share = 1, .burst = 5, .initial = 5});
 
-  SECTION("a lower bound takes what is above it") {
+  SECTION("a lower burst discards the excess") {
     budget.SetBurst(2);
     CHECK(budget.TryTake(2));
     CHECK_FALSE(budget.TryTake());
   }
-  SECTION("a higher one is filled by traffic, not at once") {
+  SECTION("a higher burst is filled by traffic, not at once") {
     budget.SetBurst(6);
     CHECK_FALSE(budget.TryTake(6));
     budget.OnFirstAttempt();
     CHECK(budget.TryTake(6));
   }
-  SECTION("a grant counts up to the bound") {
+  SECTION("a grant is limited by the burst") {
     REQUIRE(budget.TryTake(5));
     budget.Grant(3);
     CHECK_FALSE(budget.TryTake(4));
@@ -62,7 +63,7 @@
   }
 }
 
-TEST_CASE("Backoff grows, is bounded, and spreads from zero") {
+TEST_CASE("Backoff delays grow, are bounded, and are spread from zero") {
   const Backoff backoff{std::chrono::milliseconds(20),
                         std::chrono::milliseconds(100)};
   CHECK(backoff.Delay(0, 0) == Duration{0});
--- a/tests/core/admission/send_pacer_test.cc
+++ b/tests/core/admission/send_pacer_test.cc
@@ -11,7 +11,7 @@
 constexpr TimePoint kStart{seconds(100)};
 constexpr RateShare kTwoPerSecond{2, std::nullopt};
 
-TEST_CASE("An entry's requests are spaced by its share") {
+TEST_CASE("Requests are spaced according to the entry's share") {
   SendPacer pacer;
   CHECK(pacer.WaitFor(kStart) == std::nullopt);
   pacer.SetShare(kTwoPerSecond, 0.5, kStart, kStart);
@@ -19,25 +19,27 @@
   const TimePoint due = kStart + milliseconds(250);
   CHECK(pacer.WaitFor(due) == Duration{0});
 
-  SECTION("one is saved up, and no more") {
+  SECTION("at most one request accumulates") {
     const TimePoint late = due + seconds(30);
     CHECK(pacer.WaitFor(late) == Duration{0});
     pacer.OnSent(late);
     CHECK(pacer.WaitFor(late) == milliseconds(500));
   }
-  SECTION("one that did not wait delays the next") {
+  SECTION("a request sent before it was due delays the next") {
     pacer.OnSent(due);
     pacer.OnSent(due);
     CHECK(pacer.WaitFor(due) == milliseconds(1000));
   }
-  SECTION("a smaller share keeps what is due, a larger one brings it nearer") {
+  SECTION(
+      "a smaller share does not delay the next request, a larger one brings it "
+      "forward") {
     pacer.OnSent(due);
     pacer.SetShare({1, std::nullopt}, 0, due, due);
     CHECK(pacer.WaitFor(due) == milliseconds(500));
     pacer.SetShare({10, std::nullopt}, 0, due, due);
     CHECK(pacer.WaitFor(due) == milliseconds(100));
   }
-  SECTION("shares that change often give nothing extra") {
+  SECTION("frequent changes of the share allow no extra requests") {
     int sent = 0;
     for (int n = 0; n < 1000; ++n) {
       const TimePoint now = due + n * milliseconds(10);
@@ -49,7 +51,7 @@
     }
     CHECK(sent <= 21);
   }
-  SECTION("without a share nothing is sent") {
+  SECTION("without a share no request may be sent") {
     pacer.SetShare({}, 0, due, due);
     CHECK(pacer.WaitFor(due + seconds(60)) == std::nullopt);
     pacer.OnSent(due);
@@ -57,13 +59,13 @@
   }
 }
 
-TEST_CASE("The first request by a share waits for what was sent before it") {
+TEST_CASE("The first request waits for `not_before`") {
   SendPacer pacer;
   pacer.SetShare(kTwoPerSecond, 0, kStart + seconds(3), kStart);
   CHECK(pacer.WaitFor(kStart) == seconds(3));
 }
 
-TEST_CASE("A request that may not be saved up is lost after its time") {
+TEST_CASE("A due request with a limited validity expires") {
   SendPacer pacer;
   pacer.SetShare({0.1, seconds(1)}, 0, kStart, kStart);
   CHECK(pacer.WaitFor(kStart + seconds(1)) == Duration{0});
--- a/tests/core/admission/shared_rate_limits_test.cc
+++ b/tests/core/admission/shared_rate_limits_test.cc
@@ -19,13 +19,13 @@
 using std::chrono::seconds;
 
 constexpr Duration kStep = milliseconds(20);
-/// A list that the store answers from an older state.
+/// Maximum age of the state from which the store returns a list of entries.
 constexpr Duration kMostStale = seconds(3);
-/// The rest between two calls of a watch, and the way.
+/// Maximum delay of a watch: the pause between two calls and the transfer.
 constexpr Duration kMostWatchLag = milliseconds(1600);
 
-/// Entries that share one target, each by its own list of entries, which is
-/// late in its own way. None sees what another sends.
+/// Simulates entries that share one target. Each entry has its own list of
+/// entries with its own delay, and does not see the requests of the others.
 class Fleet {
  public:
   Fleet(std::uint64_t seed, double limit,
@@ -34,7 +34,7 @@
         limit_(limit),
         answer_time_(answer_time) {}
 
-  /// Adds an entry; `settled` if everybody has known it for long.
+  /// Adds an entry; `settled` if all others have known it for a long time.
   void Add(bool settled = false) {
     auto entry = std::make_unique<Entry>();
     entry->name = "front-" + std::to_string(next_name_++);
@@ -45,16 +45,16 @@
     registered_.insert(entry->name);
     entries_.push_back(std::move(entry));
   }
-  /// An entry dies; its registration stays.
+  /// Kills an entry; its registration remains.
   void Kill() { entries_.erase(entries_.begin() + Below(entries_.size())); }
-  /// An entry stops: its registration goes first.
+  /// Stops an entry gracefully, which first removes its registration.
   void Stop() {
     Entry& entry = *entries_[Below(entries_.size())];
     registered_.erase(entry.name);
     entry.registered_at.reset();
     Tell(&entry, {});
   }
-  /// A process dies and another one of its name comes in its place.
+  /// Replaces the process of an entry by a new one with the same name.
   void Restart() {
     Entry& entry = *entries_[Below(entries_.size())];
     entry.limits = std::make_unique<SharedRateLimits>(
@@ -66,13 +66,14 @@
   void Freeze(Duration length) {
     entries_[Below(entries_.size())]->frozen_until = now_ + length;
   }
-  /// An entry loses the store.
+  /// Disconnects an entry from the store.
   void Cut(Duration length) {
     entries_[Below(entries_.size())]->cut_until = now_ + length;
   }
   void LoseStore(Duration length) { store_lost_until_ = now_ + length; }
 
-  /// Plays `length`; each entry has `per_second` requests for the target.
+  /// Simulates `length`; each entry has `per_second` requests per second for
+  /// the target.
   void Play(Duration length, double per_second) {
     for (const TimePoint end = now_ + length; now_ < end; now_ += kStep) {
       history_.push_back({now_, registered_});
@@ -87,18 +88,20 @@
     }
   }
 
-  /// Returns the most arrivals that the rule counts in any span.
+  /// Returns the maximum number of arrivals that the limit rule counts in any
+  /// span.
   int Most() const {
     return named_at_ ? testing::MostInSpan(counted_,
                                            *named_at_ + testing::kLimitContact)
                      : 0;
   }
-  /// The target is in need from now on, and was not before.
+  /// From now on, the target is overloaded and its answers contain the limit.
   void BeginNeed() { in_need_ = true; }
   void HaveNoNeed() { in_need_ = false; }
 
-  /// Returns the most arrivals in any span that ends once the rule holds, from
-  /// entries that had been told by then; also those from before.
+  /// Returns the maximum number of arrivals in any span that ends while the
+  /// limit rule applies, from entries that know the limit by then. Counts
+  /// arrivals from before they knew it as well.
   int MostFromTheStart() const {
     int most = 0;
     for (const Arrival& last : arrivals_) {
@@ -117,7 +120,7 @@
     return most;
   }
 
-  /// Returns the arrivals of the last `length`, a second.
+  /// Returns the arrivals per second during the last `length`.
   double Rate(Duration length) const {
     const auto n = std::count_if(counted_.begin(), counted_.end(),
                                  [&](auto at) { return at >= now_ - length; });
@@ -136,9 +139,9 @@
     TimePoint frozen_until{};
     TimePoint cut_until{};
     Duration watch_lag{};
-    std::size_t heard = 0;  ///< Of what was shared.
+    std::size_t heard = 0;  ///< Number of shared limits received.
     std::optional<TimePoint> told_at;
-    std::deque<TimePoint> answers;  ///< Of requests sent, when they come.
+    std::deque<TimePoint> answers;  ///< Times at which the answers arrive.
   };
   struct Arrival {
     TimePoint at;
@@ -162,7 +165,7 @@
     entry->limits->OnEntries(std::move(view), now_);
   }
 
-  /// The entry's watch tells it what others have shared, some time later.
+  /// Delivers the limits shared by others after the delay of the entry's watch.
   void HearShared(Entry* entry, bool cut) {
     while (!cut && entry->heard < shared_.size() &&
            shared_[entry->heard].at + entry->watch_lag <= now_) {
@@ -221,8 +224,9 @@
   bool in_need_ = true;
 };
 
-/// Guards against a limit that holds on a fleet of one size only.
-TEST_CASE("A target gets what its limit allows from 4 entries and from 400") {
+/// Guards against a limit that is kept on fleets of one size only.
+TEST_CASE(
+    "A target receives what its limit allows from fleets of 1 to 400 entries") {
   const std::size_t entries = GENERATE(1, 4, 26, 103, 400);
   const double limit = GENERATE(0.2, 1.0, 5.0, 40.0);
   INFO(entries << " entries, limit " << limit);
@@ -232,13 +236,13 @@
   }
   fleet.Play(seconds(40), /*per_second=*/50);
   CHECK(fleet.Most() <= testing::MostAllowed(limit));
-  // What the target takes is used.
+  // The limit is used, not only kept.
   CHECK(fleet.Rate(seconds(20)) >= 0.5 * limit);
 }
 
-/// Guards against a target that has had far more than its limit in the seconds
-/// in which it names it, and goes on getting all of the limit.
-TEST_CASE("What a target got just before it named a limit counts") {
+/// Guards against sending at the full limit to a target that received far more
+/// than the limit in the seconds before it advertised it.
+TEST_CASE("Requests sent just before a target advertises a limit count") {
   const std::size_t entries = GENERATE(1, 4, 5, 26, 103);
   const double limit = GENERATE(2.0, 5.0, 20.0);
   const double overload = GENERATE(1.0, 2.2);
@@ -257,24 +261,25 @@
   CHECK(fleet.MostFromTheStart() <= testing::MostAllowed(limit));
 }
 
-/// Guards against an entry that goes on at its share though it has just sent
-/// more than that.
-TEST_CASE("An entry that is told of a limit waits for what it has just sent") {
+/// Guards against an entry that continues at its share although it has just
+/// sent more.
+TEST_CASE("An entry that learns of a limit waits if it has sent too much") {
   SharedRateLimits limits({}, MakeSeededRandom(1));
   const TimePoint now{seconds(1000)};
   limits.OnEntries({"front-1", {"front-1"}, now, now - seconds(60)}, now);
   for (int n = 0; n < 20; ++n) {
     limits.OnSent("e1", now - milliseconds(1000 - 50 * n));
   }
-  // Its share is 4 a second, 16 in 4 s: five of 20 must be past first.
+  // Its share is 4 per second, or 16 in 4 s: 5 of the 20 requests must leave
+  // the window first.
   limits.OnAnswer("e1", {5, true, now}, now);
   CHECK(limits.WaitFor("e1", now) >= milliseconds(3200));
   CHECK(limits.WaitFor("e1", now) <= seconds(4));
 }
 
-/// Guards against a limit that each entry must find out for itself, and against
-/// one that is believed for ever since nobody tells of its end.
-TEST_CASE("Entries tell each other of a limit and of its end") {
+/// Guards against entries that learn of a limit only through requests of their
+/// own, and against a limit that never ends because its end is not shared.
+TEST_CASE("Entries share a limit and its end with each other") {
   SharedRateLimits limits({}, MakeSeededRandom(1));
   const TimePoint now{seconds(1000)};
   CHECK_FALSE(limits.ShouldShare("e1", now));
@@ -282,16 +287,16 @@
   CHECK(limits.ShouldShare("e1", now));
   CHECK_FALSE(limits.ShouldShare("e1", now + seconds(1)));
 
-  SECTION("again, while the others do not show it") {
+  SECTION("again, until the shared limit is reported back") {
     CHECK(limits.ShouldShare("e1", now + seconds(2)));
   }
-  SECTION("not while they show about the same") {
+  SECTION("not while the shared limit is about the same") {
     limits.OnShared("e1", 5.2, now);
     CHECK_FALSE(limits.ShouldShare("e1", now + seconds(2)));
     limits.OnAnswer("e1", {3, true, now}, now);
     CHECK(limits.ShouldShare("e1", now + seconds(2)));
   }
-  SECTION("and of its end, which the others then believe") {
+  SECTION("the end of a limit is shared, and ends it for others") {
     limits.OnShared("e1", 5, now);
     limits.OnAnswer("e1", {std::nullopt, true, now}, now);
     limits.OnAnswer("e1", {std::nullopt, true, now}, now);
@@ -303,8 +308,9 @@
   }
 }
 
-/// Guards against requests that entries save up in silence and send together.
-TEST_CASE("Entries that fall silent and are all asked at once send no burst") {
+/// Guards against requests that accumulate while entries are idle and are then
+/// sent together.
+TEST_CASE("Idle entries that all receive requests at once send no burst") {
   const std::size_t entries = GENERATE(4, 26, 400);
   const double limit = GENERATE(0.2, 1.0, 5.0);
   INFO(entries << " entries, limit " << limit);
@@ -320,9 +326,9 @@
   CHECK(fleet.Most() <= testing::MostAllowed(limit));
 }
 
-/// Guards against shares by lists of entries that differ, while entries come,
-/// go, freeze, start anew and lose the store.
-TEST_CASE("A limit holds while the fleet changes, in random worlds") {
+/// Guards against exceeding a limit because the lists of entries differ, while
+/// entries start, stop, freeze, restart and lose the store.
+TEST_CASE("A limit is kept while the fleet changes at random") {
   int broken = 0;
   for (std::uint64_t seed = 1; seed <= 60 && broken < 5; ++seed) {
     const RandomSource random = MakeSeededRandom(seed);
