--- a/src/core/roles/demand_average.h
+++ b/src/core/roles/demand_average.h
@@ -5,7 +5,7 @@
 
 namespace indigolead {
 
-/// Rates of the two kinds of work, in tokens per second.
+/// Rates of prefill and decode work, in tokens per second.
 struct TokenMix {
   double prefill_tokens_per_s = 0;
   double output_tokens_per_s = 0;
@@ -13,20 +13,20 @@
   friend bool operator==(const TokenMix&, const TokenMix&) = default;
 };
 
-/// Averages the token mix with exponential decay.
+/// Exponentially decaying average of the token mix.
 class DemandAverage {
  public:
   explicit DemandAverage(Duration time_constant)
       : time_constant_(time_constant) {}
 
-  /// Takes `mix`, seen over `length`. The first ones weigh by their length,
-  /// so that a young average is not drawn towards zero.
+  /// Adds `mix`, observed over `length`. The first observations are weighted by
+  /// their length, so that the initial value of zero does not bias the average.
   void Add(const TokenMix& mix, Duration length);
 
-  /// Returns the average; zero before the first `Add`.
+  /// Returns the average; zero before the first call to `Add`.
   const TokenMix& mix() const { return mix_; }
 
-  /// Returns for how long demand was seen.
+  /// Returns the total length of all observations.
   Duration observed() const { return observed_; }
 
  private:
--- a/src/core/roles/role_capacity.cc
+++ b/src/core/roles/role_capacity.cc
@@ -34,8 +34,9 @@
 double ServedTimes(const RoleCounts& counts, const EngineDemand& demand,
                    const EngineRates& rates) {
   const double mixed = counts.mixed * rates.mixed_efficiency;
-  // Mixed engines take whichever kind is short, so three limits bind: each
-  // kind with all the mixed engines on its side, and both together.
+  // Mixed engines can do either kind of work, so three constraints apply:
+  // prefill with all mixed engines, decode with all mixed engines, and both
+  // kinds on all engines together.
   return std::min({Times(counts.prefill + mixed, demand.prefill),
                    Times(counts.decode + mixed, demand.decode),
                    Times(counts.prefill + counts.decode + mixed,
--- a/src/core/roles/role_capacity.h
+++ b/src/core/roles/role_capacity.h
@@ -17,21 +17,21 @@
   friend bool operator==(const RoleCounts&, const RoleCounts&) = default;
 };
 
-/// Returns the count of `role` in `counts`, to read or to change.
+/// Returns a mutable reference to the count of `role` in `counts`.
 std::uint32_t& CountOf(RoleCounts* counts, EngineRole role);
 
-/// What one engine does in a second, in its own role.
+/// Rates of one engine in its own role.
 struct EngineRates {
   double prefill_tokens_per_s = 8000;
   double decode_tokens_per_s = 1500;
-  /// Share of its work that an engine does of both kinds at once: a prefill
-  /// interrupts the decodes beside it.
+  /// Efficiency of an engine that does both kinds of work: each prefill
+  /// interrupts the concurrent decodes.
   double mixed_efficiency = 0.85;
 
   friend bool operator==(const EngineRates&, const EngineRates&) = default;
 };
 
-/// Engines that a token mix keeps busy, by kind of work.
+/// Number of engines that a token mix keeps busy, by kind of work.
 struct EngineDemand {
   double prefill = 0;
   double decode = 0;
@@ -39,11 +39,11 @@
   friend bool operator==(const EngineDemand&, const EngineDemand&) = default;
 };
 
-/// Returns the engines that `mix` keeps busy at `rates`.
+/// Returns the number of engines that `mix` keeps busy at `rates`.
 EngineDemand DemandOf(const TokenMix& mix, const EngineRates& rates);
 
-/// Returns how many times over the engines could serve `demand`, at most
-/// 100. Below 1, that share of it is served.
+/// Returns the ratio of the engines' capacity to `demand`, at most 100. A value
+/// below 1 is the share of the demand that can be served.
 double ServedTimes(const RoleCounts& counts, const EngineDemand& demand,
                    const EngineRates& rates);
 
--- a/src/core/roles/role_planner.cc
+++ b/src/core/roles/role_planner.cc
@@ -23,7 +23,8 @@
   return counts;
 }
 
-/// Returns true if both kinds of work have an engine and the minima hold.
+/// Returns true if each kind of work has an engine and the minima of `spec`
+/// hold.
 bool IsAllowed(const RoleCounts& counts, const RoleSpec& spec) {
   return counts.prefill + counts.mixed > 0 &&
          counts.decode + counts.mixed > 0 &&
@@ -66,7 +67,7 @@
     const RoleTarget* target = FindTarget(targets, pending_->instance);
     const bool ordered = target != nullptr && target->role == pending_->to;
     const bool timed_out = now - pending_since_ >= options_.order_timeout;
-    // An engine that left takes its change with it.
+    // The change of an engine that has left or is leaving is abandoned.
     if (ordered || timed_out || target == nullptr || target->leaving) {
       pending_.reset();
     } else {
@@ -83,7 +84,8 @@
     const TimePoint began =
         known == changing_since_.end() ? now : known->second;
     since.emplace(it.instance, began);
-    // One engine that never comes back must not freeze the roles for ever.
+    // An engine that never completes its change must not block all other
+    // changes.
     in_flight = in_flight || now - began < options_.stuck_timeout;
   }
   for (const auto& [instance, began] : changing_since_) {
@@ -102,7 +104,8 @@
     return FindTarget(targets, it.first) == nullptr;
   });
   for (const RoleTarget& it : targets) {
-    // The dwell counts from the end of a change, whoever ordered it.
+    // The dwell time starts at the end of a change, including those that
+    // another planner ordered.
     if (it.changing && changed_at_.size() < options_.max_targets) {
       changed_at_[it.instance] = now;
     }
@@ -116,8 +119,8 @@
   return share * (demand.prefill + demand.decode);
 }
 
-// Gains of several engines count per engine: where one alone shows no gain,
-// two may.
+// Considers changing several engines, because changing one alone may gain
+// nothing. The gain is counted per engine.
 RolePlanner::Move RolePlanner::BestOf(EngineRole from, EngineRole to,
                                       const RoleSpec& spec,
                                       const RoleCounts& counts,
@@ -165,7 +168,7 @@
     pending_since_ = now;
     last_ = change;
     last_at_ = now;
-    // The sums were about the roles as they have been.
+    // The accumulated losses apply to the previous roles.
     loss_ = {};
     return change;
   }
@@ -196,7 +199,7 @@
     }
     --CountOf(&after, from);
     ++CountOf(&after, to);
-    // A minimum that is missed anyway does not stand in the way of the other.
+    // A minimum that is not met anyway does not prevent meeting the other.
     const bool keeps_other =
         to == EngineRole::kPrefill
             ? after.decode >= std::min(spec.min_decode, counts.decode) &&
@@ -207,7 +210,8 @@
       return Order(Move{from, to, 0}, cause, 0, targets, spec, now);
     }
   }
-  // One engine is left for both kinds of work: it has to be mixed.
+  // No engine can be moved without leaving the other kind of work without one,
+  // so the engine becomes mixed.
   if (cause == RoleChangeCause::kMissing) {
     const EngineRole from =
         no_prefill ? EngineRole::kDecode : EngineRole::kPrefill;
@@ -239,8 +243,9 @@
       const Move move = BestOf(from, to, spec, counts, demand);
       double& loss =
           loss_[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)];
-      // Never below zero: a long time on the right side is no reason to be
-      // slow when the mix turns. And bounded above, for the way back.
+      // Not below zero, so that a long time without loss does not delay the
+      // reaction when the mix changes. Bounded above, so that the sum falls
+      // quickly when the mix changes back.
       loss = std::clamp(loss + (move.rate - noise) * step_s, 0.0, 2 * limit);
       if (loss > best_loss && move.rate > best.rate &&
           !Reverses(move, spec, now)) {
--- a/src/core/roles/role_planner.h
+++ b/src/core/roles/role_planner.h
@@ -16,91 +16,92 @@
 
 namespace indigolead {
 
-/// One engine as the planner sees it.
+/// State of one engine, as input to the planner.
 struct RoleTarget {
   std::string instance;
-  EngineRole role = EngineRole::kMixed;  ///< Last ordered.
-  bool serving = true;                   ///< Up and in the role ordered.
-  bool changing = false;  ///< A change ordered is not confirmed yet.
+  EngineRole role = EngineRole::kMixed;  ///< Role ordered last.
+  bool serving = true;                   ///< Up and in the ordered role.
+  bool changing = false;  ///< An ordered change is not confirmed yet.
   bool leaving = false;
 
   friend bool operator==(const RoleTarget&, const RoleTarget&) = default;
 };
 
-/// Why a role is changed.
+/// Reason for a role change.
 enum class RoleChangeCause {
-  kGain,     ///< The gain exceeds the weighted cost.
-  kMinimum,  ///< The specification asks for more engines in the role.
-  kMissing,  ///< No engine is left that prefills, or none that decodes.
+  kGain,     ///< The accumulated loss exceeds the weighted cost.
+  kMinimum,  ///< The specification requires more engines in the role.
+  kMissing,  ///< No engine prefills, or none decodes.
 };
 
-/// One role to change.
+/// Role change of one engine.
 struct RoleChange {
   std::string instance;
   EngineRole from = EngineRole::kMixed;
   EngineRole to = EngineRole::kMixed;
   RoleChangeCause cause = RoleChangeCause::kGain;
-  double gain_engine_s = 0;  ///< Work lost so far for want of the change.
-  double cost_engine_s = 0;  ///< Work lost, weighted by `role_change_cost`.
+  double gain_engine_s = 0;  ///< Work lost so far without the change.
+  double cost_engine_s = 0;  ///< Work lost by it, times `role_change_cost`.
 
   friend bool operator==(const RoleChange&, const RoleChange&) = default;
 };
 
-/// Decides which engine of one deployment changes its role, and when.
+/// Decides which engines of one deployment change their role, and when.
 ///
-/// Sizing the roles to the mix of the moment is easy and wrong: a change takes
-/// an engine away for seconds, and the mix has turned again when it is back;
-/// what is seen then is a fleet that is always changing and never serving. How
-/// long a mix will last is not known. So the planner sums up, for each possible
-/// change, the work that is lost by not having made it, less what it would have
-/// cost whenever the mix is the other way round; once the sum exceeds the
-/// engine-seconds that the change takes, weighted by `role_change_cost`, it is
-/// made. A swing that turns back in time costs nothing, and whatever the mix
-/// does, waiting has lost about as much as the change costs, and no more.
+/// Matching the roles to the current mix would fail: a change takes an engine
+/// out of service for seconds, and the mix may have changed again when the
+/// engine returns, so that engines would keep changing roles instead of
+/// serving. Since the duration of a mix is unknown, the planner accumulates,
+/// for each possible change, the work lost by not having made it, less the work
+/// that it would have cost while the mix favored the current roles. It makes
+/// the change once the sum exceeds the engine-seconds that the change takes,
+/// weighted by `role_change_cost`. Short swings of the mix thus cause no
+/// change, and waiting never loses much more than the cost of the change.
 ///
-/// Turning back waits for a dwell as well, and one change at a time bounds what
-/// a wrong one costs.
+/// Reversing a change additionally waits for a dwell time. Only one change is
+/// made at a time, which limits the cost of a wrong one.
 ///
-/// What is ordered and what is in change comes with each call, from the store
-/// and the sides. A controller that takes over in the middle of a change
-/// therefore sees it, and neither repeats nor forgets it.
+/// Ordered and unfinished changes are passed in with each call, as known to the
+/// store and the engines' sidecars. A controller that takes over during a
+/// change therefore neither repeats nor loses it.
 class RolePlanner {
  public:
   struct Options {
-    /// Averages of the demand: for the gain of a change, and for whether
-    /// quiet hours are to be broken.
+    /// Time constants of the averages of the demand: `fast` determines the gain
+    /// of a change, `slow` whether a change is allowed in quiet hours.
     Duration fast = std::chrono::seconds(15);
     Duration slow = std::chrono::seconds(60);
-    /// Demand to have seen before the first change.
+    /// Minimum observation of the demand before a change for its gain.
     Duration warm_up = std::chrono::seconds(30);
-    /// Time that a change takes an engine away, its drain included; the
-    /// average of those seen takes its place.
+    /// Initial estimate of the time for which a change takes an engine out of
+    /// service, including its drain. Updated from observed changes.
     Duration change_time = std::chrono::seconds(15);
-    /// Loss over cost above which a change is made.
+    /// Ratio of loss to cost above which a change is made.
     double hysteresis = 1.3;
-    /// Gain below this share of all engines is taken for an error of the
+    /// A gain below this share of all engines is within the error of the
     /// capacity model and counts against a change.
     double min_gain_share = 0.02;
-    /// Loss is counted for at most so long between two calls.
+    /// Maximum time between two calls for which loss is accumulated.
     Duration max_step = std::chrono::seconds(5);
-    /// Use of the engines up to which latency stays good: capacity is
-    /// sized for the demand over this.
+    /// Utilization of the engines up to which latency stays good. The capacity
+    /// is sized for the demand divided by this.
     double target_use = 0.85;
-    /// A change that is not ordered within this time is planned anew.
+    /// A returned change that is not ordered within this time is planned again.
     Duration order_timeout = std::chrono::seconds(15);
-    /// A change that lasts longer no longer holds up others.
+    /// A change that takes longer no longer blocks others.
     Duration stuck_timeout = std::chrono::minutes(3);
-    /// Share of the demand served below which even quiet hours are broken.
+    /// If less than this share of the demand is served, changes are made even
+    /// in quiet hours.
     double quiet_served_share = 0.5;
     std::uint32_t max_targets = 512;
   };
 
   explicit RolePlanner(const Options& options);
 
-  /// Records the tokens that arrived in `length` up to `now`.
+  /// Records the demand observed over the last `length`.
   void OnDemand(const TokenMix& mix, Duration length);
 
-  /// Sets what an engine does in a second, as reported.
+  /// Sets the reported rates of an engine.
   void SetRates(const EngineRates& rates) { rates_ = rates; }
 
   /// Returns the next change to order, if any. `hour` is the local hour of
@@ -110,11 +111,11 @@
                                  std::uint32_t hour, TimePoint now);
 
  private:
-  /// A step in the plane of role counts.
+  /// Change of one engine from one role to another.
   struct Move {
     EngineRole from = EngineRole::kMixed;
     EngineRole to = EngineRole::kMixed;
-    double rate = 0;  ///< Engine-seconds gained per second, for each step.
+    double rate = 0;  ///< Engine-seconds gained per second, per engine.
 
     friend bool operator==(const Move&, const Move&) = default;
   };
@@ -139,17 +140,17 @@
   Options options_;
   EngineRates rates_;
   double change_time_s_;
-  /// Work lost for want of each change, in engine-seconds, by roles.
+  /// Work lost without each change, in engine-seconds, by its old and new role.
   std::array<std::array<double, 3>, 3> loss_{};
   TimePoint planned_at_{};
   DemandAverage fast_;
   DemandAverage slow_;
-  /// Change returned last, until it shows in the orders.
+  /// Change returned last, until its order is visible in the targets.
   std::optional<RoleChange> pending_;
   TimePoint pending_since_{};
   std::optional<RoleChange> last_;
   TimePoint last_at_{};
-  /// Since when each engine has been in change; bounded by the targets given.
+  /// Start of the change of each changing engine; at most `max_targets`.
   std::map<std::string, TimePoint> changing_since_;
   std::map<std::string, TimePoint> changed_at_;
 };
--- a/tests/core/roles/role_planner_test.cc
+++ b/tests/core/roles/role_planner_test.cc
@@ -15,7 +15,7 @@
 constexpr TimePoint kStart{std::chrono::hours(1)};
 constexpr std::uint32_t kNoon = 12;
 
-// One engine prefills 1000 or decodes 100 tokens a second.
+// An engine prefills 1000 or decodes 100 tokens per second.
 constexpr EngineRates kRates{1000, 100, 0.85};
 
 std::vector<RoleTarget> Engines(int prefill, int decode, int mixed) {
@@ -41,7 +41,7 @@
   return spec;
 }
 
-/// Returns a mix that keeps so many engines of each kind busy.
+/// Returns a mix that keeps the given number of engines of each kind busy.
 TokenMix Mix(double prefill_engines, double decode_engines) {
   return TokenMix{prefill_engines * 1000, decode_engines * 100};
 }
@@ -55,7 +55,7 @@
   return planner;
 }
 
-/// Plans once a second for so long from `*now` on, and moves it along. Returns
+/// Plans once a second for `length` from `*now` on, advancing `*now`. Returns
 /// the first change, if any.
 std::optional<RoleChange> PlanOn(RolePlanner* planner, const RoleSpec& spec,
                                  const std::vector<RoleTarget>& targets,
@@ -77,8 +77,8 @@
   return PlanOn(planner, spec, targets, hour, &from, length);
 }
 
-TEST_CASE("Roles follow the token mix if the gain is worth the change") {
-  SECTION("decode is short") {
+TEST_CASE("Roles follow the token mix if the gain exceeds the cost") {
+  SECTION("too few decode engines") {
     RolePlanner planner = Planner(Mix(2, 8));
     const auto change = PlanFor(&planner, Automatic(), Engines(6, 4, 0), kNoon,
                                 kStart, seconds(600));
@@ -88,12 +88,12 @@
     CHECK(change->cause == RoleChangeCause::kGain);
     CHECK(change->gain_engine_s > change->cost_engine_s);
   }
-  SECTION("the sizes fit") {
+  SECTION("the roles match the mix") {
     RolePlanner planner = Planner(Mix(4, 4));
     CHECK_FALSE(PlanFor(&planner, Automatic(), Engines(5, 5, 0), kNoon, kStart,
                         seconds(600)));
   }
-  SECTION("there is little to do: nothing is worth a change") {
+  SECTION("low demand justifies no change") {
     RolePlanner planner = Planner(Mix(0.1, 1));
     CHECK_FALSE(PlanFor(&planner, Automatic(), Engines(5, 5, 0), kNoon, kStart,
                         seconds(600)));
@@ -103,7 +103,7 @@
     CHECK_FALSE(PlanFor(&planner, RoleSpec{}, Engines(6, 4, 0), kNoon, kStart,
                         seconds(600)));
   }
-  SECTION("no engine, or none that serves") {
+  SECTION("no engine, or no serving engine") {
     RolePlanner planner = Planner(Mix(2, 8));
     CHECK_FALSE(
         PlanFor(&planner, Automatic(), {}, kNoon, kStart, seconds(600)));
@@ -112,7 +112,7 @@
     CHECK_FALSE(
         PlanFor(&planner, Automatic(), down, kNoon, kStart, seconds(600)));
   }
-  SECTION("demand was not seen for long enough") {
+  SECTION("demand was not observed for long enough") {
     RolePlanner planner{RolePlanner::Options{}};
     planner.SetRates(kRates);
     planner.OnDemand(Mix(2, 8), seconds(5));
@@ -121,22 +121,22 @@
   }
 }
 
-TEST_CASE("Two profiles differ by declaration only") {
-  // Two engines too few for decode: a second engine-second is lost in each
-  // second. Cost with hysteresis: 19.5 engine-seconds, or 195.
+TEST_CASE("A higher role change cost only delays changes") {
+  // Decode lacks two engines; the lack of each loses about one engine-second
+  // per second. The cost with hysteresis is 19.5 engine-seconds, or 195.
   RolePlanner goodput = Planner(Mix(3, 8));
   RolePlanner few_changes = goodput;
   const auto engines = Engines(5, 5, 0);
   CHECK(PlanFor(&goodput, Automatic(1), engines, kNoon, kStart, seconds(60)));
   CHECK_FALSE(PlanFor(&few_changes, Automatic(10), engines, kNoon, kStart,
                       seconds(60)));
-  SECTION("a shortage that stays moves both in the end") {
+  SECTION("a lasting shortage changes roles even at the higher cost") {
     CHECK(PlanFor(&few_changes, Automatic(10), engines, kNoon,
                   kStart + seconds(61), seconds(600)));
   }
 }
 
-TEST_CASE("A swing that turns back in time changes no role") {
+TEST_CASE("A short swing of the mix changes no role") {
   RolePlanner planner = Planner(Mix(5, 5));
   const auto engines = Engines(5, 5, 0);
   TimePoint now = kStart;
@@ -150,11 +150,11 @@
   }
 }
 
-TEST_CASE("Quiet hours hold unless an outcome is at stake") {
+TEST_CASE("Quiet hours are kept unless much work is lost") {
   RoleSpec spec = Automatic();
   spec.quiet_from_hour = 18;
   spec.quiet_to_hour = 6;
-  SECTION("they span midnight") {
+  SECTION("they may span midnight") {
     CHECK(IsQuietHour(spec, 18));
     CHECK(IsQuietHour(spec, 0));
     CHECK(IsQuietHour(spec, 5));
@@ -162,18 +162,18 @@
     CHECK_FALSE(IsQuietHour(spec, 17));
     CHECK_FALSE(IsQuietHour(RoleSpec{}, 0));
   }
-  SECTION("a gain alone does not break them") {
+  SECTION("a gain alone causes no change") {
     RolePlanner planner = Planner(Mix(2, 6));
     CHECK_FALSE(
         PlanFor(&planner, spec, Engines(6, 4, 0), 19, kStart, seconds(600)));
     CHECK(
         PlanFor(&planner, spec, Engines(6, 4, 0), kNoon, kStart, seconds(600)));
   }
-  SECTION("losing more than half of the work does") {
+  SECTION("losing more than half of the work causes a change") {
     RolePlanner planner = Planner(Mix(1, 9));
     CHECK(PlanFor(&planner, spec, Engines(6, 4, 0), 19, kStart, seconds(600)));
   }
-  SECTION("having no engine for one kind of work does") {
+  SECTION("having no engine for one kind of work causes a change") {
     RolePlanner planner = Planner(Mix(0, 0));
     const auto change =
         PlanFor(&planner, spec, Engines(0, 3, 0), 19, kStart, seconds(600));
@@ -195,17 +195,19 @@
     return PlanFor(&planner, Automatic(), engines, kNoon, from, length);
   };
 
-  SECTION("while the order is not written yet") {
+  SECTION("no other while the order is not written yet") {
     CHECK_FALSE(next(now, seconds(14)));
-    SECTION("but one that never gets written is planned anew") {
+    SECTION("an order that is never written is planned again") {
       CHECK(next(now + seconds(15), seconds(60)));
     }
   }
   engines[0].role = EngineRole::kDecode;
   engines[0].serving = false;
   engines[0].changing = true;
-  SECTION("while the engine changes") { CHECK_FALSE(next(now, seconds(120))); }
-  SECTION("the next one follows once it is confirmed") {
+  SECTION("no other while the engine changes") {
+    CHECK_FALSE(next(now, seconds(120)));
+  }
+  SECTION("the next one follows after confirmation") {
     CHECK_FALSE(next(now, seconds(9)));
     engines[0].serving = true;
     engines[0].changing = false;
@@ -213,20 +215,20 @@
     REQUIRE(change.has_value());
     CHECK(change->instance == "engine-1");
   }
-  SECTION("an engine that crashes in change and is gone frees the place") {
+  SECTION("an engine that disappears during its change does not block others") {
     engines.erase(engines.begin());
     CHECK(next(now, seconds(60)));
   }
-  SECTION("one that never ends its change does not freeze the others") {
+  SECTION("a change that never ends does not block others for ever") {
     CHECK_FALSE(next(now, seconds(179)));
     CHECK(next(now + seconds(180), seconds(60)));
   }
 }
 
-// The controller dies after it ordered a change. Its successor starts with
-// empty averages and sees the order in the store and the engine in change. It
-// must not order the same change again, nor a second one beside it.
-TEST_CASE("A controller that takes over sees the change under way") {
+// Guards against a duplicate or second concurrent change when the controller
+// dies after ordering one. Its successor sees the order in the store and the
+// changing engine.
+TEST_CASE("A controller that takes over respects the change in progress") {
   RolePlanner before = Planner(Mix(2, 8));
   auto engines = Engines(6, 4, 0);
   TimePoint now = kStart;
@@ -245,7 +247,7 @@
   CHECK(next->instance != "engine-0");
 }
 
-TEST_CASE("Turning back waits for the dwell") {
+TEST_CASE("Reversing a change waits for the dwell time") {
   RolePlanner planner = Planner(Mix(2, 8));
   auto engines = Engines(6, 4, 0);
   TimePoint now = kStart;
@@ -262,7 +264,7 @@
   CHECK(now == changed + seconds(60));
 }
 
-TEST_CASE("Declared minima are brought about one by one") {
+TEST_CASE("Declared minima are reached one change at a time") {
   RoleSpec spec = Automatic(10);
   spec.min_prefill = 2;
   spec.min_decode = 1;
