--- a/src/core/admission/named_limits.h
+++ b/src/core/admission/named_limits.h
@@ -36,7 +36,8 @@
 /// Not thread-safe. Uses one record per target with a limit.
 class NamedLimits {
  public:
-  /// After `max_unnamed` consecutive answers without a limit, the limit ends.
+  /// A limit ends after `max_unnamed` consecutive answers without it, each to a
+  /// request that the target ran.
   explicit NamedLimits(std::uint32_t max_unnamed = 2)
       : max_unnamed_(max_unnamed) {}
 
--- a/src/core/admission/target_rests.h
+++ b/src/core/admission/target_rests.h
@@ -10,27 +10,26 @@
 
 namespace indigolead {
 
-/// Stores which targets have asked this entry to send no requests, and until
-/// when.
+/// Stores the cooldown that each target has requested from this entry, during
+/// which the entry sends it no requests.
 ///
 /// A target that rejects a request may state how long it will reject further
-/// ones. Requests sent during that time would be rejected too, and each would
+/// ones. Requests sent during that time would also be rejected, and each would
 /// cost its caller an attempt while other targets have capacity.
 ///
-/// Such a period applies to this entry only and ends with the target's process.
+/// A cooldown applies to this entry only and ends with the target's process.
 ///
-/// Not thread-safe. Uses one record per such target.
+/// Not thread-safe. Uses one record per target with a cooldown.
 class TargetRests {
  public:
-  /// Maximum duration that is accepted; limits the effect of an erroneous
-  /// header.
+  /// Maximum length of a cooldown; limits the effect of an erroneous header.
   static constexpr Duration kLongestRest = std::chrono::hours(1);
 
-  /// Records that `target` asks for no requests for `length` from `now`. Does
-  /// not shorten an earlier, longer period. Returns the remaining time.
+  /// Records that `target` requests a cooldown of `length` from `now`. Does not
+  /// shorten a cooldown that ends later. Returns the remaining time.
   Duration OnAsked(const std::string& target, Duration length, TimePoint now);
 
-  /// Removes the record of `target`. Called when the target's process has
+  /// Removes the cooldown of `target`. Called when the target's process has
   /// ended.
   void Forget(const std::string& target) { ends_.erase(target); }
 
@@ -38,10 +37,10 @@
   /// now.
   Duration WaitFor(const std::string& target, TimePoint now) const;
 
-  /// Removes the periods that have ended. Returns their targets.
+  /// Removes the cooldowns that have ended. Returns their targets.
   std::vector<std::string> Tick(TimePoint now);
 
-  /// Returns the number of records.
+  /// Returns the number of cooldowns that are not removed.
   std::size_t size() const { return ends_.size(); }
 
  private:
--- a/tests/core/admission/shared_rate_limits_test.cc
+++ b/tests/core/admission/shared_rate_limits_test.cc
@@ -369,8 +369,8 @@
           fleet.LoseStore(milliseconds(random() % 8000));
       }
     }
-    INFO("world " << seed << ": " << entries << " entries at first, "
-                  << fleet.size() << " at last, limit " << limit);
+    INFO("seed " << seed << ": " << entries << " entries at first, "
+                 << fleet.size() << " at last, limit " << limit);
     CHECK(fleet.Most() <= testing::MostAllowed(limit));
     broken += fleet.Most() <= testing::MostAllowed(limit) ? 0 : 1;
   }
