--- a/src/core/admission/retry_budget.h
+++ b/src/core/admission/retry_budget.h
@@ -10,7 +10,7 @@
 
 /// Limits retries and hedges of one deployment to a share of its traffic.
 ///
-/// When a failure domain is lost, many attempts fail at once. If each were
+/// When a failure domain is lost, all attempts there fail at once. If each were
 /// retried up to a limit of its own, fewer targets would receive a multiple of
 /// the load, and the outage would outlast its cause. Limiting retries to a
 /// share of the first attempts bounds that multiple for any number of callers.
