--- a/src/core/control/audit.cc
+++ b/src/core/control/audit.cc
@@ -24,7 +24,7 @@
                "expected one audit record as JSON, saw: " + detail};
 }
 
-// Time of the newest record of a segment; 0 if it has none.
+// Returns the time of the newest record in a segment, or 0 if it is empty.
 WallMicros NewestIn(const std::string& segment) {
   WallMicros newest = 0;
   for (const AuditRecord& record : ReadAuditSegment(segment, 0).records) {
@@ -162,8 +162,8 @@
     const std::string& line = waiting_.front();
     const bool full = text_.size() + line.size() > options_.max_segment_bytes;
     if (full && !text_.empty()) {
-      // A full segment stays until it was written; only then is the oldest one
-      // of the ring written over.
+      // A full segment is kept until it has been written. Only then the oldest
+      // segment of the ring is overwritten.
       if (dirty_ || in_flight_) {
         return;
       }
--- a/src/core/control/audit.h
+++ b/src/core/control/audit.h
@@ -15,7 +15,7 @@
 
 namespace indigolead {
 
-/// What was changed.
+/// Kind of an audited change.
 enum class AuditKind {
   kEdit,
   kOrder,
@@ -31,13 +31,13 @@
 /// Returns the kind with this name, or nothing.
 std::optional<AuditKind> AuditKindFromName(std::string_view name);
 
-/// One accepted change.
+/// Audit record of one accepted change.
 struct AuditRecord {
   AuditKind kind = AuditKind::kEdit;
-  std::string subject;  ///< What was changed: a deployment, a target.
+  std::string subject;  ///< Changed object: a deployment or a target.
   std::string cause;
   std::string actor;  ///< Operator or entry that made the change.
-  FencingNumber fencing_number = 0;  ///< 0: needed no authority.
+  FencingNumber fencing_number = 0;  ///< 0 if no authority was needed.
   std::string before;
   std::string after;
   WallMicros at = 0;
@@ -48,26 +48,29 @@
 /// Returns `record` as one line of JSON, without the line feed.
 std::string EncodeAuditRecord(const AuditRecord& record);
 
-/// Returns the record in one line of JSON.
+/// Decodes a record from one line of JSON.
 Result<AuditRecord> DecodeAuditRecord(std::string_view line);
 
-/// Returns the records of one segment at or after `since`, oldest first.
-/// Lines that cannot be read are counted in `bad_lines`, not hidden.
+/// Records of one segment, oldest first. Unreadable lines are counted in
+/// `bad_lines`.
 struct AuditSegment {
   std::vector<AuditRecord> records;
   std::size_t bad_lines = 0;
 };
+/// Returns the records of a segment at or after `since`.
 AuditSegment ReadAuditSegment(std::string_view text, WallMicros since);
 
-/// Returns the key of an entry's segment: "audit/ENTRY-SLOT". Segments form a
-/// ring per entry, so that the trail is bounded and no two entries write to
-/// one object.
+/// Returns the key of an entry's segment: "audit/ENTRY-SLOT". Each entry has a
+/// ring of segments, so that the trail is bounded and no two entries write to
+/// the same object.
 std::string AuditSegmentKey(const std::string& entry, std::size_t slot);
 
-/// Gathers records into segments and says when which object is to be written.
+/// Collects audit records into segments and schedules their writes to the
+/// store.
 ///
 /// Each segment is written whole, so a lost or repeated write does no harm.
-/// Writes are spaced out: an audit trail must not use up the store's calls.
+/// Writes are spaced out, so that the audit trail does not use up the store's
+/// call budget.
 class AuditTrail {
  public:
   struct Options {
@@ -78,7 +81,8 @@
     Duration write_interval = std::chrono::seconds(2);
   };
 
-  /// Write `value` to `key`, whatever is there; answer with `OnWritten`.
+  /// Requests an unconditional write of `value` to `key`; answered by
+  /// `OnWritten`.
   struct Write {
     std::string key;
     std::string value;
@@ -87,18 +91,18 @@
 
   explicit AuditTrail(Options options);
 
-  /// Starts after the newest segment that the store holds. Before this call
-  /// records wait, so that a restart does not write over the trail.
+  /// Continues in the newest segment that the store holds. Records wait until
+  /// this call, so that a restart does not overwrite the trail.
   void OnLoaded(const std::vector<std::string>& segments);
 
-  /// Appends a record. Returns false if it was dropped because too many wait
-  /// while the store is away; the logs still have it.
+  /// Appends a record. Returns false if it was dropped because too many records
+  /// wait while the store is unavailable; the log still contains it.
   bool Append(const AuditRecord& record);
 
   /// Returns the write that is due, if any.
   std::optional<Write> Tick(TimePoint now);
 
-  /// The last write was answered.
+  /// Takes in the answer to the last write.
   void OnWritten(bool ok);
 
   std::uint64_t dropped() const { return dropped_; }
--- a/src/core/control/lease.cc
+++ b/src/core/control/lease.cc
@@ -16,8 +16,8 @@
                "expected a lease as JSON, saw: " + std::move(detail)};
 }
 
-// Constructs in place: g++ 12 takes the unused members of a temporary variant
-// for uninitialised reads.
+// Constructs in place: g++ 12 warns of uninitialised reads for the unused
+// members of a temporary variant.
 template <typename T>
 void Append(Lease::Actions* actions, T action) {
   actions->emplace_back(std::in_place_type<T>, std::move(action));
@@ -48,7 +48,7 @@
         Id128FromHex(parsed.at("incarnation").get<std::string>());
     const auto nonce = Id128FromHex(parsed.at("nonce").get<std::string>());
     if (!incarnation || !nonce) {
-      return Malformed("an id that is not 32 hexadecimal digits");
+      return Malformed("an ID that is not 32 hexadecimal digits");
     }
     LeaseRecord record;
     record.holder = parsed.at("holder").get<std::string>();
@@ -59,7 +59,7 @@
         milliseconds(parsed.at("duration_ms").get<std::int64_t>());
     parsed.at("earlier").get_to(record.earlier);
     if (record.earlier.size() > kMaxEarlierNumbers) {
-      return Malformed("too many earlier numbers");
+      return Malformed("too many earlier fencing numbers");
     }
     if (record.fencing_number == 0) {
       record.fencing_number = version;
@@ -107,7 +107,8 @@
 
 void Lease::SetReserve(bool reserve) {
   if (reserve_ && !reserve) {
-    next_read_ = TimePoint{};  // Due now: a standby's knowledge is young.
+    next_read_ =
+        TimePoint{};  // Read now: a standby needs a recent view of the lease.
   }
   reserve_ = reserve;
 }
@@ -127,8 +128,9 @@
     read_sent_at_.reset();
   }
   MaybeWrite(now, &actions);
-  // A write of unknown effect is settled by a read before the next one, so
-  // that this process never takes its own lost success for another's lease.
+  // A write with unknown outcome is settled by a read before the next write.
+  // Otherwise this process could mistake its own successful write for another
+  // holder's lease.
   const bool settle = write_ && write_->effect_unknown;
   const bool refresh = !held_ && now >= next_read_;
   if (settle || suspended_ || !seen_at_ || refresh) {
@@ -150,7 +152,8 @@
   if (!SettledByNonce(view, now, &actions) && write_ &&
       write_->effect_unknown) {
     if (view.version > write_->expected) {
-      // Another write took the expected version: ours can never land now.
+      // Another write used up the expected version, so ours can no longer take
+      // effect.
       write_.reset();
     } else {
       write_->may_repeat = true;
@@ -184,8 +187,8 @@
     write_.reset();
     next_renewal_ = now + Spread(options_.guard);
   } else {
-    // An earlier copy, or this one, may have taken effect; also a conflict
-    // may be with an earlier copy. The nonce in the object tells.
+    // This copy or an earlier one may have taken effect; even a conflict may be
+    // with an earlier copy. The nonce in the object shows which write won.
     write_->effect_unknown = true;
     StartRead(now, &actions);
   }
@@ -216,7 +219,8 @@
 }
 
 std::optional<FencingNumber> Lease::Authority(TimePoint now) const {
-  // A process that slept has a late clock here even if no event told it yet.
+  // After a pause the clock has advanced past the limit, even if no event has
+  // been handled yet.
   const bool paused = last_event_ && now - *last_event_ > options_.pause_limit;
   if (!held_ || suspended_ || paused || now >= held_until_) {
     return std::nullopt;
@@ -225,8 +229,8 @@
 }
 
 void Lease::Observe(const LeaseView& view, TimePoint now, Actions* actions) {
-  // A stale read shows an older version; it must not bring back an authority
-  // or restart the wait of a taker.
+  // A stale read shows an older version. It must not restore authority or
+  // restart a contender's wait.
   if (seen_at_ && view.version < seen_.version) {
     return;
   }
@@ -248,8 +252,8 @@
   if (!paused) {
     return;
   }
-  // While this process slept another may have seen no change for long enough
-  // and taken over; what it knows of the lease is worth nothing until read.
+  // During the pause another entry may have seen no change for long enough and
+  // taken the lease. The known state is not used until the store has been read.
   read_sent_at_.reset();
   suspended_ = true;
   NoticeEnd(now, actions);
@@ -334,7 +338,8 @@
 
 void Lease::MaybeWrite(TimePoint now, Actions* actions) {
   if (write_ && write_->effect_unknown && write_->may_repeat) {
-    // Both copies have one condition and one nonce: at most one takes effect.
+    // Both copies have the same expected version and nonce, so at most one
+    // takes effect.
     write_->effect_unknown = false;
     write_->may_repeat = false;
     write_->last_sent_at = now;
@@ -362,9 +367,10 @@
   const Duration lapse =
       free ? Duration{0} : seen_.record->duration + options_.guard;
   const Duration wait = lapse + take_delay_ + patience;
-  // A store that was away lets its holder's lease lapse, and without this
-  // nobody could act for a whole duration after its return. What lapsed was
-  // this very process's, which knows that it acts under that number no more.
+  // When the store is unavailable for long, the holder's lease lapses. Without
+  // this case nobody could act for another full duration after the store
+  // returns. The lapsed lease is this process's own, and the process knows that
+  // it no longer acts under that number.
   if (IsOwnLapsed() && now >= next_take_) {
     next_take_ = now + Spread(options_.take_interval);
     StartWrite(options_.holder, 0, now, actions);
--- a/src/core/control/lease.h
+++ b/src/core/control/lease.h
@@ -17,41 +17,43 @@
 
 /// Value of the `control/lease` object.
 struct LeaseRecord {
-  std::string holder;  ///< Instance name of an entry; empty after a resign.
+  std::string
+      holder;  ///< Instance name of an entry; empty after a resignation.
   Incarnation incarnation;
   FencingNumber fencing_number = 0;
-  Id128 nonce;  ///< New with each write; recognises one whose answer was lost.
+  Id128 nonce;  ///< Unique per write; identifies one whose answer was lost.
   Duration duration{};
-  /// Numbers of the last `kMaxEarlierNumbers` holders before, oldest first.
-  /// They tell whether an order was written while its number was in force.
+  /// Fencing numbers of up to `kMaxEarlierNumbers` previous holders, oldest
+  /// first. They show whether an order was written while its number was valid.
   std::vector<FencingNumber> earlier;
 
   friend bool operator==(const LeaseRecord&, const LeaseRecord&) = default;
 };
 
-/// Bounds the value of `control/lease`.
+/// Limits the size of the `control/lease` value.
 inline constexpr std::size_t kMaxEarlierNumbers = 16;
 
-/// Returns true if something written under `number` at store version `version`
-/// was written before the holder of `number` lost the lease to another, as far
-/// as `newest`, the newest lease known, tells.
+/// Returns true if an object written under `number` at store version `version`
+/// was written before the holder of `number` lost the lease to another holder,
+/// judged by `newest`, the newest lease known.
 ///
-/// A paused holder's write can land after another took the lease, because its
-/// condition names the written object's version and not the lease's. A lease's
-/// number is the store version that won it, so the two can be compared: the
-/// write is void if the next holder's number is below the write's version.
+/// A paused holder's write can land after another holder took the lease,
+/// because the write is conditional on the version of the written object and
+/// not on that of the lease. A fencing number is the store version of the write
+/// that took the lease, so the two are comparable: the write is void if the
+/// next holder's number is below the write's version.
 bool WasInForce(FencingNumber number, std::uint64_t version,
                 const LeaseRecord& newest);
 
-/// Returns `record` as JSON. A fencing number of 0 stands for "the version
-/// that this very write gets": a winner cannot know it beforehand.
+/// Returns `record` as JSON. A fencing number of 0 stands for the version that
+/// this write gets, which the writer cannot know in advance.
 std::string EncodeLease(const LeaseRecord& record);
 
-/// Returns the lease in `json`, read at store version `version`; a number of 0
-/// is filled in with that version.
+/// Decodes a lease that was read at store version `version`. A fencing number
+/// of 0 is replaced by that version.
 Result<LeaseRecord> DecodeLease(std::string_view json, std::uint64_t version);
 
-/// Lease as read from the store; no record if the object does not exist.
+/// Lease as read from the store; has no record if the object does not exist.
 struct LeaseView {
   std::optional<LeaseRecord> record;
   std::uint64_t version = 0;
@@ -59,7 +61,7 @@
   friend bool operator==(const LeaseView&, const LeaseView&) = default;
 };
 
-/// Says why a holder's authority ended.
+/// Reason for which a holder's authority ended.
 enum class LeaseLoss { kLapsed, kPaused, kTaken, kResigned };
 
 /// Returns the lower-case name of `loss`.
@@ -67,14 +69,15 @@
 
 /// Decides when to take, renew and give up the control lease.
 ///
-/// Exactly one entry may give orders. Clocks of two machines are never
+/// Only one entry may give orders at a time. Clocks of two machines are never
 /// compared: the holder counts the duration from *before* it sent its last
-/// successful write, a taker from *after* it saw the last change. So the
-/// holder's authority always ends first, by at least the guard on both sides,
-/// as long as the two clocks run at the same rate to within that guard.
+/// successful write, a contender from *after* it saw the last change. So the
+/// holder's authority always ends first, with a margin of one guard on either
+/// side, as long as the two clocks run at the same rate to within that guard.
 ///
-/// Events go in with the time at which they were observed; actions come out.
-/// At most one read and one write are in flight.
+/// The caller passes in events with the time at which they were observed and
+/// carries out the returned actions. At most one read and one write are in
+/// flight.
 class Lease {
  public:
   struct Options {
@@ -82,47 +85,49 @@
     Incarnation incarnation;
     Duration duration = std::chrono::seconds(6);
     Duration renew_interval = std::chrono::seconds(2);
-    /// Taken off the duration by the holder and added to it by a taker.
+    /// Safety margin: subtracted from the duration by the holder and added to
+    /// it by a contender.
     Duration guard = std::chrono::milliseconds(600);
-    /// A gap between two events longer than this is a pause of the process.
+    /// A longer gap between two events counts as a pause of the process.
     Duration pause_limit = std::chrono::seconds(2);
-    /// Time between reads by one that does not hold the lease. A watch tells
-    /// earlier, and a take is conditional, so this only heals a broken watch.
+    /// Interval between reads of an entry that does not hold the lease. A watch
+    /// usually reports changes earlier and a take is conditional, so these
+    /// reads only make up for a broken watch.
     Duration read_interval = std::chrono::seconds(30);
-    /// The same, and how much longer a lease must stay unchanged before it is
-    /// taken, for one that is a reserve. Longer than two of its reads: one read
-    /// shows a renewal of long ago as new, and only a second one of the same
-    /// version shows that its holder is gone. Without that, each reserve takes
-    /// every lease for lapsed between two reads and makes a write a second
-    /// that conflicts.
+    /// Read interval of a reserve, and the extra time for which a lease must
+    /// stay unchanged before a reserve takes it. The extra time is longer than
+    /// two read intervals: a single read may show an old renewal as new, and
+    /// only a second read of the same version shows that the holder is gone.
+    /// Without it, each reserve takes every lease for lapsed between two reads
+    /// and sends one conflicting write per second.
     Duration reserve_read_interval = std::chrono::seconds(15);
     Duration reserve_patience = std::chrono::seconds(32);
-    /// Takers spread their tries over this time, so that one of them wins and
-    /// the others hear of it before they try.
+    /// Contenders delay their attempts randomly within this time, so that one
+    /// wins and the others see it before they try.
     Duration take_spread = std::chrono::seconds(1);
-    /// Least time between two tries to take the lease.
+    /// Minimum time between two attempts to take the lease.
     Duration take_interval = std::chrono::seconds(1);
-    /// A call unanswered for longer is taken for lost.
+    /// A call without an answer for longer is treated as lost.
     Duration call_timeout = std::chrono::seconds(3);
   };
 
-  /// Read `control/lease`, answer with `OnRead`.
+  /// Requests a read of `control/lease`; answered by `OnRead`.
   struct Read {
     friend bool operator==(const Read&, const Read&) = default;
   };
-  /// Write `record` if the object's version is `expected`; answer with
-  /// `OnWritten`.
+  /// Requests a write of `record` if the object version is `expected`; answered
+  /// by `OnWritten`.
   struct Write {
     LeaseRecord record;
     std::uint64_t expected = 0;
     friend bool operator==(const Write&, const Write&) = default;
   };
-  /// Authority under `number` began.
+  /// Reports that authority under `number` began.
   struct Gained {
     FencingNumber number = 0;
     friend bool operator==(const Gained&, const Gained&) = default;
   };
-  /// Authority under `number` ended.
+  /// Reports that authority under `number` ended.
   struct Lost {
     FencingNumber number = 0;
     LeaseLoss reason = LeaseLoss::kLapsed;
@@ -131,43 +136,46 @@
   using Action = std::variant<Read, Write, Gained, Lost>;
   using Actions = std::vector<Action>;
 
-  /// Returns a number in [0, 1); spreads the tries of several takers.
+  /// Returns a number in [0, 1) that spreads the attempts of several
+  /// contenders.
   using Jitter = std::function<double()>;
 
   Lease(Options options, IdSource ids, Jitter jitter);
 
-  /// Makes this process one of many reserves, which look at the lease seldom
-  /// and take it only if the standbys have all failed, or a standby, which
-  /// replaces a lost holder within seconds. A standby at first.
+  /// Makes this process a reserve or a standby. A standby, the default,
+  /// replaces a lost holder within seconds. A reserve reads the lease seldom
+  /// and takes it only if all standbys have failed.
   void SetReserve(bool reserve);
 
-  /// Drives timers; call several times per `pause_limit`.
+  /// Runs the timers; must be called several times per `pause_limit`.
   Actions Tick(TimePoint now);
 
-  /// A read was answered.
+  /// Takes in the answer to a read.
   Actions OnRead(const Result<LeaseView>& answer, TimePoint now);
 
-  /// The write with `nonce` was answered: the new version, or an error.
+  /// Takes in the answer to the write with `nonce`: the new version or an
+  /// error.
   Actions OnWritten(const Id128& nonce, const Result<std::uint64_t>& answer,
                     TimePoint now);
 
-  /// A watch reported the lease.
+  /// Takes in a lease reported by a watch.
   Actions OnWatched(const LeaseView& view, TimePoint now);
 
-  /// Gives the lease up so that another entry need not wait for its end. Call
-  /// again until `newest` no longer names this holder: a renewal in flight goes
-  /// first.
+  /// Gives up the lease, so that another entry need not wait until it lapses.
+  /// Must be called again until `newest` no longer names this holder, because a
+  /// renewal in flight completes first.
   Actions Resign(TimePoint now);
 
-  /// Returns the number to give orders under, or nothing. `now` must be read
-  /// from the clock immediately before the act that needs the authority: a
-  /// process that slept between the decision and the act gets nothing.
+  /// Returns the fencing number under which orders may be given, or nothing.
+  /// `now` must be read from the clock immediately before the action that needs
+  /// the authority, so that a process that was paused between decision and
+  /// action gets nothing.
   std::optional<FencingNumber> Authority(TimePoint now) const;
 
   /// Returns true if the next read must show the newest state: it settles a
-  /// write, ends a pause, or is the first of a standby. Otherwise it only
-  /// watches another holder; a late view makes a taker wait longer, and taking
-  /// is conditional.
+  /// write, ends a pause, or is the first one of a standby. Other reads only
+  /// observe another holder's lease. An outdated view then makes a contender
+  /// wait longer, and a take is conditional anyway.
   bool needs_newest() const {
     return write_.has_value() || suspended_ || (!seen_at_ && !reserve_);
   }
@@ -181,12 +189,12 @@
   struct PendingWrite {
     LeaseRecord record;
     std::uint64_t expected = 0;
-    /// When the first copy was sent. Authority counts from here even after a
-    /// repeat, because it may be the first copy that took effect.
+    /// Time at which the first copy was sent. Authority counts from here even
+    /// after a repeat, because the first copy may be the one that took effect.
     TimePoint first_sent_at;
     TimePoint last_sent_at;
     bool effect_unknown = false;
-    /// A read after the loss of the answer showed no effect as yet.
+    /// A read after the answer was lost showed no effect yet.
     bool may_repeat = false;
   };
 
@@ -215,7 +223,7 @@
 
   LeaseView seen_;
   std::optional<TimePoint> seen_at_;
-  /// When `seen_` last became another version, in this process's clock.
+  /// Time, by the local clock, at which `seen_` last changed its version.
   TimePoint changed_at_;
 
   std::optional<FencingNumber> held_;
@@ -224,7 +232,8 @@
   TimePoint next_read_;
   TimePoint next_take_;
   Duration take_delay_{};
-  /// Set after a pause: nothing is believed until the store was read again.
+  /// Set after a pause; the known state is not used until the store has been
+  /// read again.
   bool suspended_ = false;
   bool resigned_ = false;
   bool reserve_ = false;
--- a/src/core/control/order_executor.cc
+++ b/src/core/control/order_executor.cc
@@ -22,8 +22,9 @@
 void OrderExecutor::OnNumber(FencingNumber number, TimePoint now) {
   number_known_ = true;
   newest_ = std::max(newest_, number);
-  // An order that was not written yet dies with its number. One that may have
-  // been written is watched to its end: the engine cannot be told to forget it.
+  // An order that has not been written ends with its fencing number. One that
+  // may have been written is followed to its end, because the engine cannot
+  // cancel it.
   const bool stale = current_ && current_->fencing_number < newest_;
   if (stale && step_ != Step::kIdle && !WriteMayBeUnderWay()) {
     Finish(OrderPhase::kRefusedStale, "a newer fencing number is in force",
@@ -33,8 +34,9 @@
 
 void OrderExecutor::OnOrder(const SideOrder& order, TimePoint now) {
   if (!number_known_) {
-    // A restarted side knows nothing: this may be an old order, repeated by an
-    // entry that was cut off. No answer, so that it is sent again.
+    // After a restart no fencing number is known, so this may be an old order
+    // repeated by a disconnected entry. It is not answered, so that it is sent
+    // again.
     return;
   }
   if (order.fencing_number < newest_) {
@@ -48,8 +50,8 @@
   if (latest && latest->generation == order.generation &&
       SameSetup(latest->setup, order.setup) &&
       latest->out_of_service == order.out_of_service) {
-    // The same desired state under a newer number: only the number is new.
-    // A write under way keeps its own, which the engine already has.
+    // Only the fencing number is new. A write in progress keeps its own number,
+    // which the engine already has.
     latest->fencing_number = order.fencing_number;
     if (!next_ && report_) {
       Report(report_->phase, report_->detail);
@@ -58,7 +60,7 @@
   }
   if (latest && order.generation < latest->generation &&
       order.fencing_number == latest->fencing_number) {
-    return;  // A late copy of an order that was superseded.
+    return;  // A late copy of a superseded order.
   }
   if (WriteMayBeUnderWay()) {
     next_ = order;
@@ -108,7 +110,7 @@
     return;
   }
   confirm_sent_.reset();
-  // An answer below what is known came from a stale read: it proves nothing.
+  // An answer below the known number comes from a stale read.
   if (!number || *number < newest_ ||
       now - asked_at >= options_.authority_window) {
     Postpone(now);
@@ -129,13 +131,15 @@
   Write(now);
 }
 
-// Without the store roles freeze; serving goes on, so the gate opens again.
+// While the store is unavailable no order is applied, but the target keeps
+// serving, so the gate opens again.
 void OrderExecutor::Postpone(TimePoint now) {
   confirm_sent_.reset();
   SetGate(true);
   EnterStep(Step::kConfirm, now);
   confirm_not_before_ = now + options_.confirm_retry;
-  Report(OrderPhase::kAccepted, "waits for the store to confirm its number");
+  Report(OrderPhase::kAccepted,
+         "waiting for the store to confirm the fencing number");
 }
 
 void OrderExecutor::StartDrain(TimePoint now) {
@@ -152,8 +156,9 @@
       (!engine_ready && !current_->out_of_service)) {
     if (now - step_since_ >= options_.drain_timeout) {
       Finish(OrderPhase::kFailed,
-             engine_ready ? "its attempts did not end in time"
-                          : "the engine is down or does not end a change",
+             engine_ready
+                 ? "running attempts did not end before the drain timeout"
+                 : "the engine is down or still changing at the drain timeout",
              now);
     }
     return;
@@ -162,8 +167,8 @@
     Finish(OrderPhase::kInForce, "out of service", now);
     return;
   }
-  // Only what was confirmed this very moment may be written; while attempts
-  // ended the lease may have moved on.
+  // Writes at once only if the number was just confirmed. The lease may have
+  // moved while the attempts ended.
   if (now == step_since_ && now - confirmed_at_ < options_.authority_window) {
     Write(now);
     return;
@@ -198,7 +203,7 @@
       return;
     case OrderWriteResult::kBusy:
     case OrderWriteResult::kNotWritten:
-      --writes_;  // Without effect, so it does not count as a try.
+      --writes_;  // No effect, so it does not count as a try.
       TryAgain(detail, now);
       return;
     case OrderWriteResult::kUnknown:
@@ -211,7 +216,7 @@
 void OrderExecutor::OnReading(const EngineReading& reading, TimePoint now) {
   reading_ = reading;
   const bool watching = step_ == Step::kWatch || step_ == Step::kSettle;
-  // A reading asked for before the write says nothing about its effect.
+  // A reading requested before the write does not show its effect.
   if (watching && reading.asked_at > written_at_) {
     JudgeReading(reading, now);
   }
@@ -226,17 +231,19 @@
     return;
   }
   if (reading.boot_id != boot_at_write_) {
-    TryAgain("the engine restarted in the middle of the change", now);
+    TryAgain("the engine restarted during the change", now);
     return;
   }
   if (step_ == Step::kWatch) {
-    TryAgain("the engine ended the change as something else", now);
+    TryAgain(
+        "the engine ended the change in a state other than the ordered one",
+        now);
     return;
   }
-  // The write broke and has not shown. Until it can no longer arrive nothing
-  // else is written: it could land after a newer order.
+  // The write broke off and shows no effect. Nothing else is written until it
+  // can no longer arrive, because it could land after a newer order.
   if (now - step_since_ >= options_.settle_time) {
-    TryAgain("the write did not arrive", now);
+    TryAgain("the write did not reach the engine", now);
   }
 }
 
@@ -249,19 +256,20 @@
     Finish(OrderPhase::kFailed, why, now);
     return;
   }
-  // The gate stays shut: what the engine is now, nobody asked for.
+  // The gate stays closed, because the engine is in a state that no order
+  // requested.
   EnterStep(Step::kDrain, now);
   write_not_before_ = now + options_.write_pause;
   confirmed_at_ = {};
-  Report(OrderPhase::kApplying, "again: " + why);
+  Report(OrderPhase::kApplying, "trying again: " + why);
 }
 
 void OrderExecutor::Finish(OrderPhase phase, const std::string& detail,
                            TimePoint now) {
   EnterStep(Step::kIdle, now);
   Report(phase, detail);
-  // An engine that failed its change still serves what it holds; the entries
-  // see its model and role and choose by them.
+  // An engine whose change failed still serves what it has loaded. The entries
+  // see its model and role and route accordingly.
   SetGate(!(current_->out_of_service && phase == OrderPhase::kInForce));
   BeginNext(now);
 }
@@ -286,7 +294,8 @@
     case Step::kWatch:
     case Step::kSettle:
       if (now - step_since_ >= options_.change_timeout) {
-        Finish(OrderPhase::kFailed, "the engine did not end the change", now);
+        Finish(OrderPhase::kFailed,
+               "the engine did not finish the change in time", now);
       } else if (now >= next_read_) {
         next_read_ = now + options_.read_interval;
         hooks_.read_state();
--- a/src/core/control/order_executor.h
+++ b/src/core/control/order_executor.h
@@ -13,7 +13,7 @@
 
 namespace indigolead {
 
-/// What an engine runs, in the engine's own words.
+/// Role, model and adapters of an engine, as the engine names them.
 struct EngineSetup {
   std::string role;
   std::string model;
@@ -23,90 +23,94 @@
   friend bool operator==(const EngineSetup&, const EngineSetup&) = default;
 };
 
-/// Returns true if two setups are the same, whatever the adapters' order.
+/// Returns true if two setups are equal, regardless of the order of adapters.
 bool SameSetup(const EngineSetup& a, const EngineSetup& b);
 
-/// Order for one target, as its side receives it.
+/// Order for one target, as received by the target's side.
 struct SideOrder {
   FencingNumber fencing_number = 0;
   std::uint64_t generation = 0;
   EngineSetup setup;
-  bool out_of_service = false;  ///< The target is to take no work.
+  bool out_of_service = false;  ///< The target must take no work.
 
   friend bool operator==(const SideOrder&, const SideOrder&) = default;
 };
 
-/// One reading of an engine's state.
+/// Observed state of an engine.
 struct EngineReading {
   std::string boot_id;
   EngineSetup setup;
   std::uint64_t generation = 0;
   bool changing = false;
   bool reachable = true;
-  TimePoint asked_at;  ///< When the engine was asked, before its answer.
+  TimePoint asked_at;  ///< Time of the request, before the answer.
 
   friend bool operator==(const EngineReading&, const EngineReading&) = default;
 };
 
-/// How the write of an order to an engine ended.
+/// Outcome of writing an order to an engine.
 enum class OrderWriteResult {
-  kTaken,       ///< The engine took it and changes now.
+  kTaken,       ///< The engine accepted it and starts the change.
   kStale,       ///< The engine knows a newer fencing number.
-  kBusy,        ///< A change is under way at the engine.
-  kRejected,    ///< The engine will not do it.
+  kBusy,        ///< The engine is already changing.
+  kRejected,    ///< The engine refused the order.
   kNotWritten,  ///< No byte was written; no effect.
-  kUnknown,     ///< Broke after the first byte.
+  kUnknown,     ///< The connection broke after the first byte.
 };
 
-/// Carries out orders at one engine, one at a time.
+/// Applies orders to one engine, one at a time.
 ///
-/// Not every engine refuses an old fencing number, and none can be asked to
-/// wait for its requests to end. So the side, through which alone orders reach
-/// the engine, does both: it confirms the number with the store before it
-/// drains and again right before it writes, lets the running attempts end, and
-/// writes the next order only when the engine's own state shows what became of
-/// the last. A process that was paused in between finds its confirmation too
-/// old, because that counts from before the read was sent.
+/// Not every engine rejects an old fencing number, and no engine can be asked
+/// to wait for its requests to end. All orders reach the engine through its
+/// side, so the side does both. It confirms the number with the store before it
+/// drains and again right before it writes, and it lets the running attempts
+/// end. It writes the next order only when the engine's state shows the outcome
+/// of the last one. A process that was paused in between finds its confirmation
+/// expired, because the age counts from before the read was sent.
 class OrderExecutor {
  public:
   struct Options {
-    /// Age up to which a confirmed number allows a write.
+    /// Maximum age of a confirmed fencing number for a write.
     Duration authority_window = std::chrono::seconds(1);
     Duration confirm_retry = std::chrono::seconds(2);
     Duration confirm_timeout = std::chrono::seconds(5);
     Duration drain_timeout = std::chrono::minutes(10);
     Duration read_interval = std::chrono::milliseconds(200);
     Duration change_timeout = std::chrono::minutes(5);
-    /// Time in which an order whose write broke may still reach the engine.
+    /// Time within which an order may still reach the engine after its write
+    /// broke off.
     Duration settle_time = std::chrono::seconds(5);
-    /// Pause before a write is repeated.
+    /// Delay before a write is repeated.
     Duration write_pause = std::chrono::milliseconds(500);
-    int max_writes = 3;  ///< Of one order, after crashes and broken writes.
+    int max_writes =
+        3;  ///< Per order, counting repeats after crashes and broken writes.
   };
 
   struct Hooks {
     std::function<void(const OrderReport&)> report;
-    /// Lets new attempts in, or refuses them as not run.
+    /// Admits new attempts, or rejects them as not run.
     std::function<void(bool open)> set_gate;
-    /// Reads the newest number from the store; answered by `OnConfirmed`.
+    /// Reads the newest fencing number from the store; answered by
+    /// `OnConfirmed`.
     std::function<void(std::uint64_t ticket)> confirm;
-    /// Writes to the engine, the first byte before `write_by` or never;
-    /// answered by `OnWritten`.
+    /// Writes to the engine; answered by `OnWritten`. The first byte must be
+    /// sent before `write_by`, or nothing is sent.
     std::function<void(std::uint64_t ticket, const SideOrder&,
                        TimePoint write_by)>
         write;
-    /// Reads the engine's state soon; every reading goes to `OnReading`.
+    /// Requests a read of the engine's state. Every reading is passed to
+    /// `OnReading`.
     std::function<void()> read_state;
-    /// Returns the attempts that have not ended.
+    /// Returns the number of attempts that have not ended.
     std::function<std::size_t()> running;
   };
 
   OrderExecutor(std::string target, Options options, Hooks hooks);
 
-  /// The newest number that a peer or the store has shown.
+  /// Takes in the newest fencing number seen from a peer or the store.
   void OnNumber(FencingNumber number, TimePoint now);
   void OnOrder(const SideOrder& order, TimePoint now);
-  /// Answers `confirm`; nothing if the store could not be read.
+  /// Answers `confirm`; `number` is empty if the store could not be read.
   void OnConfirmed(std::uint64_t ticket, std::optional<FencingNumber> number,
                    TimePoint asked_at, TimePoint now);
   void OnWritten(std::uint64_t ticket, OrderWriteResult result,
@@ -114,10 +118,10 @@
   void OnReading(const EngineReading& reading, TimePoint now);
   void Tick(TimePoint now);
 
-  /// Returns the last report, to be told to an entry that connects.
+  /// Returns the last report, which is sent to an entry that connects.
   const std::optional<OrderReport>& last_report() const { return report_; }
   FencingNumber newest_number() const { return newest_; }
-  /// Returns the generation of the order in force; 0 if none is.
+  /// Returns the generation of the order in force, or 0 if there is none.
   std::uint64_t generation_in_force() const;
   bool gate_open() const { return gate_open_; }
 
@@ -128,8 +132,8 @@
     kDrain,
     kReconfirm,  ///< Right before the write.
     kWrite,
-    kWatch,   ///< The engine changes.
-    kSettle,  ///< The write broke: did it arrive?
+    kWatch,   ///< The engine is changing.
+    kSettle,  ///< The write broke off; it may have arrived.
   };
 
   bool WriteMayBeUnderWay() const;
@@ -154,7 +158,7 @@
   Step step_ = Step::kIdle;
   TimePoint step_since_;
   std::optional<SideOrder> current_;
-  std::optional<SideOrder> next_;  ///< Waits for `current_` to end.
+  std::optional<SideOrder> next_;  ///< Starts when `current_` ends.
   bool number_known_ = false;
   FencingNumber newest_ = 0;
   TimePoint confirmed_at_;
--- a/src/core/control/orders.h
+++ b/src/core/control/orders.h
@@ -14,33 +14,33 @@
 
 namespace indigolead {
 
-/// What an engine shall be.
+/// State that an engine is ordered to have.
 struct DesiredState {
   EngineRole role = EngineRole::kMixed;
   std::string model;
   std::string version;
   std::vector<std::string> adapters;
-  /// The target takes no work: a change failed on it for good.
+  /// The target takes no work, because a change failed on it repeatedly.
   bool out_of_service = false;
 
   friend bool operator==(const DesiredState&, const DesiredState&) = default;
 };
 
-/// Value of `control/orders/INSTANCE`: the one order in force for a target.
+/// Value of `control/orders/INSTANCE`: the single order in force for a target.
 ///
-/// It is desired state, so repeating it does no harm. `generation` grows with
-/// each differing order of the target; `fencing_number` is that of the lease
-/// under which it was written.
+/// An order is desired state, so repeating it does no harm. `generation` grows
+/// with each different order for the target; `fencing_number` is that of the
+/// lease under which the order was written.
 struct TargetOrder {
   std::string target;
   std::string deployment;
   FencingNumber fencing_number = 0;
   std::uint64_t generation = 0;
   DesiredState desired;
-  std::uint64_t revision = 0;  ///< Revision of the deployment that asked.
-  std::uint32_t tries = 0;     ///< Orders that failed for this desired state.
+  std::uint64_t revision = 0;  ///< Deployment revision that caused the order.
+  std::uint32_t tries = 0;     ///< Failed orders for this desired state.
   std::string cause;
-  Id128 nonce;  ///< New with each write; recognises one whose answer was lost.
+  Id128 nonce;  ///< Unique per write; identifies one whose answer was lost.
 
   friend bool operator==(const TargetOrder&, const TargetOrder&) = default;
 };
@@ -48,7 +48,7 @@
 /// Returns `order` as JSON.
 std::string EncodeOrder(const TargetOrder& order);
 
-/// Returns the order in `json`.
+/// Decodes an order from JSON.
 Result<TargetOrder> DecodeOrder(std::string_view json);
 
 /// Order with the store version at which it was read.
@@ -59,11 +59,11 @@
   friend bool operator==(const StoredOrder&, const StoredOrder&) = default;
 };
 
-/// Returns true if `order` was written while its number was in force; any
-/// other must reach no target. `newest` is the newest lease known.
+/// Returns true if `order` was written while its fencing number was valid. Any
+/// other order must not reach a target. `newest` is the newest lease known.
 bool WrittenUnderAuthority(const StoredOrder& order, const LeaseRecord& newest);
 
-/// How far a side has come with an order.
+/// Progress of a side with an order.
 enum class OrderPhase {
   kAccepted,
   kDraining,
@@ -76,7 +76,7 @@
 /// Returns the lower-case name of `phase`.
 std::string_view OrderPhaseName(OrderPhase phase);
 
-/// What a side says of an order.
+/// A side's report on an order.
 struct OrderReport {
   std::string target;
   FencingNumber fencing_number = 0;
--- a/src/core/control/placement.cc
+++ b/src/core/control/placement.cc
@@ -11,7 +11,7 @@
   return names;
 }
 
-// Returns true if `target` serves `model` in any version: a new version of a
+// Returns true if `target` serves `model` in any version. A new version of a
 // model goes to the engines that have the old one.
 bool Serves(const TargetObservation& target, const ModelSpec& model) {
   const std::string start = model.name + "@";
@@ -20,12 +20,13 @@
       [&](const std::string& loaded) { return loaded.starts_with(start); });
 }
 
-// Number of targets for model `i` of `models`, of `targets` in all.
+// Returns how many of `targets` targets serve model `i` of `models`.
 std::size_t Share(std::size_t targets, std::size_t models, std::size_t i) {
   return targets / models + (i < targets % models ? 1 : 0);
 }
 
-// Gives up to `wanted` targets `role`: first those that have it, then others.
+// Assigns `role` to up to `wanted` targets, first to those that have it
+// already.
 void Assign(EngineRole role, std::size_t wanted,
             const std::vector<TargetObservation>& targets, Roles* roles) {
   for (const bool keep : {true, false}) {
--- a/src/core/control/placement.h
+++ b/src/core/control/placement.h
@@ -13,10 +13,10 @@
 
 namespace indigolead {
 
-/// What a side says of its engine.
+/// Health of an engine as reported by its side.
 enum class ObservedHealth { kUnknown, kUp, kDown, kChanging };
 
-/// One engine as its side last described it.
+/// State of one engine as last reported by its side.
 struct TargetObservation {
   std::string name;
   std::string deployment;
@@ -24,36 +24,36 @@
   std::vector<std::string> models;  ///< Loaded, as name@version.
   std::vector<std::string> adapters;
   ObservedHealth health = ObservedHealth::kUnknown;
-  std::uint64_t order_generation = 0;  ///< Newest order in force there.
+  std::uint64_t order_generation = 0;  ///< Newest order in force at the engine.
   bool leaving = false;
 
   friend bool operator==(const TargetObservation&,
                          const TargetObservation&) = default;
 };
 
-/// Returns true if the engine is what `desired` asks for.
+/// Returns true if the engine has the role, model and adapters of `desired`.
 bool Matches(const TargetObservation& seen, const DesiredState& desired);
 
-/// Role of each target of a deployment; a target left out keeps its role.
+/// Role of each target of a deployment; a target that is not listed keeps its
+/// role.
 using Roles = std::map<std::string, EngineRole>;
 
-/// Says which role each of a deployment's targets shall have. The targets are
-/// in order of name, each with the role that it was last ordered to have.
+/// Computes the role of each target of a deployment. The targets are sorted by
+/// name, and each carries the role of its last order.
 using RolePlan = std::function<Roles(
     const DeploymentSpec&, const std::vector<TargetObservation>&, TimePoint)>;
 
-/// Returns the roles that the specification fixes: `min_prefill` and
-/// `min_decode` engines, the others mixed. Engines keep their role if it is
-/// still wanted, so that a change of one number moves as few as possible.
+/// Returns the roles fixed by the specification: `min_prefill` and `min_decode`
+/// engines, the others mixed. Engines keep their role if it is still needed, so
+/// that a change of one number moves as few engines as possible.
 Roles StaticRoles(const DeploymentSpec& spec,
                   const std::vector<TargetObservation>& targets);
 
-/// Returns the desired state of each target: models shared out evenly, targets
-/// keep a model that is still wanted, roles as in `roles`.
+/// Returns the desired state of each target. Models are distributed evenly,
+/// targets keep a model that is still wanted, and roles come from `roles`.
 ///
-/// `targets` carry the role and models that they were last ordered to have,
-/// not what they show in the middle of a change: otherwise a change under way
-/// would move the targets beside it.
+/// `targets` carry the role and models of their last order, not those observed
+/// during a change. Otherwise a change in progress would move other targets.
 std::map<std::string, DesiredState> PlaceTargets(
     const DeploymentSpec& spec, const std::vector<TargetObservation>& targets,
     const Roles& roles);
--- a/src/core/control/reconciler.cc
+++ b/src/core/control/reconciler.cc
@@ -7,8 +7,8 @@
 namespace indigolead {
 namespace {
 
-// Most engines of a deployment in change at once; at least one, or a small
-// deployment could never change.
+// Returns how many engines of a deployment may change at once. At least one,
+// because a small deployment could never change otherwise.
 std::size_t ChangeLimit(const DeploymentSpec& spec, std::size_t members) {
   const double share = spec.max_change_share * static_cast<double>(members);
   return std::max<std::size_t>(1, static_cast<std::size_t>(std::floor(share)));
@@ -65,8 +65,8 @@
     return;
   }
   Slot& slot = it->second;
-  // Generations are never used twice, so a report on an earlier order of the
-  // target is told by its generation alone.
+  // Generations are never reused, so the generation alone identifies a report
+  // on an earlier order.
   if (report.generation != slot.stored.order->generation) {
     return;
   }
@@ -99,8 +99,8 @@
   return actions;
 }
 
-// A new holder must know what its predecessor ordered before it orders
-// anything: otherwise it would send the same in other words.
+// A new holder reads its predecessor's orders first. Otherwise it could issue
+// the same desired state again as a different order.
 bool Reconciler::Begin(FencingNumber number, TimePoint now, Actions* actions) {
   if (number_ != number) {
     number_ = number;
@@ -166,8 +166,9 @@
   }
 }
 
-// A target without a valid order. If its engine already is as wanted, writing
-// that down changes nothing and needs no share of the changes allowed.
+// Writes the first order of a target that has no valid one. If the engine
+// already matches, recording its state changes nothing and does not count
+// against the change limit.
 void Reconciler::First(const std::string& target, const DesiredState& desired,
                        Slot* slot, Pass* pass) {
   if (slot->seen->health != ObservedHealth::kUp) {
@@ -185,8 +186,8 @@
 }
 
 void Reconciler::Change(const DesiredState& desired, Slot* slot, Pass* pass) {
-  // An engine that is down would take a share of the changes for as long as
-  // it stays down; it gets its new order when it is back.
+  // An engine that is down would occupy the change limit until it returns, so
+  // it gets its new order once it is up again.
   if (slot->seen->health == ObservedHealth::kUp &&
       MayChange(desired, *slot, *pass)) {
     Write(Following(*slot, desired, pass->revision.number,
@@ -233,11 +234,11 @@
   }
 }
 
-// Writes the order again in the same words under the new number. A write that
-// the holder before decided on and sends late then fails on the version.
+// Rewrites the order unchanged except for the new fencing number. A late write
+// by the previous holder then fails on the object version.
 void Reconciler::Seal(Slot* slot, Pass* pass) {
   if (slot->stored.order->fencing_number > *number_) {
-    return;  // Another holder is newer; this one is about to hear of it.
+    return;  // A newer holder wrote it; this one has lost the lease.
   }
   TargetOrder order = *slot->stored.order;
   order.fencing_number = *number_;
--- a/src/core/control/reconciler.h
+++ b/src/core/control/reconciler.h
@@ -19,54 +19,57 @@
 
 namespace indigolead {
 
-/// Turns declarations into one desired order per target and keeps the engines
-/// true to them.
+/// Computes one desired order per target from the deployment revisions and
+/// keeps the engines in that state.
 ///
-/// An engine that got two orders at once could end up as neither. So a target
-/// has one order, in one object of the store; the next differing one is
-/// written only after its side confirmed or refused the last. A new holder
-/// reads every order before it writes any, and then writes each again under
-/// its own number, in the same words: from then on a write of the holder
-/// before it fails on the object's version.
+/// An engine that receives two orders at once could end in neither state. So
+/// each target has a single order object in the store, and a different order is
+/// written only after the target's side has confirmed or refused the last one.
+/// A new lease holder reads all orders before it writes any. It then rewrites
+/// each one unchanged except for its own fencing number, so that a late write
+/// by the previous holder fails on the object version.
 ///
-/// A failed change counts as one in change until it is mended, so a bad
-/// revision stops after the stated share of a deployment's engines.
+/// A target whose change failed counts as changing until it is repaired, so a
+/// bad revision stops after `max_change_share` of a deployment's engines.
 class Reconciler {
  public:
   struct Options {
-    std::string actor;  ///< This entry's name, for the audit trail.
+    std::string actor;  ///< Name of this entry, for the audit trail.
     std::size_t max_targets = 4096;
     std::size_t max_deployments = 256;
     std::size_t max_writes_in_flight = 8;
-    /// Weights are loaded by at most so many engines at once...
+    /// Maximum number of engines that load weights at once.
     std::size_t max_weight_loads = 4;
-    /// ...and started no faster than this: the weight store is rate-limited.
+    /// Minimum time between the starts of two weight loads; the weight store is
+    /// rate-limited.
     Duration weight_load_interval = std::chrono::seconds(2);
-    /// An engine that differs from its confirmed order for this long has
-    /// drifted; less may be a report that lags.
+    /// Time for which an engine must differ from its confirmed order before it
+    /// counts as drifted. A shorter difference may be a delayed report.
     Duration drift_grace = std::chrono::seconds(5);
     std::uint32_t max_tries = 2;
     Duration retry_interval = std::chrono::seconds(10);
-    /// A target taken out of service is tried again after this.
+    /// Delay before a target that was taken out of service is tried again.
     Duration out_of_service_time = std::chrono::minutes(15);
-    /// A change under way for longer is shown as stuck.
+    /// Age from which a change in progress is shown as stuck.
     Duration stuck_after = std::chrono::minutes(5);
     Duration call_timeout = std::chrono::seconds(5);
-    /// Pause before a target's next write after one that had no effect.
+    /// Delay before a target's next write after one that failed.
     Duration write_backoff = std::chrono::seconds(1);
   };
 
-  /// Read every order with the newest lease; answer with `OnOrders`.
+  /// Requests a read of all orders and the newest lease; answered by
+  /// `OnOrders`.
   struct ReadOrders {
     friend bool operator==(const ReadOrders&, const ReadOrders&) = default;
   };
-  /// Read one order; answer with `OnOrder`.
+  /// Requests a read of one order; answered by `OnOrder`.
   struct ReadOrder {
     std::string target;
     friend bool operator==(const ReadOrder&, const ReadOrder&) = default;
   };
-  /// Write `order` if its object's version is `expected`; answer with
-  /// `OnWritten`. Check the authority again immediately before the send.
+  /// Requests a write of `order` if the object version is `expected`; answered
+  /// by `OnWritten`. The caller must check the authority again immediately
+  /// before it sends the write.
   struct WriteOrder {
     TargetOrder order;
     std::uint64_t expected = 0;
@@ -75,7 +78,7 @@
   using Action = std::variant<ReadOrders, ReadOrder, WriteOrder, AuditRecord>;
   using Actions = std::vector<Action>;
 
-  /// How one target stands.
+  /// State of one target.
   struct TargetView {
     std::string deployment;
     StoredOrder stored;
@@ -87,32 +90,34 @@
 
   Reconciler(Options options, RolePlan role_plan, IdSource ids);
 
-  /// A newer revision of a deployment is in force here.
+  /// Takes in a revision of a deployment that this entry applies; older ones
+  /// are ignored.
   void OnRevision(const Revision& revision);
 
-  /// A side described its engine.
+  /// Takes in a side's observation of its engine.
   void OnTarget(const TargetObservation& seen, TimePoint now);
-  /// The platform no longer lists the target.
+  /// Removes a target that the platform no longer lists.
   void OnTargetGone(const std::string& target);
-  /// An operator's drain, or its end: a drained target gets no new order.
+  /// Starts or ends an operator's drain. A drained target gets no new orders.
   void OnDrain(const std::string& target, bool drained);
-  /// A side reported on an order.
+  /// Takes in a side's report on an order.
   void OnReport(const OrderReport& report, TimePoint now);
 
-  /// The orders asked for by `ReadOrders`, with the lease of that moment.
+  /// Answers `ReadOrders`; `lease` was read together with the orders.
   void OnOrders(const Result<std::vector<StoredOrder>>& orders,
                 const LeaseRecord& lease, TimePoint now);
-  /// A read or a watch showed one order.
+  /// Takes in one order as seen by a read or a watch.
   void OnOrder(const std::string& target, const StoredOrder& stored,
                const LeaseRecord& lease, TimePoint now);
-  /// A `WriteOrder` was answered.
+  /// Answers `WriteOrder`.
   void OnWritten(const std::string& target, const Id128& nonce,
                  const Result<std::uint64_t>& answer, TimePoint now);
 
-  /// Returns what to do now under `authority`; nothing without one.
+  /// Returns the actions due under `authority`. Without authority only pending
+  /// audit records are returned.
   Actions Tick(std::optional<FencingNumber> authority, TimePoint now);
 
-  /// Returns how `target` stands; nothing if it is not known.
+  /// Returns the state of `target`, or nothing if it is unknown.
   std::optional<TargetView> View(const std::string& target,
                                  TimePoint now) const;
 
@@ -121,27 +126,29 @@
     TargetOrder order;
     std::uint64_t expected = 0;
     TimePoint sent_at;
-    bool settle = false;  ///< Its effect is unknown: read, then decide.
+    bool settle = false;  ///< Outcome unknown: read the order back first.
     bool read_sent = false;
     bool may_repeat = false;
-    /// Goes to the audit trail once the write is known to have taken effect.
+    /// Audit record to emit once the write is known to have taken effect.
     std::optional<AuditRecord> record;
   };
   struct Slot {
     std::optional<TargetObservation> seen;
     StoredOrder stored;
-    bool void_order = false;  ///< Written after its number had ended.
+    bool void_order =
+        false;  ///< Written after its fencing number was superseded.
     std::optional<OrderPhase> phase;
     std::string detail;
     TimePoint ordered_at;
     TimePoint phase_at;
     std::optional<TimePoint> drift_since;
     std::optional<PendingWrite> write;
-    TimePoint next_write;  ///< Not before this, after a write that failed.
+    TimePoint
+        next_write;  ///< Earliest time of the next write, after a failure.
     bool loads_weights = false;
     bool drained = false;
   };
-  /// What one pass over a deployment works with.
+  /// State of one pass over a deployment.
   struct Pass {
     const Revision& revision;
     std::size_t changes_left = 0;
@@ -190,7 +197,8 @@
   bool orders_read_ = false;
   std::optional<TimePoint> list_sent_at_;
   std::optional<TimePoint> last_weight_load_;
-  /// Changes accepted since the last tick; at most one for each write.
+  /// Audit records of changes accepted since the last tick; at most one per
+  /// write.
   std::vector<AuditRecord> accepted_;
 };
 
--- a/src/core/control/reconciler_state.cc
+++ b/src/core/control/reconciler_state.cc
@@ -1,4 +1,4 @@
-// What the reconciler knows of each target: stored orders, writes in flight,
+// State that the reconciler keeps per target: stored orders, writes in flight
 // and counts over them. The decisions are in reconciler.cc.
 
 #include <algorithm>
@@ -30,7 +30,8 @@
                           const LeaseRecord& lease, TimePoint now) {
   list_sent_at_.reset();
   if (!number_ || !IsOk(orders) || lease.fencing_number < *number_) {
-    return;  // A listing from before this authority began proves nothing.
+    return;  // The listing may predate this holder's lease and miss later
+             // orders.
   }
   for (const StoredOrder& stored : ValueOf(orders)) {
     if (!stored.order) {
@@ -92,7 +93,8 @@
       write.sent_at = now;
     }
     if (write.may_repeat) {
-      // The very same write: one condition, one nonce, so at most one effect.
+      // The repeat has the same expected version and nonce, so at most one copy
+      // takes effect.
       write.may_repeat = false;
       write.read_sent = false;
       write.sent_at = now;
@@ -132,8 +134,8 @@
   if (stored.version < slot->stored.version) {
     return;  // A stale read.
   }
-  // Judged again for the same version too: a newer lease may show that the
-  // order came after its number had ended.
+  // Checked again even for the same version: a newer lease may show that the
+  // order was written after its fencing number was superseded.
   slot->void_order = stored.order && !WrittenUnderAuthority(stored, lease);
   if (stored.version == slot->stored.version) {
     return;
--- a/src/core/control/revision_book.cc
+++ b/src/core/control/revision_book.cc
@@ -65,7 +65,8 @@
     peers_.emplace(peer.instance, Peer{peer, {}, std::nullopt});
     return true;
   }
-  // A new run of the process knows nothing of what the earlier one applied.
+  // A new incarnation starts without the revisions that the previous one
+  // applied.
   if (it->second.identity.incarnation != peer.incarnation) {
     it->second.applied.clear();
   }
--- a/src/core/control/revision_book.h
+++ b/src/core/control/revision_book.h
@@ -13,24 +13,24 @@
 
 namespace indigolead {
 
-/// One revision of one deployment in the form in which it travels.
+/// Revision of a deployment in its transport form.
 struct RevisionRecord {
   std::string deployment;
   std::uint64_t number = 0;
   std::uint64_t digest = 0;
-  std::string value;  ///< JSON of the revision, whole.
+  std::string value;  ///< Complete JSON of the revision.
 
   friend bool operator==(const RevisionRecord&,
                          const RevisionRecord&) = default;
 };
 
-/// Says what an offered revision was to the book.
+/// Result of offering a revision.
 enum class RevisionOutcome {
   kNewer,     ///< Now the newest; apply it.
   kSame,      ///< Already held.
-  kOlder,     ///< Ignored: a stale read, or a peer that is behind.
-  kMismatch,  ///< Same number, other content: an error; the first one stays.
-  kNoRoom,    ///< The bound on deployments was reached.
+  kOlder,     ///< Ignored: from a stale read or a peer that is behind.
+  kMismatch,  ///< Same number, different content: an error; the first is kept.
+  kNoRoom,    ///< The limit on deployments was reached.
 };
 
 /// Newest revision number held, per deployment.
@@ -46,12 +46,12 @@
   friend bool operator==(const RevisionPeer&, const RevisionPeer&) = default;
 };
 
-/// How far a deployment's newest revision has come.
+/// Rollout state of a deployment's newest revision.
 struct InForce {
   std::uint64_t number = 0;  ///< 0: no revision is known.
   std::vector<std::string> applied;
-  std::vector<std::string> waiting_for;  ///< Linked, and known to be behind.
-  /// Were linked and are silent now: what they apply is not known.
+  std::vector<std::string> waiting_for;  ///< Connected and known to be behind.
+  /// Peers that lost their connection; what they apply is unknown.
   std::map<std::string, TimePoint> unknown_since;
 
   bool everywhere() const {
@@ -60,62 +60,64 @@
   friend bool operator==(const InForce&, const InForce&) = default;
 };
 
-/// Keeps the newest revision of each deployment, wherever it came from.
+/// Stores the newest revision of each deployment, whatever its source.
 ///
-/// Configuration must never go back. Stale reads, peers that were cut off and
-/// repeated messages all offer old revisions, so the book compares numbers and
-/// not arrival. It also remembers which peers have applied what.
+/// Configuration must never go back. Stale reads, disconnected peers and
+/// repeated messages all offer old revisions, so revisions are ordered by
+/// number and not by arrival. The class also records which revisions each peer
+/// has applied.
 class RevisionBook {
  public:
   struct Options {
     std::size_t max_deployments = 256;
     std::size_t max_peers = 8192;
-    /// A peer silent for longer is forgotten: it was replaced.
+    /// Time after which a silent peer is removed, because it was replaced.
     Duration forget_peer_after = std::chrono::minutes(10);
   };
 
   explicit RevisionBook(Options options);
 
-  /// Takes `record` in if it is newer than what is held.
+  /// Stores `record` if it is newer than the current revision.
   RevisionOutcome Offer(RevisionRecord record);
 
-  /// Returns the newest revision of `deployment`; null if none is known. The
-  /// book owns it; it stays valid until the next `Offer`.
+  /// Returns the newest revision of `deployment`, or null if there is none. The
+  /// pointer is valid until the next `Offer`.
   const RevisionRecord* Find(const std::string& deployment) const;
 
-  /// Returns the numbers held.
+  /// Returns the newest revision number of each deployment.
   KnownRevisions Known() const;
 
-  /// Returns the revisions that are newer than in `known`, limited to
-  /// `deployment` unless that is empty.
+  /// Returns the revisions that are newer than those in `known`, limited to
+  /// `deployment` unless it is empty.
   std::vector<RevisionRecord> NewerThan(const KnownRevisions& known,
                                         const std::string& deployment) const;
 
-  /// A peer connected. Returns false if the bound on peers was reached.
+  /// Registers a connected peer. Returns false if the limit on peers was
+  /// reached.
   bool OnPeerUp(const RevisionPeer& peer, TimePoint now);
 
-  /// A peer has revision `number` of `deployment` in force. Reports of an
-  /// earlier run of the peer are ignored.
+  /// Records that a peer applies revision `number` of `deployment`. Reports of
+  /// an earlier incarnation of the peer are ignored.
   void OnApplied(const std::string& instance, const Incarnation& incarnation,
                  const std::string& deployment, std::uint64_t number);
 
-  /// A peer fell silent.
+  /// Records that a peer lost its connection.
   void OnPeerDown(const std::string& instance, const Incarnation& incarnation,
                   TimePoint now);
 
-  /// A peer said goodbye, or the platform no longer lists it.
+  /// Removes a peer that left or that the platform no longer lists.
   void ForgetPeer(const std::string& instance);
 
-  /// Forgets peers that were silent for too long.
+  /// Removes peers that have been silent for longer than `forget_peer_after`.
   void Tick(TimePoint now);
 
-  /// Returns how far the newest revision of `deployment` has come.
+  /// Returns the rollout state of the newest revision of `deployment`.
   InForce InForceOf(const std::string& deployment) const;
 
-  /// Returns what `instance` has in force; empty if it is not known.
+  /// Returns the revisions that `instance` applies; empty if it is unknown.
   KnownRevisions AppliedBy(const std::string& instance) const;
 
-  /// Returns every peer that is known, by instance name.
+  /// Returns all known peers, by instance name.
   std::vector<RevisionPeer> Peers() const;
 
  private:
--- a/src/core/control/stage_control.cc
+++ b/src/core/control/stage_control.cc
@@ -16,8 +16,8 @@
   return names;
 }
 
-/// One failure domain's engines, in the order in which they are planned to make
-/// answers.
+/// Engines of one failure domain, in the order in which they are planned as
+/// decode engines.
 class DomainQueue {
  public:
   void Add(const StagedEngine* engine) {
@@ -28,7 +28,7 @@
   bool empty() const { return taken_ == others_.size() + readers_.size(); }
 
   /// Returns true if this domain's next engine is planned before that of
-  /// `other`. Neither may be empty.
+  /// `other`. Neither queue may be empty.
   bool GoesBefore(const DomainQueue& other) const {
     const StagedEngine* mine = next();
     const StagedEngine* its = other.next();
@@ -50,8 +50,9 @@
                                    : readers_[taken_ - others_.size()];
   }
 
-  std::vector<const StagedEngine*> others_;   ///< Make answers already.
-  std::vector<const StagedEngine*> readers_;  ///< Would have to change.
+  std::vector<const StagedEngine*> others_;  ///< Decode engines already.
+  std::vector<const StagedEngine*>
+      readers_;  ///< Prefill engines, which would have to change.
   std::size_t taken_ = 0;
 };
 
@@ -73,7 +74,7 @@
   for (const StagedEngine& it : engines_) {
     const auto sent = sent_.find(it.instance);
     if (sent != sent_.end() && sent->second.role == it.role) {
-      // Carried out; a late copy of it finds its condition broken.
+      // The change is done; a late copy of the order fails its precondition.
       sent_.erase(sent);
     }
   }
@@ -125,24 +126,25 @@
 std::size_t StageControl::Wanted(const std::vector<const StagedEngine*>& usable,
                                  std::size_t domains) const {
   const std::size_t engines = usable.size();
-  // A fleet of two or three keeps all its engines able to do both.
+  // With two or three engines, all stay able to do both kinds of work.
   if (engines <= options_.min_decode + 1) {
     return engines;
   }
   const auto by_load = static_cast<std::size_t>(
       std::lround(share_.value_or(0) * static_cast<double>(engines)));
-  // Only where that leaves most engines to read.
+  // One decode engine per domain only if most engines remain for prefill.
   const std::size_t one_each = 3 * domains <= engines ? domains : 0;
   const std::size_t wanted =
       std::max({by_load, std::size_t{options_.min_decode}, one_each});
   return std::min(wanted, engines - options_.min_prefill);
 }
 
-// Domains in turn, so that the loss of one leaves engines in the others; and
-// those that decode already before others, because a change costs seconds.
+// Takes engines from the failure domains in turn, so that the loss of one
+// domain leaves decode engines in the others. Engines that decode already come
+// first, because a change costs seconds.
 //
-// Each domain's engines are sorted once: looking through all of them for each
-// one that is planned takes a thin entry seconds with thousands of engines.
+// Each domain's engines are sorted once. Scanning all engines for each planned
+// one takes seconds with thousands of engines on an entry with little CPU.
 std::vector<std::string> StageControl::PlanDecode() const {
   std::vector<const StagedEngine*> usable;
   std::map<std::string, DomainQueue> domains;
--- a/src/core/control/stage_control.h
+++ b/src/core/control/stage_control.h
@@ -15,7 +15,7 @@
 
 namespace indigolead {
 
-/// One engine as its registration shows it.
+/// State of one engine according to its registration.
 struct StagedEngine {
   std::string instance;
   std::string failure_domain;
@@ -25,7 +25,7 @@
   friend bool operator==(const StagedEngine&, const StagedEngine&) = default;
 };
 
-/// Tells an engine to take a role.
+/// Order that assigns a role to an engine.
 struct StageOrder {
   std::string instance;
   EngineRole role = EngineRole::kDecode;
@@ -34,91 +34,95 @@
   friend bool operator==(const StageOrder&, const StageOrder&) = default;
 };
 
-/// What became of an order that was sent.
+/// Outcome of an order that was sent.
 enum class StageOrderOutcome {
-  kAccepted,  ///< Being carried out, or already so.
-  kRefused,   ///< Provably without effect.
-  kUnknown,   ///< No answer: it may be carried out seconds later.
+  kAccepted,  ///< The change is in progress or already done.
+  kRefused,   ///< The order is known to have had no effect.
+  kUnknown,   ///< No answer: the order may take effect seconds later.
 };
 
-/// Decides which engines of one service read prompts and which make answers,
-/// where the engines take either role by an order.
+/// Assigns the prefill and decode roles to the engines of one service whose
+/// engines can change their role by an order.
 ///
 /// Only the holder of the control lease may call `Tick` with a fencing number.
-/// What engines do comes from their registrations, so a new holder continues
-/// where the last one stopped. The plan follows the load, averaged over several
-/// turns of the mix of prompts and answers, and the number of engines: an order
-/// takes an engine away for seconds, and the mix turns faster than that.
+/// The current roles come from the engines' registrations, so a new holder
+/// continues where the last one stopped. The plan follows the number of engines
+/// and the load, averaged over several changes of the mix of prefill and decode
+/// work: an order makes an engine unavailable for seconds, and the mix changes
+/// faster than that.
 class StageControl {
  public:
   struct Options {
-    /// A plan that is off by less is kept: of the engines, and in engines. The
-    /// load of an entry that sees a twentieth of the traffic is known to a
-    /// tenth, and each change takes an engine away for seconds.
+    /// Minimum change of the plan, as a share of the engines and as a number of
+    /// engines; a plan that is off by less is kept. An entry that sees a
+    /// twentieth of the traffic knows the load to within a tenth, and each
+    /// change makes an engine unavailable for seconds.
     double least_shift_share = 0.1;
     double least_shift_engines = 1;
-    /// For so long the load must ask for another plan: longer than the bursts
-    /// of one kind, which placing carries.
+    /// Time for which the load must ask for another plan. Longer than the
+    /// bursts of one kind of work, which placement absorbs.
     Duration shift_after = std::chrono::seconds(3);
-    /// Below this one loss would leave a single engine for all answers. Where
-    /// there are more failure domains, each has one: a domain's loss, or the
-    /// seconds in which no entry may give orders, must not stop all answers.
+    /// Minimum number of decode engines: with fewer, one loss would leave a
+    /// single engine for all decode work. With more failure domains than this,
+    /// each gets one, so that decode work continues if a domain is lost or
+    /// during the seconds in which no entry may give orders.
     std::uint32_t min_decode = 2;
-    /// Below this one loss would leave a single engine for all prompts.
+    /// Minimum number of prefill engines: with fewer, one loss would leave a
+    /// single engine for all prefill work.
     std::uint32_t min_prefill = 2;
-    /// The list of engines must have stood still for so long before the first
-    /// orders: engines register one after the other, and a part of them is no
-    /// measure. Later the list may change all the time.
+    /// Time for which the list of engines must be unchanged before the first
+    /// orders. Engines register one after the other, and a partial list is no
+    /// basis for a plan. Later the list may change at any time.
     Duration settle_time = std::chrono::milliseconds(1500);
-    /// An accepted order that does not show in the list by then is sent again:
-    /// twice the time of a change and of the list's lag.
+    /// Time after which an accepted order that does not show in the list is
+    /// sent again: twice the time of a change plus the list's lag.
     Duration confirm_timeout = std::chrono::seconds(9);
-    /// Wait after a refusal, in which another order ends.
+    /// Delay after a refusal, in which another order can end.
     Duration retry_interval = std::chrono::seconds(1);
-    /// An order without answer may be carried out up to 12 s later. Until then
-    /// nothing that differs may be sent to its engine.
+    /// Time after an order without answer in which nothing different may be
+    /// sent to its engine; the order may still take effect up to 12 s later.
     Duration unknown_timeout = std::chrono::seconds(13);
-    /// Engines that may change at once, once the plan has been reached: more
-    /// would take too much away from requests in work. Until then the roles
-    /// are those that the engines started with, which serve few requests, and
-    /// nothing is lost by changing all at once.
+    /// Maximum number of engines that change at once after the plan was reached
+    /// for the first time; more would take too much capacity from running
+    /// requests. Before that, engines have their initial roles and serve few
+    /// requests, so all may change at once.
     std::uint32_t max_changing = 2;
   };
 
   explicit StageControl(Options options) : options_(options) {}
 
-  /// Takes the engines of the service, all of them.
+  /// Takes in the complete list of the service's engines.
   void OnEngines(const std::vector<StagedEngine>& engines, TimePoint now);
 
-  /// The engine has started anew. An order to the run before has no effect on
-  /// this one: what names the count of orders of the old run is refused here,
-  /// and where the counts agree the registration shows the role and it is
-  /// ordered back.
+  /// Handles a restart of an engine. An order to the previous incarnation has
+  /// no effect on the new one: it is refused if it names the old incarnation's
+  /// order count. If the counts happen to agree, the registration shows the
+  /// resulting role, and the engine is ordered back.
   void OnRestarted(const std::string& instance) { sent_.erase(instance); }
 
-  /// Takes the load that the engines' work puts on both halves. Returns the
-  /// share of the engines planned for answers if it is another one now.
+  /// Takes in the prefill and decode load of the engines. Returns the planned
+  /// share of decode engines if it changed.
   std::optional<double> OnLoad(const RoleLoad& load, TimePoint now);
-  /// Takes the roles that the engines have now for the plan, as a holder does
-  /// that takes over from another one, which may have seen more than it.
+  /// Adopts the engines' current roles as the plan. A new holder does this
+  /// because its predecessor may have seen more of the load.
   void AdoptRoles();
 
-  /// Returns the orders to send now under `number`; none without one.
+  /// Returns the orders to send now under `number`; none without a number.
   std::vector<StageOrder> Tick(std::optional<FencingNumber> number,
                                TimePoint now);
 
-  /// Reports what became of an order returned by `Tick`.
+  /// Takes in the outcome of an order returned by `Tick`.
   void OnOutcome(const StageOrder& order, StageOrderOutcome outcome,
                  TimePoint now);
 
-  /// Returns the engines planned to make answers.
+  /// Returns the planned number of decode engines.
   std::size_t planned_decode() const;
 
  private:
   struct Sent {
     EngineRole role = EngineRole::kDecode;
-    TimePoint quiet_until{};  ///< Nothing may be sent before.
-    bool waiting = true;      ///< In change, or its answer is outstanding.
+    TimePoint quiet_until{};  ///< No order may be sent before this time.
+    bool waiting = true;      ///< Changing, or the answer is outstanding.
   };
 
   std::size_t Wanted(const std::vector<const StagedEngine*>& usable,
@@ -131,11 +135,11 @@
   std::size_t Usable() const;
 
   Options options_;
-  std::optional<double> share_;  ///< Of the engines, planned for answers.
+  std::optional<double> share_;  ///< Planned share of decode engines.
   std::optional<TimePoint> shift_since_;
   std::vector<StagedEngine> engines_;  ///< By name.
   TimePoint changed_at_{};
-  bool reached_ = false;  ///< The engines have been as planned.
+  bool reached_ = false;  ///< The engines have matched the plan once.
   std::map<std::string, Sent> sent_;
 };
 
--- a/src/core/control/status.cc
+++ b/src/core/control/status.cc
@@ -22,7 +22,7 @@
               {"kv_capacity_bytes", load.kv_capacity_bytes}};
 }
 
-// Writes values with the times at hand when the status was asked for.
+// Converts values to JSON, with ages relative to the time of the request.
 class Writer {
  public:
   Writer(TimePoint now, WallMicros wall_now) : now_(now), wall_now_(wall_now) {}
--- a/src/core/control/status.h
+++ b/src/core/control/status.h
@@ -12,15 +12,16 @@
 
 namespace indigolead {
 
-/// A figure with the time at which it was seen.
+/// A value with the time at which it was observed.
 ///
-/// An operator must never take an old figure for a present one: once it is no
-/// longer kept up to date it prints as "unknown since", without its value.
+/// An operator must not take an outdated value for a current one. Once a value
+/// is no longer updated, it is printed as "unknown since" a time, without the
+/// value.
 template <typename T>
 struct Aged {
   std::optional<T> value;
   TimePoint seen_at;
-  /// Set while nothing keeps the figure up to date.
+  /// Set while nothing updates the value.
   std::optional<TimePoint> unknown_since;
 
   static Aged Seen(T value, TimePoint at) {
@@ -41,7 +42,6 @@
                          const TargetLoadFigures&) = default;
 };
 
-/// One target.
 struct TargetStatus {
   std::string name;
   std::string deployment;
@@ -62,7 +62,6 @@
   friend bool operator==(const TargetStatus&, const TargetStatus&) = default;
 };
 
-/// One entry.
 struct EntryStatus {
   std::string name;
   std::string failure_domain;
@@ -72,7 +71,6 @@
   friend bool operator==(const EntryStatus&, const EntryStatus&) = default;
 };
 
-/// One deployment.
 struct DeploymentStatus {
   std::string name;
   std::uint64_t revision = 0;
@@ -100,9 +98,9 @@
                          const QuarantineStatus&) = default;
 };
 
-/// Everything that `GET /admin/status` shows, as one entry sees it.
+/// Content of `GET /admin/status`, as seen by one entry.
 struct SystemStatus {
-  std::string entry;  ///< Entry that answers.
+  std::string entry;  ///< Entry that answers the request.
   Aged<bool> store_answers;
   Aged<std::string> lease_holder;
   FencingNumber fencing_number = 0;
@@ -115,12 +113,12 @@
   friend bool operator==(const SystemStatus&, const SystemStatus&) = default;
 };
 
-/// Returns `status` as JSON. `now` and `wall_now` are read together; ages and
-/// "unknown_since" are computed from them.
+/// Returns `status` as JSON. `now` and `wall_now` must be read together; ages
+/// and "unknown_since" are computed from them.
 ///
-/// An aged figure is `{"value":V,"age_s":N}`, or
-/// `{"unknown_since":WALL_MICROS,"unknown_for_s":N}`, or `null` if it was
-/// never seen.
+/// An `Aged` value is written as `{"value":V,"age_s":N}`, as
+/// `{"unknown_since":WALL_MICROS,"unknown_for_s":N}`, or as `null` if it was
+/// never observed.
 std::string EncodeStatus(const SystemStatus& status, TimePoint now,
                          WallMicros wall_now);
 
--- a/tests/core/control/audit_test.cc
+++ b/tests/core/control/audit_test.cc
@@ -24,13 +24,13 @@
   options.max_waiting = 3;
   AuditTrail trail(options);
 
-  SECTION("writes nothing before it knows what the store holds") {
+  SECTION("nothing is written before the segments in the store are loaded") {
     trail.Append(Record(1));
     CHECK_FALSE(trail.Tick(t0));
     trail.OnLoaded({});
     CHECK(trail.Tick(t0));
   }
-  SECTION("goes on in the newest segment after a restart") {
+  SECTION("it continues in the newest segment after a restart") {
     trail.OnLoaded({EncodeAuditRecord(Record(5)) + "\n",
                     EncodeAuditRecord(Record(9)) + "\n"});
     trail.Append(Record(11));
@@ -40,7 +40,7 @@
     CHECK(ReadAuditSegment(write->value, 0).records ==
           std::vector{Record(9), Record(11)});
   }
-  SECTION("a full segment is written before the ring goes on") {
+  SECTION("a full segment is written before the next one starts") {
     trail.OnLoaded({});
     trail.Append(Record(1));
     trail.Append(Record(2));
@@ -55,14 +55,14 @@
     CHECK(second->key == "audit/entry-a-1");
     CHECK(ReadAuditSegment(second->value, 0).records == std::vector{Record(3)});
   }
-  SECTION("a failed write is repeated whole") {
+  SECTION("a failed write is repeated with the whole segment") {
     trail.OnLoaded({});
     trail.Append(Record(1));
     const auto first = trail.Tick(t0);
     trail.OnWritten(false);
     CHECK(trail.Tick(t0 + seconds(2)) == first);
   }
-  SECTION("what waits while the store is away is bounded and counted") {
+  SECTION("waiting records are bounded and dropped ones are counted") {
     for (int i = 0; i < 5; ++i) {
       trail.Append(Record(i));
     }
@@ -70,13 +70,13 @@
   }
 }
 
-TEST_CASE("AuditSegment is read back") {
+TEST_CASE("ReadAuditSegment reads records") {
   const std::string text = EncodeAuditRecord(Record(5)) + "\n" +
                            EncodeAuditRecord(Record(9)) + "\n{broken\n";
-  SECTION("from a point in time on") {
+  SECTION("records from a given time on") {
     CHECK(ReadAuditSegment(text, 6).records == std::vector{Record(9)});
   }
-  SECTION("with unreadable lines counted, not hidden") {
+  SECTION("unreadable lines are counted") {
     CHECK(ReadAuditSegment(text, 0).bad_lines == 1);
   }
 }
--- a/tests/core/control/authority_test.cc
+++ b/tests/core/control/authority_test.cc
@@ -29,7 +29,7 @@
   return true;
 }
 
-/// Does one harmful thing, chosen by the seed.
+/// Injects one fault, chosen by `choice`.
 void Harm(ControlWorld* world, std::uint64_t choice) {
   const int which = static_cast<int>(choice / 16 % 4);
   switch (choice % 8) {
@@ -58,11 +58,12 @@
   }
 }
 
-// Two controllers, four sides. Entries are paused and cut off, sides restart,
-// engines crash, the store goes away, answers and messages are lost, late and
-// repeated, while revisions are accepted. Whatever happens, an engine is only
-// made what the holder of the time ordered, and never taken back; once the
-// faults end, every engine has the newest revision.
+// Runs two controllers and four sides under random faults while revisions are
+// accepted: entries are paused or disconnected, sides restart, engines crash,
+// the store is unavailable, and answers and messages are lost, delayed or
+// repeated. An engine must only ever take the state ordered by the current
+// lease holder and never an earlier one. After the faults end, every engine
+// must have the newest revision.
 TEST_CASE("Authority, orders and revisions hold under random faults") {
   rc::detail::TestParams params;
   params.seed = 20;
@@ -103,11 +104,12 @@
   CHECK(result.is<rc::detail::SuccessResult>());
 }
 
-// The holder is paused exactly between its decision and the moment at which
-// its write reaches the store. Meanwhile its lease lapses and the other entry
-// takes over and orders something else. The late write then either fails,
-// because the order was sealed, or is void, because its number had ended; no
-// engine ever shows it, whether it checks numbers or not.
+// The holder is paused between its decision and the moment at which its write
+// reaches the store. Meanwhile its lease lapses, and the other entry takes over
+// and gives a different order. The late write must either fail, because the new
+// holder has rewritten the order, or be void, because its fencing number was
+// superseded. No engine may apply it, whether or not the engine checks fencing
+// numbers.
 TEST_CASE("A holder paused between decision and send has no effect") {
   const bool engines_check = GENERATE(true, false);
   CAPTURE(engines_check);
@@ -117,7 +119,7 @@
   const int holder = world.Holders()[0];
   REQUIRE(AllAt(world, 4, "1"));
 
-  SECTION("the order of a sealed target") {
+  SECTION("the new holder has rewritten the order of the target") {
     world.BeforeNextOrderWrite([&](int entry) {
       world.PauseEntry(entry, seconds(60));
       world.Run(seconds(30));
@@ -128,9 +130,9 @@
     CHECK(AllAt(world, 4, "2"));
     CHECK(world.Holders() != std::vector<int>{holder});
   }
-  SECTION("the order of a target that the new holder has not sealed yet") {
-    // No side hears of the new number, so nothing but the order's own version
-    // tells that it came too late.
+  SECTION("the new holder has not rewritten the order of the target yet") {
+    // No side learns the new fencing number, so only the version of the order
+    // shows that it was written too late.
     ControlFaults faults;
     faults.lose_notice = 1;
     world.SetFaults(faults);
@@ -151,10 +153,10 @@
   }
 }
 
-// An entry is cut off from the store but not from the sides. It holds an order
-// that was replaced long ago. An instance is replaced, so that neither its side
-// nor its engine knows anything; the entry must not tell it the old order.
-TEST_CASE("An entry with an old view does not instruct a new side") {
+// An entry is disconnected from the store but not from the sides, and holds an
+// order that was replaced long ago. An instance is replaced, so neither its
+// side nor its engine knows any order. The entry must not send it the old one.
+TEST_CASE("An entry with an outdated order does not send it to a new side") {
   const bool engines_check = GENERATE(true, false);
   CAPTURE(engines_check);
   ControlWorld world(Calm(engines_check));
@@ -184,10 +186,10 @@
   std::function<void(ControlWorld*)> reach;
 };
 
-// The controller is killed, paused or cut off before the order is written,
-// after it, or while the engine changes. Outcome of every row: the other entry
-// takes over, each engine is brought to the revision, no order is repeated in
-// other words and none has an effect under an old number.
+// The controller is killed, paused or disconnected before the order is written,
+// after that, or while the engine changes. In each case the other entry must
+// take over and bring each engine to the revision, no order may be issued twice
+// with different content, and none may take effect under an old fencing number.
 TEST_CASE("A controller fails around an order") {
   const std::vector<Fault> faults = {
       {"killed",
@@ -257,10 +259,10 @@
   return faults;
 }
 
-// The store misbehaves for 30 s in one way, for everybody, while the lease is
-// renewed, while an order is given, or while the entries start. Outcome of
-// every row: nothing wrong is done meanwhile; a minute after the fault has
-// ended exactly one entry holds the lease and every engine has the revision.
+// The store fails for 30 s in one way for all processes, while the lease is
+// renewed, while an order is given, or while the entries start. In each case
+// nothing wrong may happen meanwhile. One minute after the fault ends, exactly
+// one entry must hold the lease and every engine must have the revision.
 TEST_CASE("The store fails around lease, orders and start") {
   const std::vector<StoreFault> faults = {
       {"down", [](ControlWorld* world, bool on) { world->SetStoreDown(on); }},
@@ -302,8 +304,8 @@
   }
 }
 
-// The store is away for long. Roles freeze: no order is written and no engine
-// changes. At its return exactly one controller acts.
+// While the store is unavailable for long, no order may be written and no
+// engine may change. When it returns, exactly one controller must act.
 TEST_CASE("The store is down for long") {
   ControlWorld world(Calm(true));
   world.Run(seconds(20));
--- a/tests/core/control/lease_fleet_test.cc
+++ b/tests/core/control/lease_fleet_test.cc
@@ -13,8 +13,8 @@
 
 constexpr Duration kTick = milliseconds(200);
 
-/// Entries that compete for one lease, in simulated time. The store answers a
-/// read or a write within the tick in which it is asked.
+/// Simulates entries that compete for one lease. The store answers each call
+/// within the tick in which it is sent.
 class Fleet {
  public:
   Fleet(std::size_t entries, std::size_t standbys) {
@@ -45,7 +45,7 @@
     }
   }
 
-  /// Kills the entries that `dies` names by number.
+  /// Kills the entries for whose index `dies` returns true.
   void Kill(const std::function<bool(std::size_t)>& dies) {
     for (std::size_t it = 0; it < entries_.size(); ++it) {
       if (dies(it)) {
@@ -116,17 +116,19 @@
   double draw_ = 0.5;
 };
 
-// Every entry of a hundred looked at the lease each 1.5 s, to replace a holder
-// of which one in a thousand is lost on a day. Looking each 15 s instead, each
-// took the lease for lapsed between two looks and wrote to it: more calls than
-// before. Reads in ten minutes: 37,000 with all as standbys, 6,300 with eight.
+// Guards against the load of lease reads in a large fleet. With 100 standbys,
+// each entry reads the lease every 1.5 s, although only one holder in a
+// thousand is lost per day. With a read every 15 s alone, each entry took the
+// lease for lapsed between two reads and wrote to it, which made more calls
+// than before. Reads in ten minutes: 37,000 with all entries as standbys, 6,300
+// with eight.
 TEST_CASE("A large fleet watches its lease with few calls") {
   Fleet fleet(100, 8);
   REQUIRE(fleet.holder());
   fleet.reads = 0;
   fleet.conflicts = 0;
 
-  SECTION("reserves read seldom and never try to take what is renewed") {
+  SECTION("reserves read seldom and never try to take a renewed lease") {
     fleet.Run(seconds(600));
     CHECK(fleet.conflicts == 0);
     Fleet all(100, 100);
@@ -143,7 +145,9 @@
     CHECK(*fleet.holder() != lost);
     CHECK(*fleet.holder() < 8);
   }
-  SECTION("if all standbys are lost with it, by a reserve within a minute") {
+  SECTION(
+      "a reserve replaces the holder within a minute if all standbys are lost "
+      "too") {
     fleet.Kill([](std::size_t it) { return it < 8; });
     fleet.Run(seconds(60));
     REQUIRE(fleet.holder());
--- a/tests/core/control/lease_test.cc
+++ b/tests/core/control/lease_test.cc
@@ -54,7 +54,7 @@
   return *write;
 }
 
-/// Ticks often enough not to look paused, answering nothing.
+/// Ticks often enough not to appear paused; answers no action.
 Lease::Actions TickUntil(Lease* lease, double from, double to) {
   Lease::Actions all;
   for (double t = from; t <= to; t += 0.25) {
@@ -69,7 +69,7 @@
   Lease lease = MakeLease("entry-a", 1);
   const Lease::Write taken = Take(&lease);
 
-  SECTION("the version that won it is the fencing number") {
+  SECTION("the fencing number is the version of the write that took it") {
     CHECK(taken.expected == 0);
     CHECK(lease.Authority(At(0.5)) == FencingNumber{7});
   }
@@ -87,7 +87,7 @@
     CHECK_FALSE(lease.Authority(At(6.95)));
   }
 
-  SECTION("authority ends by itself when no renewal is answered") {
+  SECTION("authority ends when no renewal is answered") {
     const auto actions = TickUntil(&lease, 0.75, 5.5);
     REQUIRE(Find<Lease::Lost>(actions));
     CHECK(Find<Lease::Lost>(actions)->reason == LeaseLoss::kLapsed);
@@ -119,13 +119,13 @@
     CHECK(Find<Lease::Write>(actions)->record.fencing_number == 7);
   }
 
-  // The write that took the lease is the newest of its kind; its pause before
-  // the next try must not hold the resignation back.
-  SECTION("resigning at once after winning works too") {
+  // The write that took the lease has just been sent. The minimum interval
+  // between take attempts must not delay the resignation.
+  SECTION("resigning right after taking it frees it too") {
     CHECK(Find<Lease::Write>(lease.Resign(At(0.5))));
   }
 
-  SECTION("a renewal in flight goes first, then the lease is given up") {
+  SECTION("a renewal in flight completes before the lease is given up") {
     const auto renewal = Find<Lease::Write>(TickUntil(&lease, 0.75, 2));
     REQUIRE(renewal);
     CHECK_FALSE(Find<Lease::Write>(lease.Resign(At(2))));
@@ -137,18 +137,18 @@
   }
 }
 
-// The holder sleeps between its decision and its act. It still believes that
-// it holds the lease, because no event told it otherwise. The clock read just
-// before the act shows the gap, so it has no authority until the store has
-// confirmed the lease again.
+// The holder is paused between its decision and its action, and no event has
+// told it that its lease ended. The clock read just before the action shows the
+// gap, so the holder has no authority until the store has confirmed the lease
+// again.
 TEST_CASE("Lease holder that was paused has no authority") {
   Lease lease = MakeLease("entry-a", 1);
   const Lease::Write taken = Take(&lease);
 
-  SECTION("before any event after the pause") {
+  SECTION("authority is gone before any event is handled") {
     CHECK_FALSE(lease.Authority(At(2.75)));
   }
-  SECTION("past its end it reads, and finds the other holder") {
+  SECTION("after the lease ended, a read shows the other holder") {
     const auto actions = lease.Tick(At(30));
     CHECK(Find<Lease::Lost>(actions));
     CHECK_FALSE(Find<Lease::Write>(actions));
@@ -172,7 +172,7 @@
   lease.Tick(At(0));
   lease.OnRead(ViewOf(other, 7), At(1));
 
-  SECTION("counted from after the last change was seen") {
+  SECTION("the wait counts from when the last change was seen") {
     CHECK_FALSE(Find<Lease::Write>(TickUntil(&lease, 1.25, 7.5)));
     const auto write = Find<Lease::Write>(lease.Tick(At(7.6)));
     REQUIRE(write);
@@ -180,7 +180,7 @@
     CHECK(write->record.fencing_number == 0);
     CHECK(write->record.earlier == std::vector<FencingNumber>{7});
   }
-  SECTION("a renewal seen by the watch starts the wait again") {
+  SECTION("a renewal seen by the watch restarts the wait") {
     TickUntil(&lease, 1.25, 4);
     lease.OnWatched(ViewOf(other, 8), At(4));
     CHECK_FALSE(Find<Lease::Write>(TickUntil(&lease, 4.25, 10.5)));
@@ -202,9 +202,9 @@
   }
 }
 
-// The store makes the write take effect but its answer is lost. The writer
-// reads back its own nonce, so it neither waits for its own lease to lapse nor
-// believes in a lease that it did not get.
+// The write takes effect in the store but its answer is lost. The writer reads
+// back its own nonce, so it neither waits for its own lease to lapse nor
+// assumes a lease that it did not get.
 TEST_CASE("Lease settles a write whose answer was lost") {
   Lease lease = MakeLease("entry-a", 1);
   lease.Tick(At(0));
@@ -217,7 +217,7 @@
   REQUIRE(Find<Lease::Read>(reads));
   CHECK_FALSE(lease.Authority(At(1)));
 
-  SECTION("it took effect: authority counts from the send") {
+  SECTION("the write took effect: authority counts from the send") {
     lease.OnRead(ViewOf(write->record, 7), At(2));
     CHECK(lease.Authority(At(2)) == FencingNumber{7});
     TickUntil(&lease, 2.25, 5);
@@ -228,14 +228,14 @@
     const auto again = Find<Lease::Write>(lease.Tick(At(2.25)));
     REQUIRE(again);
     CHECK(*again == *write);
-    // The first copy may be the one that took effect, so the end still counts
-    // from its send.
+    // The first copy may have taken effect, so the end still counts from its
+    // send.
     lease.OnWritten(again->record.nonce, std::uint64_t{7}, At(2.5));
     CHECK(lease.Authority(At(2.5)) == FencingNumber{7});
     TickUntil(&lease, 2.75, 5.25);
     CHECK_FALSE(lease.Authority(At(5.45)));
   }
-  SECTION("another write landed first: no authority, no repeat") {
+  SECTION("another write took effect first: no authority, no repeat") {
     LeaseRecord other;
     other.holder = "entry-b";
     other.duration = seconds(6);
@@ -258,17 +258,17 @@
     renewed.fencing_number = 41;
     CHECK(ValueOf(DecodeLease(EncodeLease(renewed), 50)) == renewed);
   }
-  SECTION("anything else is an error") {
+  SECTION("malformed JSON is an error") {
     CHECK(ErrorOf(DecodeLease("{}", 1)).code == ErrorCode::kProtocol);
     CHECK(ErrorOf(DecodeLease("x", 1)).code == ErrorCode::kProtocol);
   }
 }
 
-// The store is away for longer than the lease: its holder's authority ends, and
-// nobody can take over. When the store is back, the record is still the
-// holder's own. Were it waited for as another's, nobody could give orders for a
-// whole duration more.
-TEST_CASE("A holder takes its own lapsed lease back at once") {
+// The store is unavailable for longer than the lease, so the holder's authority
+// ends and nobody can take over. When the store returns, the record is still
+// the holder's own. Waiting for it as for another holder's lease would leave
+// nobody to give orders for another full duration.
+TEST_CASE("A holder retakes its own lapsed lease at once") {
   Lease lease = MakeLease("entry-a", 1);
   const Lease::Write taken = Take(&lease);
   TickUntil(&lease, 0.75, 6);
@@ -276,8 +276,8 @@
 
   SECTION("if the store still holds it") {
     lease.OnRead(ViewOf(taken.record, 7), At(6.25));
-    // The renewal whose answer never came is settled first. It was sent too
-    // long ago to give authority.
+    // The unanswered renewal is settled first. It was sent too long ago to give
+    // authority.
     const auto renewal = Find<Lease::Write>(TickUntil(&lease, 6.25, 6.75));
     REQUIRE(renewal);
     CHECK(renewal->record.fencing_number == 7);
@@ -290,7 +290,7 @@
     lease.OnWritten(write->record.nonce, std::uint64_t{30}, At(8.6));
     CHECK(lease.Authority(At(8.6)) == FencingNumber{30});
   }
-  SECTION("but not if another process has it by now, under the same name too") {
+  SECTION("not if another process holds it now, even under the same name") {
     LeaseRecord other = taken.record;
     other.incarnation = Incarnation{{9, 9}};
     lease.OnRead(ViewOf(other, 12), At(6.25));
@@ -298,8 +298,9 @@
   }
 }
 
-/// Guards against hundreds of reads at full price when a fleet starts.
-TEST_CASE("A reserve may learn of the lease late, a standby may not") {
+/// Guards against hundreds of expensive reads of the newest state when a fleet
+/// starts.
+TEST_CASE("Only a standby needs the newest lease on its first read") {
   Lease lease(
       {},
       [] {
--- a/tests/core/control/order_executor_test.cc
+++ b/tests/core/control/order_executor_test.cc
@@ -15,7 +15,7 @@
 const EngineSetup kPrefill{"prefill", "tarifa-llm", "1", {}};
 const EngineSetup kMixed{"mixed", "tarifa-llm", "1", {"a", "b"}};
 
-/// An executor with its store, its engine and its clock played by the test.
+/// Runs an executor with a simulated store, engine and clock.
 class OrderFixture {
  public:
   OrderFixture() : executor_("bilbao-a-1", OrderExecutor::Options{}, Hooks()) {
@@ -50,7 +50,7 @@
     executor_.OnOrder(MakeOrder(number, generation, setup), now_);
   }
 
-  /// Answers the last confirmation asked for.
+  /// Answers the last confirmation request.
   void Confirm(std::optional<FencingNumber> number) {
     REQUIRE_FALSE(confirms_.empty());
     const auto ticket = confirms_.back();
@@ -62,7 +62,7 @@
     executor_.OnWritten(writes_.back().ticket, result, "", now_);
   }
 
-  /// Passes a reading of the engine, asked for now.
+  /// Passes in the current engine state, read now.
   void Read() {
     reading_.asked_at = now_;
     executor_.OnReading(reading_, now_);
@@ -73,7 +73,7 @@
     executor_.Tick(now_);
   }
 
-  /// Brings an order of generation 1 up to its write.
+  /// Advances an order of generation 1 up to its write.
   void OrderAndWrite() {
     executor_.OnNumber(5, now_);
     Order(5, 1, kDecode);
@@ -118,7 +118,8 @@
 
   f.running_ = 0;
   f.Pass(milliseconds(20));
-  REQUIRE(f.confirms_.size() == 2);  // The first one is three seconds old.
+  REQUIRE(f.confirms_.size() ==
+          2);  // The first one is three seconds old and has expired.
   f.Confirm(5);
   REQUIRE(f.writes_.size() == 1);
   CHECK(f.writes_[0].write_by == f.now_ + seconds(1));
@@ -136,7 +137,8 @@
   CHECK(f.executor_.generation_in_force() == 1);
 }
 
-TEST_CASE("OrderExecutor leaves an engine alone that is as ordered") {
+TEST_CASE(
+    "OrderExecutor does not write to an engine that is already as ordered") {
   OrderFixture f;
   f.executor_.OnNumber(5, f.now_);
   f.Order(5, 1, {"mixed", "tarifa-llm", "1", {"b", "a"}});
@@ -145,10 +147,10 @@
   CHECK(f.writes_.empty());
 }
 
-// A holder of the control lease is paused, another takes over, and the first
-// wakes and sends its order. At each point where the side can learn of the
-// newer number before its write, the order has no effect.
-TEST_CASE("OrderExecutor gives an old fencing number no effect") {
+// A lease holder is paused, another takes over, and the first resumes and sends
+// its order. At each point where the side can learn the newer fencing number
+// before its write, the order must have no effect.
+TEST_CASE("OrderExecutor does not apply an order with an old fencing number") {
   OrderFixture f;
 
   SECTION("after a restart, before any number is known") {
@@ -165,7 +167,7 @@
     f.Confirm(6);
     CHECK(f.phase() == OrderPhase::kRefusedStale);
   }
-  SECTION("a notice comes while it drains") {
+  SECTION("a notice of a newer number arrives during the drain") {
     f.executor_.OnNumber(5, f.now_);
     f.running_ = 1;
     f.Order(5, 1, kDecode);
@@ -189,10 +191,11 @@
   CHECK(f.gate_open_);
 }
 
-// The side itself is paused after it asked the store. The answer it finds when
-// it wakes may be minutes old; counted from before the read was sent, it is too
-// old to write by, so the side asks again.
-TEST_CASE("OrderExecutor does not trust a number it slept on") {
+// The side is paused after it asked the store. The answer may be minutes old
+// when the side resumes. Its age counts from before the read was sent, so it
+// has expired and the side must ask again.
+TEST_CASE(
+    "OrderExecutor does not use a confirmation that expired during a pause") {
   OrderFixture f;
   f.executor_.OnNumber(5, f.now_);
   f.Order(5, 1, kDecode);
@@ -204,8 +207,8 @@
   CHECK(f.confirms_.size() == 2);
 }
 
-// The store is down: roles freeze, serving goes on. Only after it answers does
-// the order go on.
+// While the store is down, the role must not change and the target must keep
+// serving. The order continues once the store answers.
 TEST_CASE("OrderExecutor waits for the store with the gate open") {
   OrderFixture f;
   f.executor_.OnNumber(5, f.now_);
@@ -214,17 +217,17 @@
   CHECK(f.gate_open_);
   CHECK(f.phase() == OrderPhase::kAccepted);
   f.Pass(seconds(3));
-  f.Pass(seconds(6));  // This one is never answered.
+  f.Pass(seconds(6));  // This request is never answered.
   CHECK(f.gate_open_);
   f.Pass(seconds(3));
-  f.Confirm(4);  // A stale read proves nothing.
+  f.Confirm(4);  // A stale read does not confirm the number.
   CHECK(f.writes_.empty());
   f.Pass(seconds(3));
   f.Confirm(5);
   CHECK(f.writes_.size() == 1);
 }
 
-TEST_CASE("OrderExecutor settles every end of a write") {
+TEST_CASE("OrderExecutor handles every outcome of a write") {
   OrderFixture f;
   f.OrderAndWrite();
 
@@ -233,18 +236,18 @@
     CHECK(f.phase() == OrderPhase::kRefusedStale);
     CHECK(f.gate_open_);
   }
-  SECTION("the engine will not do it") {
+  SECTION("the engine rejects the order") {
     f.Written(OrderWriteResult::kRejected);
     CHECK(f.phase() == OrderPhase::kFailed);
     CHECK(f.gate_open_);
   }
-  SECTION("busy: written again once it is free") {
+  SECTION("the engine is busy: the order is written again once it is free") {
     f.Written(OrderWriteResult::kBusy);
     f.Pass(seconds(2));
     f.Confirm(5);
     CHECK(f.writes_.size() == 2);
   }
-  SECTION("not written, engine down: again once it is back") {
+  SECTION("not written, engine down: written again once the engine is back") {
     f.reading_.reachable = false;
     f.Read();
     f.Written(OrderWriteResult::kNotWritten);
@@ -256,7 +259,7 @@
     f.Confirm(5);
     CHECK(f.writes_.size() == 2);
   }
-  SECTION("broken, and it had arrived") {
+  SECTION("the write broke off and had arrived") {
     f.Written(OrderWriteResult::kUnknown);
     f.now_ += milliseconds(10);
     f.reading_.changing = true;
@@ -266,7 +269,7 @@
     CHECK(f.phase() == OrderPhase::kInForce);
     CHECK(f.writes_.size() == 1);
   }
-  SECTION("broken, and it never arrived: nothing else until it cannot") {
+  SECTION("the write broke off: nothing is written until it cannot arrive") {
     f.Written(OrderWriteResult::kUnknown);
     f.Order(5, 2, kPrefill);
     f.now_ += milliseconds(10);
@@ -279,7 +282,7 @@
     REQUIRE(f.writes_.size() == 2);
     CHECK(f.writes_[1].order.generation == 2);
   }
-  SECTION("a reading from before the write proves nothing") {
+  SECTION("a reading from before the write is ignored") {
     const TimePoint before = f.now_;
     f.now_ += milliseconds(50);
     f.Written(OrderWriteResult::kTaken);
@@ -290,10 +293,11 @@
   }
 }
 
-// The engine's process dies in the middle of a change and comes back as it was
-// at its start. Nobody ordered that, so the gate stays shut while the order is
-// written again; an engine that dies of it each time is reported as failed.
-TEST_CASE("OrderExecutor drives a crashed change on, or reports it") {
+// The engine crashes during a change and restarts with its initial setup, which
+// no order requested. So the gate must stay closed while the order is written
+// again. An engine that crashes each time must be reported as failed.
+TEST_CASE(
+    "OrderExecutor repeats a change after a crash, then reports failure") {
   OrderFixture f;
   f.OrderAndWrite();
   for (int crash = 2; crash <= 3; ++crash) {
@@ -313,12 +317,12 @@
   f.Written(OrderWriteResult::kTaken);
   f.now_ += milliseconds(100);
 
-  SECTION("the third time it holds") {
+  SECTION("the third write succeeds") {
     f.reading_ = {"boot-3", kDecode, 1, false, true, TimePoint{}};
     f.Read();
     CHECK(f.phase() == OrderPhase::kInForce);
   }
-  SECTION("the third time it dies again") {
+  SECTION("the engine crashes at the third write too") {
     f.reading_ = {"boot-4", kMixed, 0, false, true, TimePoint{}};
     f.Read();
     CHECK(f.phase() == OrderPhase::kFailed);
@@ -326,11 +330,11 @@
   }
 }
 
-TEST_CASE("OrderExecutor never has two orders under way") {
+TEST_CASE("OrderExecutor never has two orders in progress") {
   OrderFixture f;
   f.OrderAndWrite();
   f.Order(5, 2, kPrefill);
-  f.Order(6, 3, kMixed);  // Supersedes the one that waits.
+  f.Order(6, 3, kMixed);  // Supersedes the waiting order.
   CHECK(f.writes_.size() == 1);
   CHECK(f.confirms_.size() == 1);
   f.Written(OrderWriteResult::kTaken);
@@ -358,7 +362,7 @@
   CHECK(f.gate_open_);
 }
 
-TEST_CASE("OrderExecutor carries an order on under a newer number") {
+TEST_CASE("OrderExecutor continues an order under a newer fencing number") {
   OrderFixture f;
   f.OrderAndWrite();
   f.Written(OrderWriteResult::kTaken);
@@ -371,7 +375,8 @@
   CHECK(f.writes_.size() == 1);
 }
 
-/// An engine that ignores fencing numbers, and a store whose holder changes.
+/// Simulates an engine that ignores fencing numbers and a store whose lease
+/// holder changes.
 class OrderWorld {
  public:
   void Step() {
@@ -473,10 +478,11 @@
   void Read() { f_.Read(); }
 
   void Check() {
-    RC_ASSERT(f_.writes_.size() <= answered_ + 1);  // One at a time.
+    RC_ASSERT(f_.writes_.size() <=
+              answered_ + 1);  // At most one write is unanswered.
     while (checked_ < f_.writes_.size()) {
-      // The world answers confirmations truly, so a write under an old number
-      // could only come from one that was not confirmed in time.
+      // Confirmations always carry the current number, so a write under an old
+      // number would mean that it was not confirmed in time.
       RC_ASSERT(f_.writes_[checked_].order.fencing_number == number_);
       RC_ASSERT(f_.writes_[checked_].write_by >= f_.now_);
       ++checked_;
@@ -489,10 +495,10 @@
   std::size_t checked_ = 0;
 };
 
-// Holders come and go, their orders arrive late and out of order, writes break,
-// the engine crashes. The engine ignores fencing numbers: only the executor
-// stands between it and an old or a second order.
-TEST_CASE("OrderExecutor keeps an engine that ignores numbers from conflict") {
+// Lease holders change, their orders arrive late and out of order, writes break
+// off and the engine crashes. The engine ignores fencing numbers, so only the
+// executor can keep old and concurrent orders from it.
+TEST_CASE("OrderExecutor protects an engine that ignores fencing numbers") {
   CHECK(rc::check("one order at a time, under the newest number", [] {
     OrderWorld world;
     const int steps = *rc::gen::inRange(20, 200);
--- a/tests/core/control/orders_test.cc
+++ b/tests/core/control/orders_test.cc
@@ -26,27 +26,28 @@
   CHECK(ErrorOf(DecodeOrder("{\"role\":\"x\"}")).code == ErrorCode::kProtocol);
 }
 
-// A holder decides on an order, sleeps, and its write lands after another
-// entry won the lease with version 100. The order carries 90, so whoever
-// passes orders on must see from the versions that it came too late.
+// A holder decides on an order and is paused. Its write takes effect after
+// another entry took the lease with version 100. The order carries fencing
+// number 90, so whoever forwards orders must see from the versions that it was
+// written too late.
 TEST_CASE("WrittenUnderAuthority") {
   LeaseRecord lease;
   lease.fencing_number = 100;
   lease.earlier = {80, 90};
 
-  SECTION("an order written before the lease moved is still in force") {
+  SECTION("an order written before the lease changed hands is valid") {
     CHECK(WrittenUnderAuthority({Order(90), 95}, lease));
   }
-  SECTION("an old number written after the lease moved is not") {
+  SECTION("an order written under an old number after that is not valid") {
     CHECK_FALSE(WrittenUnderAuthority({Order(90), 101}, lease));
   }
-  SECTION("not even if the lease has moved on again since") {
+  SECTION("it stays invalid after the lease has changed hands again") {
     CHECK_FALSE(WrittenUnderAuthority({Order(80), 95}, lease));
   }
-  SECTION("a number that is no longer listed is not trusted") {
+  SECTION("an order under a number that is no longer listed is not valid") {
     CHECK_FALSE(WrittenUnderAuthority({Order(70), 75}, lease));
   }
-  SECTION("the newest number is") {
+  SECTION("an order under the newest number is valid") {
     CHECK(WrittenUnderAuthority({Order(100), 101}, lease));
   }
 }
@@ -57,12 +58,12 @@
   status.lease_holder =
       Aged<std::string>::Seen("entry-b", TimePoint{seconds(4)});
 
-  SECTION("a kept figure has its age") {
+  SECTION("a value that is kept up to date has its age") {
     const std::string json = EncodeStatus(status, TimePoint{seconds(10)}, 1000);
     CHECK(json.find(R"("lease_holder":{"age_s":6.0,"value":"entry-b"})") !=
           std::string::npos);
   }
-  SECTION("a figure that nothing keeps hides its value") {
+  SECTION("a value that is not kept up to date is hidden") {
     status.lease_holder.unknown_since = TimePoint{seconds(7)};
     const std::string json =
         EncodeStatus(status, TimePoint{seconds(10)}, 5'000'000);
--- a/tests/core/control/reconciler_test.cc
+++ b/tests/core/control/reconciler_test.cc
@@ -33,7 +33,8 @@
   return StaticRoles(spec, targets);
 }
 
-/// One reconciler with a store and engines that obey at once or not at all.
+/// Runs a reconciler with a simulated store and engines that obey at once or
+/// not at all.
 class World {
  public:
   explicit World(int engines)
@@ -59,8 +60,8 @@
     reconciler_.OnTarget(seen, now_);
   }
 
-  /// Ticks once and carries the store actions out. Returns the orders written
-  /// whose generation is new.
+  /// Ticks once and carries out the store actions. Returns the written orders
+  /// that have a new generation.
   std::vector<TargetOrder> Tick(Duration step = seconds(3)) {
     now_ += step;
     std::vector<TargetOrder> differing;
@@ -114,7 +115,7 @@
         now_);
   }
 
-  /// Brings every engine to its order, until nothing is left to do.
+  /// Brings every engine to its ordered state until no action is left.
   void Converge() {
     for (int i = 0; i < 100; ++i) {
       Tick();
@@ -143,13 +144,13 @@
   Reconciler reconciler_;
 };
 
-TEST_CASE("Reconciler rolls a revision out") {
+TEST_CASE("Reconciler rolls out a revision") {
   World world(8);
   world.Converge();
   REQUIRE(world.store().size() == 8);
   world.reconciler().OnRevision(MakeRevision(2, "2"));
 
-  SECTION("at most the stated share is in change at once") {
+  SECTION("at most the maximum share of engines changes at once") {
     std::size_t in_change = 0;
     for (int i = 0; i < 10; ++i) {
       in_change += world.Tick().size();
@@ -161,14 +162,14 @@
     CHECK(world.Tick(seconds(1)).empty());
     CHECK(world.Tick(seconds(1)).size() == 1);
   }
-  SECTION("it ends with every engine in the new state") {
+  SECTION("every engine reaches the new state") {
     world.Converge();
     for (const auto& [name, stored] : world.store()) {
       CHECK(stored.order->desired.version == "2");
       CHECK(stored.order->generation == 2);
     }
   }
-  SECTION("a target in change gets no other order before it answered") {
+  SECTION("a changing target gets no other order before it has answered") {
     const auto first = world.Tick();
     REQUIRE(first.size() == 1);
     world.reconciler().OnRevision(MakeRevision(3, "3"));
@@ -183,7 +184,7 @@
     CHECK(next[0].target == first[0].target);
     CHECK(next[0].desired.version == "3");
   }
-  SECTION("a revision that fails everywhere stops at the share") {
+  SECTION("a revision that fails everywhere stops at the maximum share") {
     for (int i = 0; i < 60; ++i) {
       for (const TargetOrder& order : world.Tick()) {
         if (order.desired.version == "2") {
@@ -203,11 +204,11 @@
   }
 }
 
-TEST_CASE("Reconciler mends drift") {
+TEST_CASE("Reconciler repairs drift") {
   World world(4);
   world.Converge();
 
-  SECTION("an engine that differs for long gets its order again") {
+  SECTION("an engine that differs for too long gets its order again") {
     world.See("engine-1", "0", 1);
     CHECK(world.Tick().empty());
     CHECK(world.Tick().empty());
@@ -217,7 +218,7 @@
     CHECK(orders[0].desired.version == "1");
     CHECK(orders[0].cause == "drift");
   }
-  SECTION("a report that lags is not drift") {
+  SECTION("a delayed report is not drift") {
     world.See("engine-1", "0", 1);
     world.Tick();
     world.See("engine-1", "1", 1);
@@ -225,7 +226,7 @@
     world.Tick();
     CHECK(world.Tick().empty());
   }
-  SECTION("an engine that is down is left to come back") {
+  SECTION("an engine that is down gets no order") {
     world.See("engine-1", "0", 0, ObservedHealth::kDown);
     for (int i = 0; i < 5; ++i) {
       CHECK(world.Tick().empty());
@@ -233,11 +234,11 @@
   }
 }
 
-// The lease moves while a change is under way. The new holder reads all orders
-// before it writes any, and writes each again in the same words under its own
-// number, so that nothing is ordered twice and a late write of the holder
-// before fails.
-TEST_CASE("Reconciler takes over") {
+// The lease changes hands during a change. The new holder must read all orders
+// before it writes any, and rewrite each one unchanged except for its own
+// fencing number. So no order is issued twice, and a late write of the previous
+// holder fails.
+TEST_CASE("Reconciler takes over from another lease holder") {
   World world(4);
   world.Converge();
   world.reconciler().OnRevision(MakeRevision(2, "2"));
@@ -257,7 +258,7 @@
       CHECK_FALSE(std::holds_alternative<Reconciler::WriteOrder>(action));
     }
   }
-  SECTION("a listing from before the lease moved is not enough") {
+  SECTION("a listing from before the lease changed hands is not used") {
     world.reconciler().Tick(lease.fencing_number, world.now());
     LeaseRecord old;
     old.fencing_number = 10;
@@ -266,7 +267,7 @@
               .Tick(lease.fencing_number, world.now() + seconds(1))
               .size() == 1);
   }
-  SECTION("every order is sealed in the same words, none differs") {
+  SECTION("every order is rewritten with only a new fencing number") {
     const auto before = world.store();
     CHECK(world.Tick().empty());
     CHECK(world.Tick().empty());
@@ -276,7 +277,7 @@
       CHECK(stored.order->generation == before.at(name).order->generation);
     }
   }
-  SECTION("an order that came after its number ended is written over") {
+  SECTION("an order written under a superseded number is overwritten") {
     StoredOrder& late = world.store()["engine-3"];
     late.order->desired.version = "9";
     late.order->generation = 5;
@@ -289,8 +290,9 @@
   }
 }
 
-// The store writes the order and the answer is lost. Sending it again in other
-// words would be a second order; so the reconciler reads back its nonce.
+// The store writes the order but the answer is lost. Sending the order again
+// with other content would be a second order, so the reconciler reads back the
+// nonce.
 TEST_CASE("Reconciler settles a write whose answer was lost") {
   World world(4);
   world.Converge();
@@ -341,14 +343,14 @@
     targets[i].name = "engine-" + std::to_string(i);
     targets[i].models = {i < 3 ? "large@1" : "small@1"};
   }
-  SECTION("shares models out and moves as few engines as possible") {
+  SECTION("distributes models and moves as few engines as possible") {
     const auto placed = PlaceTargets(spec, targets, {});
     CHECK(placed.at("engine-0").model == "large");
     CHECK(placed.at("engine-1").model == "large");
     CHECK(placed.at("engine-2").model == "small");
     CHECK(placed.at("engine-3").model == "small");
   }
-  SECTION("fixed roles stay where they are") {
+  SECTION("engines with fixed roles keep them") {
     spec.roles.min_prefill = 1;
     targets[2].role = EngineRole::kPrefill;
     const Roles roles = StaticRoles(spec, targets);
--- a/tests/core/control/revision_book_test.cc
+++ b/tests/core/control/revision_book_test.cc
@@ -18,7 +18,7 @@
   return {name, Incarnation{{run, run}}, deployment};
 }
 
-TEST_CASE("RevisionBook never goes back") {
+TEST_CASE("RevisionBook never returns to an older revision") {
   RevisionBook book({});
   REQUIRE(book.Offer(Record(5)) == RevisionOutcome::kNewer);
 
@@ -26,14 +26,16 @@
     CHECK(book.Offer(Record(4)) == RevisionOutcome::kOlder);
     CHECK(book.Find("brief-llm")->number == 5);
   }
-  SECTION("the same revision again is no change") {
+  SECTION("a repeated revision is no change") {
     CHECK(book.Offer(Record(5)) == RevisionOutcome::kSame);
   }
-  SECTION("the same number with another digest is an error, the first stays") {
+  SECTION(
+      "the same number with another digest is an error and the first revision "
+      "is kept") {
     CHECK(book.Offer(Record(5, 999)) == RevisionOutcome::kMismatch);
     CHECK(book.Find("brief-llm")->digest == 50);
   }
-  SECTION("numbers may be skipped on the way up") {
+  SECTION("numbers may be skipped") {
     CHECK(book.Offer(Record(9)) == RevisionOutcome::kNewer);
     CHECK(book.Find("brief-llm")->value == "value 9");
   }
@@ -47,14 +49,14 @@
   }
 }
 
-TEST_CASE("RevisionBook offers what a peer lacks") {
+TEST_CASE("RevisionBook returns the revisions that a peer lacks") {
   RevisionBook book({});
   book.Offer(Record(5));
   RevisionRecord other = Record(2);
   other.deployment = "alert-app";
   book.Offer(other);
 
-  SECTION("a process that starts with nothing gets everything") {
+  SECTION("a process without revisions gets all") {
     CHECK(book.NewerThan({}, "").size() == 2);
   }
   SECTION("a side gets its own deployment only") {
@@ -65,7 +67,7 @@
   }
 }
 
-TEST_CASE("RevisionBook names who has not applied a revision") {
+TEST_CASE("RevisionBook lists the peers that have not applied a revision") {
   RevisionBook book({});
   const TimePoint t0{seconds(100)};
   book.Offer(Record(5));
@@ -78,7 +80,7 @@
   book.OnApplied("side-1", Incarnation{{2, 2}}, "brief-llm", 5);
   REQUIRE(book.InForceOf("brief-llm").everywhere());
 
-  SECTION("a late report of an older revision takes nothing back") {
+  SECTION("a late report of an older revision is ignored") {
     book.OnApplied("side-1", Incarnation{{2, 2}}, "brief-llm", 4);
     CHECK(book.InForceOf("brief-llm").everywhere());
   }
--- a/tests/core/control/stage_control_test.cc
+++ b/tests/core/control/stage_control_test.cc
@@ -16,10 +16,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A load of which a fifth of the engines should make the answers.
+/// Load for which a fifth of the engines should decode.
 constexpr RoleLoad kFifthAnswers{4, 1};
 
-/// A fleet that carries out what it is told after a change time.
+/// Simulates engines that carry out their orders after a change time.
 class Fleet {
  public:
   explicit Fleet(int engines) {
@@ -71,9 +71,8 @@
   std::vector<StagedEngine> engines_;
 };
 
-/// The plan for answers by the rule itself: the next engine is one of a domain
-/// with the fewest so far, one that makes answers before one that reads, the
-/// first by name.
+/// Reference plan of the decode engines: takes the next engine from a domain
+/// with the fewest so far, decode engines before prefill engines, then by name.
 std::set<std::string> PlanByRule(const std::vector<StagedEngine>& engines,
                                  std::size_t wanted) {
   std::map<std::string, std::size_t> by_domain;
@@ -96,7 +95,7 @@
   return planned;
 }
 
-TEST_CASE("The plan is what its rule says, whatever the engines do now") {
+TEST_CASE("The plan equals the reference plan for any current roles") {
   RandomSource random = MakeSeededRandom(11);
   for (int round = 0; round < 200; ++round) {
     Fleet fleet(12 + static_cast<int>(ToBelow(random(), 60)));
@@ -117,9 +116,9 @@
   }
 }
 
-// The holder of the lease plans several times a second, beside its callers. It
-// has a hundredth of a core for all control: 2.4 ms for each plan.
-TEST_CASE("Planning for thousands of engines takes a part of its share") {
+// The lease holder plans several times a second, next to serving requests. It
+// has a hundredth of a core for all control work, which is 2.4 ms per plan.
+TEST_CASE("Planning for thousands of engines stays within its CPU budget") {
   constexpr int kPlans = 20;
   constexpr double kSecondsEach = 0.0024;
   Fleet fleet(5000);
@@ -131,20 +130,21 @@
   }
   const double seconds =
       static_cast<double>(std::clock() - begin) / CLOCKS_PER_SEC;
-  // Several times the bound: other work shares the machine's caches.
+  // The limit is several times the bound, because other work shares the
+  // machine's caches.
   CHECK(seconds / kPlans < 4 * kSecondsEach);
 }
 
-TEST_CASE("Most engines are told to read, once the list stands still") {
+TEST_CASE("Most engines are ordered to prefill once the list is stable") {
   Fleet fleet(18);
   fleet.List();
   CHECK(fleet.Order().empty());
   fleet.now += milliseconds(1600);
 
-  SECTION("by the holder of the lease alone") {
+  SECTION("only the lease holder gives orders") {
     CHECK(fleet.Order(std::nullopt).empty());
   }
-  SECTION("all at once, as none serves yet") {
+  SECTION("all engines are ordered at once, as none serves yet") {
     const auto orders = fleet.Order(9);
     REQUIRE(orders.size() == 14);
     CHECK(orders[0].fencing_number == 9);
@@ -152,7 +152,7 @@
     CHECK(fleet.Roles()[EngineRole::kDecode] == 4);
     CHECK(fleet.Order().empty());
 
-    SECTION("and the answers are made in different failure domains") {
+    SECTION("the decode engines are in different failure domains") {
       std::map<std::string, int> domains;
       for (const StagedEngine& it : fleet.engines()) {
         domains[it.failure_domain] += it.role == EngineRole::kDecode;
@@ -160,7 +160,7 @@
       CHECK(std::all_of(domains.begin(), domains.end(),
                         [](const auto& it) { return it.second == 1; }));
     }
-    SECTION("a lost engine for answers is replaced") {
+    SECTION("a lost decode engine is replaced") {
       std::erase_if(fleet.engines(), [](const auto& it) {
         return it.role == EngineRole::kDecode && it.instance < "e01";
       });
@@ -173,17 +173,17 @@
   }
 }
 
-TEST_CASE("A small fleet keeps every engine able to do both") {
+TEST_CASE("In a small fleet no engine is ordered to prefill") {
   Fleet fleet(3);
   fleet.List();
   fleet.now += seconds(2);
   CHECK(fleet.Order().empty());
 }
 
-// An order gets no answer; the engine carries it out seconds later. Another
-// order in between could be overtaken by it, and the engine would end in a role
-// that nobody wants any more.
-TEST_CASE("Nothing is sent to an engine whose last order is unsettled") {
+// An order gets no answer and the engine carries it out seconds later. A
+// different order sent in between could be overtaken by it, and the engine
+// would end in an outdated role.
+TEST_CASE("Nothing is sent to an engine with an unsettled order") {
   Fleet fleet(4);
   fleet.List();
   fleet.now += seconds(2);
@@ -217,7 +217,7 @@
   fleet.List();
   fleet.now += seconds(2);
   fleet.CarryOut(fleet.Order());
-  REQUIRE(fleet.Order().empty());  // The plan is reached.
+  REQUIRE(fleet.Order().empty());  // The plan has been reached.
   for (StagedEngine& it : fleet.engines()) {
     it.role = EngineRole::kDecode;  // As if all had restarted.
   }
@@ -226,10 +226,10 @@
   CHECK(fleet.Order().empty());
 }
 
-// An order gets no answer, and nothing that differs may follow it for seconds.
-// The engine starts again: the order was to the run before, so that the new one
-// need not wait for its role.
-TEST_CASE("An engine that starts anew is ordered anew") {
+// After an order without answer, nothing different may be sent for seconds. If
+// the engine restarts meanwhile, the order was for the previous incarnation, so
+// the new one can be ordered at once.
+TEST_CASE("A restarted engine is ordered again") {
   Fleet fleet(4);
   fleet.List();
   fleet.now += seconds(2);
@@ -242,17 +242,17 @@
   const auto again = fleet.Order();
   REQUIRE(again.size() == 1);
   CHECK(again[0] == orders[0]);
-  SECTION("and the late outcome of the first order counts no more") {
+  SECTION("a late outcome of the first order is ignored") {
     fleet.control.OnRestarted(orders[0].instance);
     fleet.control.OnOutcome(orders[0], StageOrderOutcome::kRefused, fleet.now);
     CHECK(fleet.Order().size() == 1);
   }
 }
 
-// Long answers come in place of long prompts. Callers of these wait for places
-// at few engines while readers idle; but the mix also turns back within
-// seconds, and each order takes its engine away for three.
-TEST_CASE("The plan follows a load that lasts, and no other") {
+// When decode-heavy load replaces prefill-heavy load, requests wait for the few
+// decode engines while prefill engines idle. But the mix also turns back within
+// seconds, and each order makes its engine unavailable for three seconds.
+TEST_CASE("The plan follows only a lasting change of load") {
   Fleet fleet(18);
   fleet.List();
   fleet.now += seconds(2);
@@ -261,19 +261,19 @@
   REQUIRE(fleet.Order().empty());
   const RoleLoad half{1, 1};
 
-  SECTION("not one of two seconds") {
+  SECTION("a change of two seconds is ignored") {
     CHECK_FALSE(fleet.control.OnLoad(half, fleet.now));
     CHECK_FALSE(fleet.control.OnLoad(half, fleet.now + seconds(2)));
     CHECK_FALSE(fleet.control.OnLoad(kFifthAnswers, fleet.now + seconds(3)));
     CHECK_FALSE(fleet.control.OnLoad(half, fleet.now + seconds(4)));
     CHECK(fleet.Order().empty());
   }
-  SECTION("nor one that asks for one engine in eighteen") {
+  SECTION("a change by one engine in eighteen is ignored") {
     const RoleLoad quarter{3, 1};
     CHECK_FALSE(fleet.control.OnLoad(quarter, fleet.now));
     CHECK_FALSE(fleet.control.OnLoad(quarter, fleet.now + seconds(60)));
   }
-  SECTION("but one that lasts, a few engines at a time") {
+  SECTION("a lasting change is followed a few engines at a time") {
     CHECK_FALSE(fleet.control.OnLoad(half, fleet.now));
     fleet.now += seconds(3);
     CHECK(fleet.control.OnLoad(half, fleet.now) == 0.5);
@@ -287,9 +287,9 @@
   }
 }
 
-// All that readers have to do seems nothing, or all that there is. A half with
-// no engine, or a single one, would serve nobody once that one is lost.
-TEST_CASE("Neither half of the work is left without engines") {
+// The prefill load appears to be zero, or the whole load. A role with no
+// engine, or with a single engine that is then lost, would serve no requests.
+TEST_CASE("Each role has two engines unless the fleet is too small") {
   for (const RoleLoad& load : {RoleLoad{1, 0}, RoleLoad{0, 1}}) {
     StageControl control{StageControl::Options{}};
     const TimePoint now{seconds(100)};
@@ -309,9 +309,10 @@
   }
 }
 
-// The holder of the lease dies; another entry, which has seen less, takes over.
-// It must go on with the roles that it finds instead of its own first guess.
-TEST_CASE("A new holder begins with the roles that the engines have") {
+// The lease holder fails and an entry that has seen less load takes over. It
+// must start from the roles that the engines have and not from its own first
+// estimate.
+TEST_CASE("A new holder starts with the roles that the engines have") {
   Fleet fleet(18);
   for (int n = 0; n < 18; ++n) {
     fleet.engines()[n].role =
