--- a/src/core/control/audit.h
+++ b/src/core/control/audit.h
@@ -102,7 +102,7 @@
   /// Returns the write that is due, if any.
   std::optional<Write> Tick(TimePoint now);
 
-  /// Takes in the answer to the last write.
+  /// Handles the answer to the last write.
   void OnWritten(bool ok);
 
   std::uint64_t dropped() const { return dropped_; }
--- a/src/core/control/lease.cc
+++ b/src/core/control/lease.cc
@@ -107,8 +107,7 @@
 
 void Lease::SetReserve(bool reserve) {
   if (reserve_ && !reserve) {
-    next_read_ =
-        TimePoint{};  // Read now: a standby needs a recent view of the lease.
+    next_read_ = TimePoint{};  // Standbys need a recent view.
   }
   reserve_ = reserve;
 }
--- a/src/core/control/lease.h
+++ b/src/core/control/lease.h
@@ -17,8 +17,7 @@
 
 /// Value of the `control/lease` object.
 struct LeaseRecord {
-  std::string
-      holder;  ///< Instance name of an entry; empty after a resignation.
+  std::string holder;  ///< Instance name of an entry; empty if resigned.
   Incarnation incarnation;
   FencingNumber fencing_number = 0;
   Id128 nonce;  ///< Unique per write; identifies one whose answer was lost.
@@ -150,15 +149,14 @@
   /// Runs the timers; must be called several times per `pause_limit`.
   Actions Tick(TimePoint now);
 
-  /// Takes in the answer to a read.
+  /// Handles the answer to a read.
   Actions OnRead(const Result<LeaseView>& answer, TimePoint now);
 
-  /// Takes in the answer to the write with `nonce`: the new version or an
-  /// error.
+  /// Handles the answer to the write with `nonce`: the new version or an error.
   Actions OnWritten(const Id128& nonce, const Result<std::uint64_t>& answer,
                     TimePoint now);
 
-  /// Takes in a lease reported by a watch.
+  /// Handles a lease reported by a watch.
   Actions OnWatched(const LeaseView& view, TimePoint now);
 
   /// Gives up the lease, so that another entry need not wait until it lapses.
--- a/src/core/control/order_executor.h
+++ b/src/core/control/order_executor.h
@@ -82,8 +82,9 @@
     Duration settle_time = std::chrono::seconds(5);
     /// Delay before a write is repeated.
     Duration write_pause = std::chrono::milliseconds(500);
-    int max_writes =
-        3;  ///< Per order, counting repeats after crashes and broken writes.
+    /// Maximum writes of one order, counting repeats after crashes and broken
+    /// writes.
+    int max_writes = 3;
   };
 
   struct Hooks {
@@ -107,7 +108,7 @@
 
   OrderExecutor(std::string target, Options options, Hooks hooks);
 
-  /// Takes in the newest fencing number seen from a peer or the store.
+  /// Handles the newest fencing number seen from a peer or the store.
   void OnNumber(FencingNumber number, TimePoint now);
   void OnOrder(const SideOrder& order, TimePoint now);
   /// Answers `confirm`; `number` is empty if the store could not be read.
--- a/src/core/control/reconciler.h
+++ b/src/core/control/reconciler.h
@@ -90,26 +90,27 @@
 
   Reconciler(Options options, RolePlan role_plan, IdSource ids);
 
-  /// Takes in a revision of a deployment that this entry applies; older ones
-  /// are ignored.
+  /// Adopts a revision of a deployment that this entry applies; older ones are
+  /// ignored.
   void OnRevision(const Revision& revision);
 
-  /// Takes in a side's observation of its engine.
+  /// Handles a side's observation of its engine.
   void OnTarget(const TargetObservation& seen, TimePoint now);
   /// Removes a target that the platform no longer lists.
   void OnTargetGone(const std::string& target);
   /// Starts or ends an operator's drain. A drained target gets no new orders.
   void OnDrain(const std::string& target, bool drained);
-  /// Takes in a side's report on an order.
+  /// Handles a side's report on an order.
   void OnReport(const OrderReport& report, TimePoint now);
 
-  /// Answers `ReadOrders`; `lease` was read together with the orders.
+  /// Handles the answer to `ReadOrders`; `lease` was read together with the
+  /// orders.
   void OnOrders(const Result<std::vector<StoredOrder>>& orders,
                 const LeaseRecord& lease, TimePoint now);
-  /// Takes in one order as seen by a read or a watch.
+  /// Handles one order as seen by a read or a watch.
   void OnOrder(const std::string& target, const StoredOrder& stored,
                const LeaseRecord& lease, TimePoint now);
-  /// Answers `WriteOrder`.
+  /// Handles the answer to `WriteOrder`.
   void OnWritten(const std::string& target, const Id128& nonce,
                  const Result<std::uint64_t>& answer, TimePoint now);
 
@@ -135,16 +136,15 @@
   struct Slot {
     std::optional<TargetObservation> seen;
     StoredOrder stored;
-    bool void_order =
-        false;  ///< Written after its fencing number was superseded.
+    bool void_order = false;  ///< Written after its number ended.
     std::optional<OrderPhase> phase;
     std::string detail;
     TimePoint ordered_at;
     TimePoint phase_at;
     std::optional<TimePoint> drift_since;
     std::optional<PendingWrite> write;
-    TimePoint
-        next_write;  ///< Earliest time of the next write, after a failure.
+    /// Earliest time of the next write, set after a write that failed.
+    TimePoint next_write;
     bool loads_weights = false;
     bool drained = false;
   };
--- a/src/core/control/reconciler_state.cc
+++ b/src/core/control/reconciler_state.cc
@@ -30,8 +30,8 @@
                           const LeaseRecord& lease, TimePoint now) {
   list_sent_at_.reset();
   if (!number_ || !IsOk(orders) || lease.fencing_number < *number_) {
-    return;  // The listing may predate this holder's lease and miss later
-             // orders.
+    // A listing read before this authority began may miss later orders.
+    return;
   }
   for (const StoredOrder& stored : ValueOf(orders)) {
     if (!stored.order) {
--- a/src/core/control/stage_control.cc
+++ b/src/core/control/stage_control.cc
@@ -50,9 +50,8 @@
                                    : readers_[taken_ - others_.size()];
   }
 
-  std::vector<const StagedEngine*> others_;  ///< Decode engines already.
-  std::vector<const StagedEngine*>
-      readers_;  ///< Prefill engines, which would have to change.
+  std::vector<const StagedEngine*> others_;   ///< Decode engines already.
+  std::vector<const StagedEngine*> readers_;  ///< Would have to change.
   std::size_t taken_ = 0;
 };
 
--- a/src/core/control/stage_control.h
+++ b/src/core/control/stage_control.h
@@ -91,7 +91,7 @@
 
   explicit StageControl(Options options) : options_(options) {}
 
-  /// Takes in the complete list of the service's engines.
+  /// Sets the complete list of the service's engines.
   void OnEngines(const std::vector<StagedEngine>& engines, TimePoint now);
 
   /// Handles a restart of an engine. An order to the previous incarnation has
@@ -100,7 +100,7 @@
   /// resulting role, and the engine is ordered back.
   void OnRestarted(const std::string& instance) { sent_.erase(instance); }
 
-  /// Takes in the prefill and decode load of the engines. Returns the planned
+  /// Updates the prefill and decode load of the engines. Returns the planned
   /// share of decode engines if it changed.
   std::optional<double> OnLoad(const RoleLoad& load, TimePoint now);
   /// Adopts the engines' current roles as the plan. A new holder does this
@@ -111,7 +111,7 @@
   std::vector<StageOrder> Tick(std::optional<FencingNumber> number,
                                TimePoint now);
 
-  /// Takes in the outcome of an order returned by `Tick`.
+  /// Handles the outcome of an order returned by `Tick`.
   void OnOutcome(const StageOrder& order, StageOrderOutcome outcome,
                  TimePoint now);
 
@@ -122,7 +122,7 @@
   struct Sent {
     EngineRole role = EngineRole::kDecode;
     TimePoint quiet_until{};  ///< No order may be sent before this time.
-    bool waiting = true;      ///< Changing, or the answer is outstanding.
+    bool waiting = true;      ///< The change or its answer is outstanding.
   };
 
   std::size_t Wanted(const std::vector<const StagedEngine*>& usable,
--- a/tests/core/control/lease_fleet_test.cc
+++ b/tests/core/control/lease_fleet_test.cc
@@ -145,9 +145,7 @@
     CHECK(*fleet.holder() != lost);
     CHECK(*fleet.holder() < 8);
   }
-  SECTION(
-      "a reserve replaces the holder within a minute if all standbys are lost "
-      "too") {
+  SECTION("a reserve takes over within a minute if no standby is left") {
     fleet.Kill([](std::size_t it) { return it < 8; });
     fleet.Run(seconds(60));
     REQUIRE(fleet.holder());
--- a/tests/core/control/order_executor_test.cc
+++ b/tests/core/control/order_executor_test.cc
@@ -118,8 +118,8 @@
 
   f.running_ = 0;
   f.Pass(milliseconds(20));
-  REQUIRE(f.confirms_.size() ==
-          2);  // The first one is three seconds old and has expired.
+  // The first confirmation is three seconds old and has expired.
+  REQUIRE(f.confirms_.size() == 2);
   f.Confirm(5);
   REQUIRE(f.writes_.size() == 1);
   CHECK(f.writes_[0].write_by == f.now_ + seconds(1));
@@ -478,8 +478,8 @@
   void Read() { f_.Read(); }
 
   void Check() {
-    RC_ASSERT(f_.writes_.size() <=
-              answered_ + 1);  // At most one write is unanswered.
+    // At most one write is unanswered.
+    RC_ASSERT(f_.writes_.size() <= answered_ + 1);
     while (checked_ < f_.writes_.size()) {
       // Confirmations always carry the current number, so a write under an old
       // number would mean that it was not confirmed in time.
--- a/tests/core/control/revision_book_test.cc
+++ b/tests/core/control/revision_book_test.cc
@@ -29,9 +29,7 @@
   SECTION("a repeated revision is no change") {
     CHECK(book.Offer(Record(5)) == RevisionOutcome::kSame);
   }
-  SECTION(
-      "the same number with another digest is an error and the first revision "
-      "is kept") {
+  SECTION("another digest for a known number is an error, the first stays") {
     CHECK(book.Offer(Record(5, 999)) == RevisionOutcome::kMismatch);
     CHECK(book.Find("brief-llm")->digest == 50);
   }
