--- a/src/core/control/lease.cc
+++ b/src/core/control/lease.cc
@@ -107,7 +107,7 @@
 
 void Lease::SetReserve(bool reserve) {
   if (reserve_ && !reserve) {
-    next_read_ = TimePoint{};  // Standbys need a recent view.
+    next_read_ = TimePoint{};  // Read now: standbys need a recent view.
   }
   reserve_ = reserve;
 }
--- a/src/core/control/reconciler.h
+++ b/src/core/control/reconciler.h
@@ -127,7 +127,7 @@
     TargetOrder order;
     std::uint64_t expected = 0;
     TimePoint sent_at;
-    bool settle = false;  ///< Outcome unknown: read the order back first.
+    bool settle = false;  ///< Read the order back first.
     bool read_sent = false;
     bool may_repeat = false;
     /// Audit record to emit once the write is known to have taken effect.
--- a/src/core/control/stage_control.cc
+++ b/src/core/control/stage_control.cc
@@ -50,7 +50,7 @@
                                    : readers_[taken_ - others_.size()];
   }
 
-  std::vector<const StagedEngine*> others_;   ///< Decode engines already.
+  std::vector<const StagedEngine*> others_;   ///< Decode already.
   std::vector<const StagedEngine*> readers_;  ///< Would have to change.
   std::size_t taken_ = 0;
 };
@@ -73,7 +73,7 @@
   for (const StagedEngine& it : engines_) {
     const auto sent = sent_.find(it.instance);
     if (sent != sent_.end() && sent->second.role == it.role) {
-      // The change is done; a late copy of the order fails its precondition.
+      // The change is done; a late copy of the order fails the precondition.
       sent_.erase(sent);
     }
   }
--- a/src/core/control/status.h
+++ b/src/core/control/status.h
@@ -116,7 +116,7 @@
 /// Returns `status` as JSON. `now` and `wall_now` must be read together; ages
 /// and "unknown_since" are computed from them.
 ///
-/// An `Aged` value is written as `{"value":V,"age_s":N}`, as
+/// Each `Aged` value is written as `{"value":V,"age_s":N}`, as
 /// `{"unknown_since":WALL_MICROS,"unknown_for_s":N}`, or as `null` if it was
 /// never observed.
 std::string EncodeStatus(const SystemStatus& status, TimePoint now,
--- a/tests/core/control/revision_book_test.cc
+++ b/tests/core/control/revision_book_test.cc
@@ -18,7 +18,7 @@
   return {name, Incarnation{{run, run}}, deployment};
 }
 
-TEST_CASE("RevisionBook never returns to an older revision") {
+TEST_CASE("RevisionTable never returns to an older revision") {
   RevisionBook book({});
   REQUIRE(book.Offer(Record(5)) == RevisionOutcome::kNewer);
 
@@ -47,7 +47,7 @@
   }
 }
 
-TEST_CASE("RevisionBook returns the revisions that a peer lacks") {
+TEST_CASE("RevisionTable returns the revisions that a peer lacks") {
   RevisionBook book({});
   book.Offer(Record(5));
   RevisionRecord other = Record(2);
@@ -65,7 +65,7 @@
   }
 }
 
-TEST_CASE("RevisionBook lists the peers that have not applied a revision") {
+TEST_CASE("RevisionTable lists the peers that have not applied a revision") {
   RevisionBook book({});
   const TimePoint t0{seconds(100)};
   book.Offer(Record(5));
