--- a/src/core/placement/engine_placement.cc
+++ b/src/core/placement/engine_placement.cc
@@ -12,17 +12,18 @@
 namespace indigolead {
 namespace {
 
-/// Returns the parts that other requests are expected to share.
+/// Returns the number of leading parts that other requests are expected to
+/// share.
 std::size_t SharedCount(const std::vector<PromptPart>& parts) {
   return parts.size() > 1 ? parts.size() - 1 : parts.size();
 }
 
-/// Weight of one answer's wait in the recent mean: at 60 answers a second it
-/// follows a burst in a quarter of a second.
+/// Weight of one answer's wait in the moving average. At 60 answers a second
+/// the average follows a burst within a quarter of a second.
 constexpr double kAnswerWaitWeight = 0.06;
 
-/// Sums of weighted tokens leave rests far below one token when all of them
-/// have been taken off again; an engine with such a rest is idle.
+/// Adding and subtracting weighted tokens leaves a rounding error far below one
+/// token, so an engine with a backlog below one token is idle.
 bool IsIdle(double backlog) { return backlog < 1; }
 
 double Seconds(Duration duration) {
@@ -34,21 +35,21 @@
       std::chrono::duration<double>(seconds));
 }
 
-/// Returns true if an engine in `role` could do the work of `wanted`.
+/// Returns true if an engine with `role` can do the work of role `wanted`.
 bool Fits(EngineRole role, EngineRole wanted) {
   return role == wanted ||
          (role == EngineRole::kMixed && wanted == EngineRole::kDecode);
 }
 
-/// Returns true if being closed is what keeps work of `wanted` from some
-/// engine.
+/// Returns true if some engine could do the work of role `wanted` but is
+/// closed.
 bool AnyClosed(const std::vector<PlacementEngine>& engines, EngineRole wanted) {
   return std::any_of(engines.begin(), engines.end(), [wanted](const auto& it) {
     return it.closed && !it.leaving && Fits(it.role, wanted);
   });
 }
 
-/// Returns the engine that reads the prompt of a request so placed.
+/// Returns the engine that runs the prefill.
 const std::string& ReaderOf(const EnginePlace& place) {
   return place.prefill.empty() ? place.decode : place.prefill;
 }
@@ -62,7 +63,7 @@
       [](std::uint64_t n, const PromptPart& it) { return n + it.tokens; });
 }
 
-/// Returns `engines` in the order in which they are homes of `prefix`.
+/// Sorts `engines` by their rendezvous weight for `prefix`, home first.
 void SortByRendezvous(std::uint64_t prefix,
                       std::vector<const PlacementEngine*>* engines) {
   const std::string key = std::to_string(prefix);
@@ -110,11 +111,11 @@
                : PlacementDecision(NoEngine{});
   }
   if (AllFull(decoders, now)) {
-    // Its prompt would be read in vain.
+    // The prefill would be wasted.
     return Busy(options_.avoid_after_refusal, Duration{0});
   }
   if (readers.empty() && AnyClosed(engines, EngineRole::kPrefill)) {
-    // Prompts read by engines that make answers stop the answers beside them.
+    // A prefill on a decode engine would stall the answers that it streams.
     return EnginesClosed{};
   }
   if (readers.empty()) {
@@ -134,7 +135,7 @@
     const Duration first_event =
         wait + read_time_.Predict(work) + ToDuration(answer_wait_s_);
     least = std::min(least, first_event);
-    // An idle engine takes any request, however long.
+    // An idle engine accepts any request, however long its prefill.
     if (wait == Duration{0} || first_event <= limit) {
       const PlacementEngine* decode =
           PickDecode(decoders, readers[it]->failure_domain);
@@ -144,11 +145,11 @@
   return Busy(least, limit);
 }
 
-// Homes move when engines leave, crash or come back, and prompts overflow from
-// a busy home to the next. Each time a shared part that some engine holds would
-// be read anew. In the order of the hash the holder is the first engine other
-// than the reader: the home of an overflow, the leaving home of a new one, and
-// the home of the time in which a reader that came back was away.
+// The prefill engine of a prefix changes when engines leave, crash or return,
+// and when a busy home overflows to the next. Without a copy, each change would
+// compute again a prefix that another engine holds. The holder is the first
+// other engine in rendezvous order: the home after an overflow, the leaving
+// engine after a drain, or the substitute after a home returns.
 std::string EnginePlacement::CopySource(
     const CallerRequest& request, const std::vector<PlacementEngine>& engines,
     const std::vector<const PlacementEngine*>& readers,
@@ -204,8 +205,8 @@
   if (!state) {
     return Duration{0};
   }
-  // What was seen to wait is read in that time; what is unread of this entry's
-  // own prompts is there for certain.
+  // The observed queue shrinks as time passes, but prompts sent from here that
+  // are still pending are known to be queued.
   const Duration seen = state->wait - (now - state->wait_at);
   const Duration own = IsIdle(state->backlog)
                            ? Duration{0}
@@ -226,7 +227,7 @@
 }
 
 EnginesBusy EnginePlacement::Busy(Duration first_event, Duration limit) {
-  // Refused callers that all came back at one moment would be refused again.
+  // Jitter: callers that all retried at the same moment would be refused again.
   const double spread = 0.75 + 0.5 * ToUnitInterval(random_());
   const Duration wait = ToDuration(Seconds(first_event - limit) * spread);
   return {std::clamp(wait, options_.min_retry_after, options_.max_retry_after),
@@ -281,7 +282,8 @@
                                const std::string& instance,
                                bool is_home) const {
   const EngineState* state = Find(instance);
-  // At its home a prefix is taken for cached: other entries send it there too.
+  // A prefix is assumed to be cached at its home, because other entry processes
+  // send it there too.
   return is_home || (state && state->prefixes.count(
                                   SharedPrefixHash(request.prompt_parts)) > 0);
 }
@@ -349,7 +351,7 @@
   sent->second.decode_epoch = decode.epoch;
   sent->second.asked_at = now;
   ++decode.streams;
-  // The KV cache that it fetches stays there like what it has read.
+  // The fetched KV cache stays in the engine's prefix cache.
   RememberPrefix(&decode, sent->second);
   Owe(place.decode, now);
   return place.decode;
@@ -472,14 +474,14 @@
 }
 
 void EnginePlacement::Settle(EngineState* state, bool refused, TimePoint now) {
-  // An engine that says no is alive; one whose call ran out may not be.
+  // An engine that refuses is alive; one whose call timed out may not be.
   const bool stalled = IsStalled(*state, now);
   state->owed -= state->owed > 0 ? 1 : 0;
   if (stalled) {
     state->avoid_until = now + options_.avoid_stalled;
   } else if (refused) {
     state->progress_at = now;
-    // Those that were under way when it became avoided tell nothing new.
+    // Refusals of calls sent before the engine was avoided do not count.
     if (now >= state->avoid_until) {
       state->avoid_until = now + AvoidAfter(state->refusals++);
     }
--- a/src/core/placement/engine_placement.h
+++ b/src/core/placement/engine_placement.h
@@ -20,48 +20,50 @@
 
 namespace indigolead {
 
-/// One engine that may get work now.
+/// An engine that may be considered for a request, with its current state.
 struct PlacementEngine {
   std::string instance;
   std::string failure_domain;
   EngineRole role = EngineRole::kMixed;
-  bool tried = false;    ///< An earlier attempt of this request went there.
-  bool avoided = false;  ///< Its calls have broken one after the other.
-  bool leaving = false;  ///< Gets no work; what it holds may be copied yet.
-  /// May be sent nothing by this entry now: by a limit that it names, or since
-  /// it asked for rest. What it holds may be copied.
+  bool tried = false;    ///< An earlier attempt of this request used it.
+  bool avoided = false;  ///< Its recent calls broke in a row.
+  bool leaving = false;  ///< Gets no work; its cache can still be copied.
+  /// Gets no work from this entry process now, because it reached a limit that
+  /// the engine declares or the engine asked for a pause. Its cache can still
+  /// be copied.
   bool closed = false;
 
   friend bool operator==(const PlacementEngine&,
                          const PlacementEngine&) = default;
 };
 
-/// Where a request is read, and where its answer is made.
+/// The engines chosen for the prefill and the decode of a request.
 struct EnginePlace {
-  std::string prefill;  ///< Empty: `decode` reads the prompt as well.
+  std::string prefill;  ///< Empty if `decode` runs the prefill too.
   std::string decode;
-  double prefill_work = 0;  ///< Tokens still to be read, as counted here.
-  bool cached = false;      ///< The shared part is taken to be cached there.
-  /// Engine from which the reader may copy the shared part; empty: none.
+  double prefill_work = 0;  ///< Weighted tokens to prefill.
+  bool cached = false;      ///< The shared prefix is assumed to be cached.
+  /// Engine from which the prefill engine may copy the shared prefix, or empty.
   std::string copy_from = {};
 
   friend bool operator==(const EnginePlace&, const EnginePlace&) = default;
 };
 
-/// Every engine that could take the request has enough to read already.
+/// No engine can serve the request in time because of queued work.
 struct EnginesBusy {
   Duration retry_after{0};
-  Duration first_event{0};  ///< Predicted, of the best engine considered.
+  Duration first_event{0};  ///< Predicted for the best engine considered.
 
   friend bool operator==(const EnginesBusy&, const EnginesBusy&) = default;
 };
 
-/// Every engine that could take the request is closed.
+/// No engine is available for the prefill or the decode, and at least one
+/// suitable engine is closed.
 struct EnginesClosed {
   friend bool operator==(const EnginesClosed&, const EnginesClosed&) = default;
 };
 
-/// No engine can make the answer.
+/// No engine can run the decode.
 struct NoEngine {
   friend bool operator==(const NoEngine&, const NoEngine&) = default;
 };
@@ -69,131 +71,135 @@
 using PlacementDecision =
     std::variant<EnginePlace, EnginesBusy, EnginesClosed, NoEngine>;
 
-/// Places the two halves of a generation on a fleet whose engines either read
-/// prompts or make answers.
+/// Chooses the prefill engine and the decode engine of each request in a fleet
+/// with disaggregated prefill and decode.
 ///
-/// With short answers to long prompts reading is the scarce thing, and most of
-/// what is read has been read before. So the parts of a prompt that requests
-/// share have a home, which every entry finds by the same hash without asking
-/// anyone; a request goes to the next home in the hash's order while the one
-/// before has too much to read. What nobody can read in time is refused at
-/// once, since a queue at the engines can be neither reordered nor refused.
+/// With long prompts and short answers prefill is the bottleneck, and most
+/// prompt tokens belong to prefixes that were computed before. Each shared
+/// prefix therefore has home engines, ranked by a rendezvous hash, so that all
+/// entry processes agree on them without communication. A request goes to the
+/// first home that can serve it in time. If none can, the request is refused at
+/// once, because work queued at an engine can be neither reordered nor refused.
 ///
 /// Not thread-safe. Memory is bounded by the options.
 class EnginePlacement {
  public:
   struct Options {
-    /// Share of its tokens that a cached part counts for in a backlog: it is
-    /// looked up and copied, not read.
+    /// Weight of a cached token in a backlog, relative to one that must be
+    /// computed. A cached token only costs a lookup and a copy.
     double cached_weight = 0.1;
-    /// Share of a request's target for its first event that its prediction may
-    /// take; the rest is for what other entries send at the same moment, which
-    /// no entry sees, and for the ways to the caller. What would come later is
-    /// refused at once: a late answer takes as much of the engines as one in
-    /// time, which then is late as well.
+    /// Share of a request's first-event target that the predicted time may
+    /// take. The rest covers network latency and the requests that other entry
+    /// processes send at the same time, which this one cannot see. A request
+    /// predicted to be later is refused at once: a late answer uses as much
+    /// engine time as one in time and makes others late.
     double in_time_share = 0.6;
-    /// Where no target is set, this share of the time left stands for it.
+    /// Share of the time until the deadline that replaces a missing target.
     double share_without_target = 0.25;
-    /// Homes of one shared prefix; more of them hold the same copies.
+    /// Homes of one shared prefix. Each further home duplicates its KV cache.
     std::size_t max_homes = 3;
-    std::string failure_domain;  ///< Where the entry itself runs.
-    /// Streams by which an engine for the answer may be busier and still be
-    /// preferred: in the entry's failure domain, since the whole request goes
-    /// to it once more, and in the reader's, from which a copy takes half as
-    /// long.
+    std::string failure_domain;  ///< Of this entry process.
+    /// Extra streams that a decode engine may have and still be preferred: in
+    /// the entry process's failure domain, because the whole request is sent to
+    /// it again, and in the prefill engine's failure domain, from which a KV
+    /// cache copy takes half as long.
     double own_domain_streams = 4;
     double reader_domain_streams = 2;
-    /// Bounds on the time after which a refused caller may come back. Bursts
-    /// last two to three seconds, and callers come back once or twice: after
-    /// 0.2 s most met the same burst and were refused for good. Measured in
-    /// days played, 1.2 s earned no less than 0.2 s on any of three workloads.
+    /// Bounds on the retry-after time of a refused caller. Bursts last two to
+    /// three seconds and callers retry once or twice; with 0.2 s most retries
+    /// hit the same burst and failed for good. In simulated days of three
+    /// workloads, 1.2 s was never worse than 0.2 s.
     Duration min_retry_after = std::chrono::milliseconds(1200);
     Duration max_retry_after = std::chrono::milliseconds(2500);
-    /// An engine that refused is left alone that long; its full queue lasts
-    /// longer than the way to it. Doubles with each refusal in a row, up to the
-    /// longest: a change of role takes three to seven seconds, in which a
-    /// hundred entries asked it four times a second each.
+    /// Time for which an engine that refused is avoided; its queue stays full
+    /// for longer than the network latency to it. Doubles with each consecutive
+    /// refusal up to the maximum: a role change takes three to seven seconds,
+    /// in which a hundred entry processes would otherwise each ask the engine
+    /// four times a second.
     Duration avoid_after_refusal = std::chrono::milliseconds(250);
     Duration longest_avoid_after_refusal = std::chrono::seconds(2);
-    /// An engine that owes an answer and has given none for so long gets no
-    /// new work: dark, frozen or cut off, it would keep requests until their
-    /// deadline. A sound one under full backlogs answers several times in this.
+    /// Time without a first response, while calls are pending, after which an
+    /// engine gets no new work. An engine that hangs or is unreachable would
+    /// hold requests until their deadline. A healthy engine with a full backlog
+    /// responds several times within this period.
     Duration stall_after = std::chrono::milliseconds(900);
-    /// Time for which a stalled engine that let a call run out is left alone:
-    /// it is back seconds after a crash.
+    /// Time for which a stalled engine is avoided after a call to it ends
+    /// without success. A crashed engine is back within seconds.
     Duration avoid_stalled = std::chrono::seconds(2);
     ReadTimeModel::Options read_time;
     RoleLoadMeter::Options load;
     std::size_t max_known_prefixes = 4096;  ///< For each engine.
-    /// Prompts read in a row whose cache no engine could take over, after
-    /// which the reader is left alone: its handles lapse, or its links fail.
-    /// One alone may be the taker's fault.
+    /// Consecutive prompts whose KV cache no decode engine could fetch, after
+    /// which their prefill engine is avoided: its cache handles expire or its
+    /// links fail. A single loss may be the decode engine's fault.
     std::uint32_t max_lost_handles = 2;
     Duration avoid_lost_handles = std::chrono::milliseconds(1500);
   };
 
   EnginePlacement(Options options, RandomSource random);
 
-  /// Decides where `request` goes.
+  /// Chooses the engines for `request`, or says why there are none.
   PlacementDecision Place(const CallerRequest& request,
                           const std::vector<PlacementEngine>& engines,
                           TimePoint now);
 
-  /// Decides anew which engine makes the answer, now that the prompt of
-  /// `attempt` has been read: the engine chosen before may be leaving, full or
-  /// in change by now. Returns nothing if no engine can.
+  /// Chooses the decode engine again after the prefill of `attempt`, because
+  /// the engine chosen before may be leaving, full or changing its role by now.
+  /// Returns nothing if no engine can run the decode.
   std::optional<std::string> PlaceDecode(
       const AttemptId& attempt, const std::vector<PlacementEngine>& engines,
       TimePoint now);
 
-  /// The engine chosen to make the answer of `attempt` did not take it over.
-  /// Its prompt stays read; `PlaceDecode` chooses another.
+  /// Records that the decode engine of `attempt` refused it. The prefill
+  /// remains valid; `PlaceDecode` then chooses another decode engine.
   void OnRunnerRefused(const AttemptId& attempt, TimePoint now);
 
-  /// The attempt was sent as decided.
+  /// Records that the attempt was sent to the engines in `place`.
   void OnSent(const AttemptId& attempt, const CallerRequest& request,
               const EnginePlace& place, TimePoint now);
-  /// The prompt has been read.
+  /// Records that the prefill is complete.
   void OnPrefilled(const AttemptId& attempt, TimePoint now);
-  /// The answer has begun.
+  /// Records the first event of the answer.
   void OnAnswering(const AttemptId& attempt, TimePoint now);
-  /// The attempt is over; `refused` if the engine did not take it.
+  /// Records the end of the attempt. `refused` is true if the engine refused
+  /// it.
   void OnEnded(const AttemptId& attempt, bool refused, TimePoint now);
-  /// The engine's run is over; what it held is gone. Attempts sent to it that
-  /// end later count nothing against a run that follows under the same id.
+  /// Discards the state of an engine whose process ended. Attempts sent to that
+  /// process do not affect a later process with the same instance name.
   void Forget(const std::string& instance);
 
-  /// Takes what the operator tells of the service's engines.
+  /// Sets the limits that the operator states for the service's engines.
   void SetLimits(const EngineLimits& limits) { limits_ = limits; }
 
-  /// Returns the load that the service's work puts on both kinds of engines:
-  /// as seen, or as assumed while too little was seen.
+  /// Returns the service's load on prefill and decode engines, as measured, or
+  /// as assumed until there are enough measurements.
   RoleLoad Load(TimePoint now) const;
 
-  /// Returns the engine from which the reader of `attempt` may copy what the
-  /// prompt shares with others; empty if there is none.
+  /// Returns the engine from which the prefill engine of `attempt` may copy the
+  /// shared prefix; empty if there is none.
   std::string CopySourceOf(const AttemptId& attempt) const;
 
-  /// Returns the tokens that wait to be read at `instance`, as counted here.
+  /// Returns the weighted tokens sent from here that `instance` has yet to
+  /// prefill.
   double BacklogOf(const std::string& instance) const;
 
  private:
   struct EngineState {
-    std::uint64_t epoch = 0;  ///< Of the engine's run, as counted here.
-    double backlog = 0;
-    std::uint32_t reads = 0;  ///< Prompts that make up the backlog.
-    /// Time that the latest prompt waited for others, all entries' ones, and
-    /// when that was seen.
+    std::uint64_t epoch = 0;  ///< Identifies the engine's process.
+    double backlog = 0;       ///< Weighted tokens to prefill.
+    std::uint32_t reads = 0;  ///< Prompts in the backlog.
+    /// Time that the latest prompt waited behind those of all entry processes,
+    /// and when that was observed.
     Duration wait{0};
     TimePoint wait_at{};
     std::uint32_t streams = 0;
-    std::uint32_t lost_handles = 0;  ///< In a row.
-    std::uint32_t refusals = 0;      ///< In a row.
-    std::uint32_t owed = 0;   ///< Calls that wait for their first answer.
-    TimePoint progress_at{};  ///< Of the last such answer, or the first call.
+    std::uint32_t lost_handles = 0;  ///< Consecutive.
+    std::uint32_t refusals = 0;      ///< Consecutive.
+    std::uint32_t owed = 0;          ///< Calls without a first response.
+    TimePoint progress_at{};         ///< Last response, or first pending call.
     TimePoint avoid_until{};
-    TimePoint full_until{};  ///< It refused an answer for want of room.
-    std::unordered_map<std::uint64_t, std::uint64_t> prefixes;  ///< Tokens.
+    TimePoint full_until{};  ///< It refused a decode for lack of capacity.
+    std::unordered_map<std::uint64_t, std::uint64_t> prefixes;  ///< To tokens.
   };
   struct Sent {
     EnginePlace place;
@@ -202,21 +208,21 @@
     std::uint64_t reader_epoch = 0;
     std::uint64_t decode_epoch = 0;
     std::uint64_t tokens = 0;  ///< Of the whole prompt.
-    bool read_alone = false;   ///< Nothing of ours was before it at its reader.
+    bool read_alone = false;   ///< Prefill engine idle, prefix cached.
     TimePoint sent_at{};
-    TimePoint asked_at{};  ///< When an engine was asked for the answer.
+    TimePoint asked_at{};  ///< When the decode was last requested.
     TimePoint answering_at{};
     bool reading = true;
     bool answering = false;
-    /// Engines that did not take over its prompt.
+    /// Decode engines that refused this attempt.
     std::vector<std::string> refused_by = {};
   };
 
   bool IsCached(const CallerRequest& request, const std::string& instance,
                 bool is_home) const;
   double WorkOf(const CallerRequest& request, bool cached) const;
-  /// Returns the engine most likely to hold what the prompt shares, but for
-  /// `reader`; empty if there is none.
+  /// Returns the engine other than `reader` that most likely holds the shared
+  /// prefix; empty if there is none.
   std::string CopySource(const CallerRequest& request,
                          const std::vector<PlacementEngine>& engines,
                          const std::vector<const PlacementEngine*>& readers,
@@ -254,15 +260,15 @@
   std::map<std::string, EngineState> engines_;
   std::uint64_t last_epoch_ = 0;
   EngineLimits limits_;
-  ReadTimeModel read_time_;   ///< Of engines that only read.
-  ReadTimeModel whole_time_;  ///< To a first event, of those that do both.
+  ReadTimeModel read_time_;   ///< Of prefill engines.
+  ReadTimeModel whole_time_;  ///< To the first event, of engines that do both.
   RoleLoadMeter load_;
-  double answer_wait_s_ = 0;  ///< Of late, from asking to the first event.
+  double answer_wait_s_ = 0;  ///< Mean time from request to first event.
   std::unordered_map<AttemptId, Sent> sent_;
 };
 
-/// Returns the hash of the parts that the request shares with others: all but
-/// the last, or the last if it is the only one.
+/// Returns the hash of the prompt parts that a request is expected to share
+/// with others: all but the last, or the only one.
 std::uint64_t SharedPrefixHash(const std::vector<PromptPart>& parts);
 
 }  // namespace indigolead
--- a/src/core/placement/failure_guard.cc
+++ b/src/core/placement/failure_guard.cc
@@ -6,7 +6,7 @@
 
 Duration FailureGuard::OnBroken(const std::string& instance, TimePoint now) {
   Record& record = records_[instance];
-  // Calls that were under way when it became avoided tell nothing new.
+  // Calls sent before the target was avoided do not count.
   if (now < record.avoid_until) {
     return Duration{0};
   }
--- a/src/core/placement/failure_guard.h
+++ b/src/core/placement/failure_guard.h
@@ -10,46 +10,46 @@
 
 namespace indigolead {
 
-/// Keeps new work from targets whose calls break one after the other.
+/// Circuit breaker that avoids targets whose calls break in a row.
 ///
-/// The failure: a target that resets its connections, or is out of reach, ends
-/// its attempts at once and so always has the fewest in flight. The symptom:
-/// it draws most of the new ones, and each caller loses a retry or an answer,
-/// for as long as its registration stands. Two broken calls with no good one
-/// between them are enough to tell it from a target that loses one answer now
-/// and then; one good call ends the suspicion. A target that is avoided still
-/// gets work where there is no other.
+/// A target that resets its connections or is unreachable ends its attempts at
+/// once, so it always has the fewest in flight and attracts most new ones. Each
+/// of them costs its caller a retry or an answer, for as long as the target
+/// stays registered. Two broken calls without a successful one between them
+/// tell it from a target that loses an occasional answer; one successful call
+/// resets the record. An avoided target still gets work if there is no other.
 ///
-/// Not thread-safe. Memory: one record for each target that is known.
+/// Not thread-safe. Holds one record for each target with broken calls.
 class FailureGuard {
  public:
   struct Options {
     std::uint32_t max_in_a_row = 2;
-    /// For so long it is left alone: several requests of an entry in that time,
-    /// and less than a target takes to be replaced. Doubles with each further
-    /// break, up to the longest, within which a healed path is found again.
+    /// Time for which a target is avoided. An entry process sends several
+    /// requests in this time, and replacing a target takes longer. Doubles with
+    /// each further broken call up to `longest_avoid`, which bounds the time
+    /// until a recovered path is used again.
     Duration avoid = std::chrono::seconds(1);
     Duration longest_avoid = std::chrono::seconds(4);
   };
 
   explicit FailureGuard(Options options) : options_(options) {}
 
-  /// A call to the target broke. Returns the time for which the target is
-  /// avoided from now on; zero if it is not.
+  /// Records a broken call. Returns the time for which the target is avoided
+  /// because of it, or zero.
   Duration OnBroken(const std::string& instance, TimePoint now);
-  /// A call to the target ended as it should.
+  /// Records a successful call.
   void OnGood(const std::string& instance) { records_.erase(instance); }
-  /// The target's run is over.
+  /// Discards the record of a target whose process ended.
   void Forget(const std::string& instance) { records_.erase(instance); }
 
   bool IsAvoided(const std::string& instance, TimePoint now) const;
 
-  /// Returns true if so many of the targets in question may be avoided at once.
+  /// Returns true if `avoided` out of `of` targets may be avoided at once.
   ///
-  /// The failure: this entry's own path is cut for a moment, so that every
-  /// target it calls breaks. The symptom: all its traffic goes to the few that
-  /// it has not called, which refuse it. More than two thirds are not believed
-  /// to fail together; with fewer the rest can carry the load of all.
+  /// If this entry process's own network path is interrupted, calls to every
+  /// target break, and all traffic would move to the few targets not called
+  /// yet, which would refuse it. More than two thirds are therefore assumed not
+  /// to fail together; with fewer, the rest can carry the whole load.
   static bool IsPlausible(std::size_t avoided, std::size_t of) {
     return 3 * avoided <= 2 * of;
   }
--- a/src/core/placement/read_time_model.cc
+++ b/src/core/placement/read_time_model.cc
@@ -6,21 +6,22 @@
 namespace indigolead {
 namespace {
 
-/// Groups of samples of like size, each of which gives one point of the line.
+/// Groups of samples of similar size; each yields one point for the line fit.
 constexpr std::size_t kGroups = 4;
 
-/// One in so many samples is taken for one that found its engine idle. Where
-/// engines are busy four fifths of the time every fifth call does; a few that
-/// had more cached than believed must not count as the quickest.
+/// The sample at one sixteenth of a group's sorted times is assumed to have
+/// found its engine idle: engines that are busy four fifths of the time are
+/// idle for every fifth call. The few faster samples are ignored, because they
+/// may have had more tokens cached than assumed.
 constexpr std::size_t kQuickShare = 16;
 
-/// One point that the line should pass.
+/// A point for the line fit.
 struct Point {
   double tokens = 0;
   double seconds = 0;
 };
 
-/// Returns the middle one of `values`, which must not be empty.
+/// Returns the median of `values`, which must not be empty.
 double Median(std::vector<double> values) {
   const auto middle =
       values.begin() + static_cast<std::ptrdiff_t>(values.size() / 2);
@@ -61,8 +62,8 @@
   for (std::size_t it = 0; it < kGroups; ++it) {
     const auto begin = sorted.begin() + static_cast<std::ptrdiff_t>(it * n);
     const auto end = begin + static_cast<std::ptrdiff_t>(n);
-    // The faster quarter is that of the same size, so compare what is left
-    // when the tokens' part is taken off.
+    // The samples of a group differ in size, so the time of their tokens is
+    // subtracted before they are compared.
     std::sort(begin, end, [this](const auto& a, const auto& b) {
       return a.seconds - a.tokens * s_per_token_ <
              b.seconds - b.tokens * s_per_token_;
@@ -83,8 +84,8 @@
   if (!slopes.empty()) {
     s_per_token_ = std::max(0.0, Median(slopes));
   } else if (points[0].tokens > 0) {
-    // Prompts of one size do not tell the two parts; what they took bounds
-    // both.
+    // Prompts of a single size cannot separate the two parts, but their time
+    // is an upper bound of both.
     s_per_token_ = std::min(s_per_token_, points[0].seconds / points[0].tokens);
   }
   std::vector<double> rests;
--- a/src/core/placement/read_time_model.h
+++ b/src/core/placement/read_time_model.h
@@ -8,45 +8,47 @@
 
 namespace indigolead {
 
-/// Learns how long an engine takes to read a prompt: a fixed part, and a part
-/// for each token that it does not have cached.
+/// Estimates the prefill time of a prompt as a fixed part plus a part for each
+/// token that is not cached.
 ///
-/// What is seen is the time of whole calls, with whatever else the engine had
-/// to read before; so the model follows the fastest sixteenth of the calls,
-/// taken for those that found it idle, and a few slow engines or lost answers
-/// move nothing. Holds a bounded number of samples; not thread-safe.
+/// The samples are times of whole calls, including the wait for other prompts
+/// at the engine. The model therefore follows the fastest sixteenth of the
+/// calls, which are assumed to have found the engine idle, so that a few slow
+/// engines or lost answers do not affect it. Holds a bounded number of samples;
+/// not thread-safe.
 class ReadTimeModel {
  public:
   struct Options {
-    /// Samples kept, the newest ones. At some reads a second they follow an
-    /// engine that slows down within seconds.
+    /// Number of newest samples kept. At several prefills a second the model
+    /// adapts within seconds to an engine that slows down.
     std::size_t window = 256;
-    /// Fewer say nothing of a small part of them.
+    /// With fewer samples their fastest sixteenth is not significant.
     std::size_t min_samples = 32;
     std::size_t refit_every = 8;
-    /// Assumed before that: engines of this generation read 50 to 600 tokens
-    /// in a millisecond, and start a prompt in some 10 to 100 ms.
+    /// Assumed until there are enough samples. Engines of this generation
+    /// prefill 50 to 600 tokens per millisecond, with a fixed part of about 10
+    /// to 100 ms.
     double assumed_tokens_per_s = 50000;
-    /// Part of the fixed time in which an engine can read nothing else; in the
-    /// rest it has begun with the next prompt. Busy readers of three workloads
-    /// took 9.4, 11 and 100 ms a prompt, of which 9.0, 8.2 and 69 were for its
-    /// tokens, and 9 and 93 ms stood for the fixed part of an idle one.
+    /// Share of the fixed part in which an engine cannot prefill other prompts;
+    /// for the rest it has begun the next one. Busy engines in three workloads
+    /// took 9.4, 11 and 100 ms per prompt, of which its tokens accounted for
+    /// 9.0, 8.2 and 69 ms; on idle engines the fixed part was 9 and 93 ms.
     double fixed_occupancy = 0.33;
   };
 
   explicit ReadTimeModel(Options options);
 
-  /// A call read `tokens` that were not cached, and took `took`. Calls that are
-  /// known to have waited for others should be left out.
+  /// Adds a sample: the prefill of `tokens` uncached tokens took `took`. Calls
+  /// known to have waited for other prompts should be left out.
   void OnRead(double tokens, Duration took);
 
-  /// Returns the time to read `tokens` at an idle engine.
+  /// Returns the predicted time to prefill `tokens` on an idle engine.
   Duration Predict(double tokens) const;
 
-  /// Returns the time for which `reads` prompts, of `tokens` together, keep an
-  /// engine from reading others.
+  /// Returns the predicted time for which `reads` prompts with `tokens` in
+  /// total occupy an engine.
   Duration Occupied(double reads, double tokens) const;
-  /// Returns true once the figures come from what was seen.
+  /// Returns true once predictions are based on samples.
   bool learned() const { return samples_.size() >= options_.min_samples; }
 
  private:
@@ -58,7 +60,7 @@
   void Refit();
 
   Options options_;
-  std::vector<Sample> samples_;  ///< A ring of `window`.
+  std::vector<Sample> samples_;  ///< Ring buffer.
   std::size_t next_ = 0;
   std::size_t since_fit_ = 0;
   double fixed_s_ = 0;
--- a/src/core/placement/recent_quantile.cc
+++ b/src/core/placement/recent_quantile.cc
@@ -11,7 +11,7 @@
     values_[next_] = value;
     next_ = (next_ + 1) % window_;
   }
-  // The first ones count at once, so that a young quantile is not zero.
+  // The first values count at once, so that the quantile is not zero at first.
   if (values_.size() >= kRefreshEvery && ++since_refresh_ < kRefreshEvery) {
     return;
   }
--- a/src/core/placement/recent_quantile.h
+++ b/src/core/placement/recent_quantile.h
@@ -8,12 +8,12 @@
 
 namespace indigolead {
 
-/// A quantile of the latest durations of some kind. Single ones, however far
-/// off, move it by one rank. Bounded memory; not thread-safe.
+/// Tracks a quantile over a window of recent durations. An outlier moves it by
+/// at most one rank. Uses bounded memory; not thread-safe.
 class RecentQuantile {
  public:
-  /// \param window Durations kept, the newest ones.
-  /// \param quantile From 0, the least, to 1, the greatest.
+  /// \param window Number of newest durations kept.
+  /// \param quantile From 0 (minimum) to 1 (maximum).
   RecentQuantile(std::size_t window, double quantile)
       : window_(window), quantile_(quantile) {}
 
@@ -23,13 +23,13 @@
   Duration value() const { return value_; }
 
  private:
-  /// Values after which the quantile is found anew: finding it for each of them
-  /// would cost more than the rest of a placement.
+  /// Number of values after which the quantile is recomputed. Recomputing it
+  /// for each value would cost more than the rest of a placement.
   static constexpr std::size_t kRefreshEvery = 8;
 
   std::size_t window_;
   double quantile_;
-  std::vector<Duration> values_;  ///< A ring.
+  std::vector<Duration> values_;  ///< Ring buffer.
   std::size_t next_ = 0;
   std::size_t since_refresh_ = 0;
   Duration value_{0};
--- a/src/core/placement/role_load.cc
+++ b/src/core/placement/role_load.cc
@@ -5,20 +5,20 @@
 namespace indigolead {
 namespace {
 
-/// Share of an engine's memory that answers may fill on average. The rest is
-/// for cached parts of prompts, which share it, and for bursts: answers that do
-/// not fit push each other out and are read again, while readers that have too
-/// much refuse at once. On a workload of 46 engines whose memory binds, 3 in
-/// place of 9 for answers left a quarter of its worth.
+/// Share of an engine's KV cache memory that decodes may use on average. The
+/// rest is for cached prefixes and bursts: decodes that do not fit evict each
+/// other and must be prefilled again, while overloaded prefill engines refuse
+/// at once. In a memory-bound workload on 46 engines, 3 decode engines instead
+/// of 9 reduced the value served to a quarter.
 constexpr double kMemoryForAnswers = 0.5;
 
-/// An answer is at work so many times as long as its prompt takes to read. On
-/// four workloads it was 5, 5.5, 9 and 11, by the engines' own times; within
-/// that range the plan is off by one engine in eight.
+/// Assumed ratio of decode time to prefill time. Four workloads had ratios of
+/// 5, 5.5, 9 and 11 by the engines' own times; within that range the plan is
+/// off by one engine in eight.
 constexpr double kAssumedAnswersPerReader = 8;
 
-/// Prompt assumed, in tokens, to tell how many answers an engine's memory
-/// holds. The means of four workloads were 8,500 to 9,000.
+/// Assumed prompt length in tokens, used to derive how many decodes fit into an
+/// engine's memory. The means of four workloads were 8,500 to 9,000.
 constexpr double kAssumedPromptTokens = 8000;
 
 }  // namespace
--- a/src/core/placement/role_load.h
+++ b/src/core/placement/role_load.h
@@ -3,18 +3,18 @@
 
 namespace indigolead {
 
-/// What one engine of a service can hold and move, as its operator tells.
+/// Capacity of one engine of a service, as stated by its operator.
 struct EngineLimits {
-  double places = 1;                ///< Answers that it makes at once.
-  double memory_tokens = 0;         ///< Of KV cache; 0: not known.
-  double transfer_s_per_token = 0;  ///< To fetch KV cache; 0: not known.
+  double places = 1;                ///< Concurrent decodes.
+  double memory_tokens = 0;         ///< KV cache capacity; 0 if unknown.
+  double transfer_s_per_token = 0;  ///< KV cache transfer; 0 if unknown.
 
   friend bool operator==(const EngineLimits&, const EngineLimits&) = default;
 };
 
-/// Engines that the two halves of a service's work keep busy, averaged over
-/// some seconds. Only their proportion counts, so that an entry which sees a
-/// part of the traffic can tell it.
+/// Load of a service's prefill and decode work, averaged over time. Only the
+/// ratio matters, so an entry process that sees part of the traffic can measure
+/// it.
 struct RoleLoad {
   double reading = 0;
   double answering = 0;
@@ -22,29 +22,29 @@
   friend bool operator==(const RoleLoad&, const RoleLoad&) = default;
 };
 
-/// Sums of what answers have used of engines; one for each limit.
+/// Resources used by decodes, one sum for each limit of an engine.
 struct AnsweringWork {
-  double place_s = 0;         ///< Places taken, times seconds.
-  double memory_token_s = 0;  ///< Tokens held, times seconds.
+  double place_s = 0;         ///< Occupied slots times seconds.
+  double memory_token_s = 0;  ///< KV cache tokens held times seconds.
   double moved_tokens = 0;
 
   friend bool operator==(const AnsweringWork&, const AnsweringWork&) = default;
 };
 
-/// Returns the engine seconds of `work`, by the limit that binds first. An
-/// engine that has places left and no memory takes no more answers, nor does
-/// one whose link is busy.
+/// Returns the engine seconds that `work` takes, by its most constrained limit.
+/// An engine with free slots accepts no more decodes if its memory is full or
+/// its link is busy.
 double EngineSeconds(const AnsweringWork& work, const EngineLimits& limits);
 
-/// Returns the load assumed of a service before any of its traffic was seen.
+/// Returns the load assumed for a service before its traffic is measured.
 RoleLoad AssumedRoleLoad(const EngineLimits& limits);
 
-/// Returns the share of the engines that should make answers for both halves
-/// to use theirs alike; from 0 to 1.
+/// Returns the share of engines, from 0 to 1, that should have the decode role
+/// so that both roles are equally utilized.
 ///
-/// An engine reads one prompt after the other, but makes as many answers at
-/// once as it has places: fleets of the same model need a twentieth of their
-/// engines for answers where each has 128 places, and half where it has 8.
+/// An engine prefills one prompt at a time but runs as many decodes at once as
+/// it has slots. For the same model a fleet needs a twentieth of its engines
+/// for decode with 128 slots each, and half of them with 8.
 double AnsweringShare(const RoleLoad& load);
 
 }  // namespace indigolead
--- a/src/core/placement/role_load_meter.h
+++ b/src/core/placement/role_load_meter.h
@@ -12,22 +12,24 @@
 
 namespace indigolead {
 
-/// Measures what the requests of one service ask of its engines, from those
-/// that this entry has sent. Not thread-safe.
+/// Measures the load that one service's requests put on its engines, from the
+/// requests that this entry process sent. Not thread-safe.
 class RoleLoadMeter {
  public:
   struct Options {
-    /// Weight of what was seen falls to a third in this time. Loads turn
-    /// between long prompts and long answers, for 3 s and for 15 s, which roles
-    /// that take 3 s to change cannot follow: with a window of 15 s they were
-    /// behind each turn, and a fixed plan served a tenth more.
+    /// Time constant of the exponential decay; a measurement's weight falls to
+    /// about a third in it. Loads alternate between long prompts and long
+    /// answers in phases of 3 s and of 15 s, too fast for role changes that
+    /// take 3 s: with a window of 15 s the roles lagged each phase, and a fixed
+    /// plan served a tenth more.
     Duration window = std::chrono::seconds(60);
-    /// Less than this is no measure: both sides of a long turn.
+    /// Minimum before a load is returned, to cover both phases of a slow
+    /// alternation.
     std::uint64_t min_answers = 40;
     Duration min_observed = std::chrono::seconds(20);
-    /// Waits for a first event kept. The faster quarter is taken for those that
-    /// found a place at once: counted with its queue, an overload would ask for
-    /// ever more engines.
+    /// Number of first-event waits kept. The faster quarter is assumed to have
+    /// found a free slot. If queueing time counted as load, an overload would
+    /// demand ever more engines.
     std::size_t waits = 64;
     double idle_quantile = 0.25;
   };
@@ -35,15 +37,16 @@
   explicit RoleLoadMeter(Options options)
       : options_(options), idle_wait_(options.waits, options.idle_quantile) {}
 
-  /// A prompt of `tokens` that were not cached was read.
+  /// Records the prefill of `tokens` uncached tokens.
   void OnRead(double tokens, TimePoint now);
-  /// An answer began `wait` after its engine had been asked for it.
+  /// Records the time from a decode request to its first event.
   void OnFirstEvent(Duration wait) { idle_wait_.Add(wait); }
-  /// An answer is over, `streamed` after its first event.
+  /// Records the end of an answer, `streamed` after its first event. `tokens`
+  /// is the length of the prompt.
   void OnAnswered(Duration streamed, double tokens, TimePoint now);
 
-  /// Returns the load on engines of those limits and reading times; nothing
-  /// while too little was seen.
+  /// Returns the load for engines with these limits and prefill times, or
+  /// nothing until there are enough measurements.
   std::optional<RoleLoad> Load(const EngineLimits& limits,
                                const ReadTimeModel& read_time,
                                TimePoint now) const;
@@ -52,7 +55,7 @@
   void Decay(TimePoint now);
 
   Options options_;
-  /// Time to a first event at an engine that has a place free.
+  /// Time to the first event on an engine with a free slot.
   RecentQuantile idle_wait_;
   double reads_ = 0;
   double read_tokens_ = 0;
--- a/tests/core/placement/burst_admission_test.cc
+++ b/tests/core/placement/burst_admission_test.cc
@@ -17,7 +17,7 @@
   return duration_cast<Duration>(std::chrono::duration<double, std::milli>(ms));
 }
 
-/// Something that happens in the played load at its time.
+/// A scheduled event of the simulation.
 struct Event {
   TimePoint at;
   std::function<void()> act;
@@ -25,8 +25,8 @@
   bool operator>(const Event& other) const { return at > other.at; }
 };
 
-/// Four entries, blind to each other, before five readers and three engines for
-/// answers of one service; times as measured on such engines.
+/// Simulates four independent entry processes that share five prefill and three
+/// decode engines. The engine times are as measured on such engines.
 class Burst {
  public:
   explicit Burst(double in_time_share) : random_(MakeSeededRandom(5)) {
@@ -41,8 +41,8 @@
     }
   }
 
-  /// Plays ten seconds at `rate` requests a second, all entries together, and
-  /// returns the share of them that begin within their target.
+  /// Simulates ten seconds at `rate` requests a second in total and returns the
+  /// share of requests whose answer begins within its target.
   double InTime(double rate) {
     for (std::size_t n = 0; n < entries_.size(); ++n) {
       ArriveAfterPause(n, rate / static_cast<double>(entries_.size()));
@@ -120,18 +120,22 @@
   int in_time_ = 0;
 };
 
-// Five readers can read 646 prompts a second; for ten seconds 800 come, to four
-// entries that do not see each other's sends. Taken in whole, the queue passes
-// every caller's target within a second, and nearly nobody is served in time.
-TEST_CASE("A burst beyond the readers leaves most callers served in time") {
+// Guards against admitting more than the engines can serve in time. Five
+// engines prefill 646 prompts a second, but 800 a second arrive for ten seconds
+// at four entry processes that do not see each other's requests. If all are
+// admitted, the queueing time exceeds every target within a second and almost
+// no request is served in time.
+TEST_CASE(
+    "Most requests are served in time when a burst exceeds prefill capacity") {
   const double before = Burst(/*in_time_share=*/1000).InTime(800);
   const double after =
       Burst(EnginePlacement::Options{}.in_time_share).InTime(800);
-  INFO("in time: " << before << " when all are taken, " << after);
+  INFO("in time: " << before << " if all are admitted, with admission control "
+                   << after);
   CHECK(before < 0.2);
   CHECK(after > 0.7);
 
-  SECTION("and nobody is refused who could be served") {
+  SECTION("load below capacity is not refused") {
     CHECK(Burst(EnginePlacement::Options{}.in_time_share).InTime(250) > 0.97);
   }
 }
--- a/tests/core/placement/engine_placement_test.cc
+++ b/tests/core/placement/engine_placement_test.cc
@@ -44,24 +44,24 @@
   return std::get<EnginePlace>(decision);
 }
 
-TEST_CASE("Prompts that share a part are read where it is cached") {
+TEST_CASE("Prompts with a shared prefix are prefilled where it is cached") {
   const auto fleet = Fleet(15, 3);
   EnginePlacement one = MakePlacement(1);
   EnginePlacement other = MakePlacement(2);
   const EnginePlace first = PlaceOf(one.Place(Request(7, 1), fleet, kNow));
 
-  SECTION("by every entry, without a word between them") {
+  SECTION("entry processes agree without communication") {
     CHECK(PlaceOf(other.Place(Request(7, 2), fleet, kNow)).prefill ==
           first.prefill);
   }
-  SECTION("and different parts are spread over the readers") {
+  SECTION("different prefixes are spread over the prefill engines") {
     std::set<std::string> homes;
     for (std::uint64_t part = 0; part < 60; ++part) {
       homes.insert(PlaceOf(one.Place(Request(part, 1), fleet, kNow)).prefill);
     }
     CHECK(homes.size() >= 12);
   }
-  SECTION("the loss of another reader moves nothing") {
+  SECTION("the loss of another prefill engine does not move a prefix") {
     auto fewer = fleet;
     std::erase_if(fewer, [&](const auto& it) {
       return it.instance == (first.prefill == "r0" ? "r1" : "r0");
@@ -71,10 +71,10 @@
   }
 }
 
-// Ten times the load that one home can read comes for one shared part. Callers
-// that cannot be served in time hear so at once, with when to come back; the
-// rest is read at the home and at two more.
-TEST_CASE("A burst for one part uses few homes and is refused beyond") {
+// Requests with one shared prefix arrive at ten times the rate that its home
+// can prefill. The home and two more engines serve what they can in time; the
+// other requests are refused at once with a retry-after time.
+TEST_CASE("A burst for one prefix uses few homes and is refused beyond them") {
   const auto fleet = Fleet(15, 3);
   EnginePlacement placement = MakePlacement(1);
   std::map<std::string, int> placed;
@@ -88,14 +88,14 @@
     } else {
       ++refused;
       const auto& busy = std::get<EnginesBusy>(decision);
-      // Not into the same burst, and not beyond it.
+      // After the burst, but not long after it.
       CHECK(busy.retry_after >= milliseconds(1200));
       CHECK(busy.retry_after <= milliseconds(2500));
     }
   }
   CHECK(placed.size() == EnginePlacement::Options{}.max_homes);
-  // The further homes copy the shared part, so each can take what the home
-  // takes in the target's time, and not one more.
+  // The further homes copy the prefix, so each can serve as many requests in
+  // time as the home, and not more.
   const int at_home =
       placed[PlaceOf(MakePlacement(1).Place(Request(7, 1), fleet, kNow))
                  .prefill];
@@ -105,14 +105,14 @@
   CHECK(at_home <= 4);
   CHECK(refused >= 40 - 3 * at_home);
 
-  SECTION("what has been read makes room again") {
+  SECTION("a completed prefill frees capacity") {
     for (std::uint64_t n = 0; n < 40; ++n) {
       placement.OnPrefilled(Attempt(n), kNow);
     }
     CHECK(std::holds_alternative<EnginePlace>(
         placement.Place(Request(7, 99), fleet, kNow)));
   }
-  SECTION("and so does what has ended unread") {
+  SECTION("an attempt that ends before its prefill frees capacity") {
     for (std::uint64_t n = 0; n < 40; ++n) {
       placement.OnEnded(Attempt(n), false, kNow);
     }
@@ -122,7 +122,7 @@
   }
 }
 
-TEST_CASE("A prompt longer than the bound is taken by an idle reader") {
+TEST_CASE("An idle prefill engine accepts a prompt beyond the time limit") {
   EnginePlacement placement = MakePlacement(1);
   CallerRequest request = Request(7, 1);
   request.prompt_tokens = 200000;
@@ -130,9 +130,9 @@
   CHECK(std::holds_alternative<EnginePlace>(
       placement.Place(request, fleet, kNow)));
 
-  SECTION("also after others have been read there") {
-    // Weighted tokens, added in one order and taken off in another, leave a
-    // rest of rounding behind, which is no backlog.
+  SECTION("rounding errors in the backlog do not make it busy") {
+    // Adding weighted tokens in one order and subtracting them in another
+    // leaves a rounding error, which must not count as backlog.
     const std::string home =
         PlaceOf(placement.Place(Request(7, 1), fleet, kNow)).prefill;
     RandomSource random = MakeSeededRandom(1);
@@ -155,7 +155,7 @@
   }
 }
 
-TEST_CASE("Answers go to the engine with the fewest streams") {
+TEST_CASE("Decodes go to the engine with the fewest streams") {
   auto fleet = Fleet(3, 3);
   EnginePlacement placement = MakePlacement(1);
   std::map<std::string, int> streams;
@@ -173,10 +173,9 @@
   }
 }
 
-// The engine chosen for the answer begins to leave while the prompt is read. A
-// request sent there afterwards would reach it too late.
-TEST_CASE(
-    "The engine for the answer is chosen again after the prompt is read") {
+// The chosen decode engine starts to leave during the prefill. A request sent
+// there afterwards would reach it too late.
+TEST_CASE("The decode engine is chosen again after the prefill") {
   auto fleet = Fleet(3, 2);
   EnginePlacement placement = MakePlacement(1);
   const CallerRequest request = Request(7, 1);
@@ -189,14 +188,14 @@
   REQUIRE(runner);
   CHECK(*runner != place.decode);
 
-  SECTION("none is chosen if none is left") {
+  SECTION("nothing is returned if no decode engine is left") {
     std::erase_if(fleet,
                   [&](const auto& it) { return it.instance == *runner; });
     CHECK_FALSE(placement.PlaceDecode(Attempt(1), fleet, kNow));
   }
 }
 
-TEST_CASE("A fleet without readers still answers") {
+TEST_CASE("A fleet without prefill engines still serves requests") {
   EnginePlacement placement = MakePlacement(1);
   const EnginePlace place =
       PlaceOf(placement.Place(Request(7, 1), Fleet(0, 3), kNow));
@@ -206,9 +205,9 @@
       placement.Place(Request(7, 1), Fleet(3, 0), kNow)));
 }
 
-// Handles of one reader lapse at once: each prompt that it reads is read in
-// vain, and the request is refused by the engine that should take it over.
-TEST_CASE("A reader whose caches are lost twice in a row is left alone") {
+// The cache handles of one prefill engine expire at once, so each of its
+// prefills is wasted and the decode engine refuses the request.
+TEST_CASE("A prefill engine that loses two caches in a row is avoided") {
   const auto fleet = Fleet(6, 3);
   EnginePlacement placement = MakePlacement(1);
   const std::string home =
@@ -226,9 +225,9 @@
             .prefill == home);
 }
 
-// A reader goes dark: it takes connections and answers nothing. Requests that
-// it holds run out one after the other; new ones must not join them.
-TEST_CASE("An engine that owes answers and gives none gets no more work") {
+// A prefill engine hangs: it accepts connections but sends no response. The
+// requests that it holds time out one by one; it must not get new ones.
+TEST_CASE("A stalled engine gets no new work") {
   const auto fleet = Fleet(6, 3);
   EnginePlacement placement = MakePlacement(1);
   const CallerRequest request = Request(7, 0);
@@ -236,27 +235,27 @@
   placement.OnSent(Attempt(0), request, place, kNow);
   const TimePoint later = kNow + seconds(1);
 
-  SECTION("while it owes them") {
+  SECTION("while calls to it are pending") {
     CHECK(PlaceOf(placement.Place(Request(7, 1), fleet, later)).prefill !=
           place.prefill);
   }
-  SECTION("and for a while after a call has run out") {
+  SECTION("and for a time after a call to it timed out") {
     placement.OnEnded(Attempt(0), /*refused=*/true, later);
     CHECK(PlaceOf(placement.Place(Request(7, 1), fleet, later)).prefill !=
           place.prefill);
     CHECK(PlaceOf(placement.Place(Request(7, 1), fleet, later + seconds(2)))
               .prefill == place.prefill);
   }
-  SECTION("but one that has answered is used once its queue is read") {
+  SECTION("but an engine that responded late is used once its queue is empty") {
     placement.OnPrefilled(Attempt(0), later);
     CHECK(PlaceOf(placement.Place(Request(7, 1), fleet, later + seconds(1)))
               .prefill == place.prefill);
   }
 }
 
-// Every engine that makes answers is full. Reading further prompts would only
-// take the readers' time; the callers are told at once when to come back.
-TEST_CASE("Nothing is read while every engine for answers is full") {
+// All decode engines are full. Further prefills would waste engine time, so
+// callers are refused at once with a retry-after time.
+TEST_CASE("No prefill is started while every decode engine is full") {
   const auto fleet = Fleet(6, 2);
   EnginePlacement placement = MakePlacement(1);
   for (std::uint64_t n = 0; n < 2; ++n) {
@@ -273,14 +272,16 @@
       placement.Place(Request(7, 1), fleet, kNow + seconds(1))));
 }
 
-// An engine starts again while requests are on their way to it. They end one
-// after the other; each must count against the run that it was sent to, or the
-// new run seems idle while it reads, and holds prefixes that it never saw.
-TEST_CASE("What is believed of a run goes with it, and nothing more") {
+// An engine restarts while attempts sent to it are pending. Each must only
+// affect the state of the process that it was sent to. Otherwise the new
+// process seems idle while it runs a prefill and seems to cache prefixes that
+// it never received.
+TEST_CASE(
+    "Attempts sent before an engine restart do not affect its new state") {
   const auto fleet = Fleet(6, 3);
   EnginePlacement placement = MakePlacement(1);
-  // The home has so much to read that the next one takes the prompt, which it
-  // does not hold.
+  // Fills the home until the prompt goes to the next engine, which does not
+  // cache the prefix.
   const std::string home =
       PlaceOf(placement.Place(Request(7, 0), fleet, kNow)).prefill;
   std::uint64_t n = 100;
@@ -305,26 +306,26 @@
     REQUIRE(again.prefill == place.prefill);
     return again.cached;
   };
-  SECTION("a read of the run before frees nothing and leaves no prefix") {
+  SECTION("an old prefill frees no backlog and leaves no cached prefix") {
     placement.OnPrefilled(Attempt(0), kNow);
     CHECK(placement.BacklogOf(place.prefill) == backlog);
     CHECK_FALSE(taken_for_cached());
   }
-  SECTION("nor does its failure") {
+  SECTION("an old failure frees no backlog") {
     placement.OnEnded(Attempt(0), /*refused=*/true, kNow);
     CHECK(placement.BacklogOf(place.prefill) == backlog);
   }
-  SECTION("what the new run reads counts") {
+  SECTION("a prefill of the new process counts") {
     placement.OnPrefilled(Attempt(1), kNow);
     CHECK(placement.BacklogOf(place.prefill) == 0);
     CHECK(taken_for_cached());
   }
 }
 
-// Three engines read and answer alike, and none only reads. Taken for slower
-// than they are, they would be given one request at a time, and most callers
-// would be refused by engines that are nearly idle.
-TEST_CASE("Engines that do both are known by their own times") {
+// Three engines run both prefill and decode. If they were assumed to be slower
+// than they are, each would get one request at a time, and most callers would
+// be refused although the engines are nearly idle.
+TEST_CASE("Engines that run both phases are modeled by their own times") {
   const auto fleet = Fleet(0, 3);
   EnginePlacement placement = MakePlacement(1);
   TimePoint now = kNow;
@@ -346,13 +347,15 @@
     }
     return n - 1000000;
   };
-  SECTION("not known yet, each is given one") { CHECK(held_at_once() == 3); }
-  SECTION("known to be quick, they are given what they do in time") {
+  SECTION("each gets one request before there are samples") {
+    CHECK(held_at_once() == 3);
+  }
+  SECTION("fast engines get as many requests as they can serve in time") {
     for (std::uint64_t n = 0; n < 64; ++n) {
       const EnginePlace place =
           PlaceOf(placement.Place(request(n % 4, n), fleet, now));
       placement.OnSent(Attempt(n), request(n % 4, n), place, now);
-      // 9 ms and 600 tokens in a ms, also of a part that is not cached.
+      // 9 ms plus 600 tokens per ms, including an uncached prefix.
       now +=
           std::chrono::microseconds(9000) +
           std::chrono::microseconds(static_cast<int>(place.prefill_work / 0.6));
@@ -360,17 +363,19 @@
       placement.OnEnded(Attempt(n), false, now);
       now += milliseconds(100);
     }
-    // 72 ms may pass: four at the home, at 17 ms each, and one cold elsewhere.
+    // The limit is 72 ms: four requests of 17 ms at the home, and one without a
+    // cached prefix at each of the other engines.
     CHECK(held_at_once() >= 6);
   }
 }
 
-// An engine that makes answers changes its role: for five seconds it refuses
-// what has not started, and its registration says nothing. It has the fewest
-// streams, so every prompt that was read goes to it first, and each refusal
-// costs an arrival. Prompts that an entry with ten requests a second sends
-// there in that time: 17 when it was asked four times a second, 4 now.
-TEST_CASE("An engine that refuses again and again is asked seldom") {
+// A decode engine changes its role: for five seconds it refuses requests that
+// have not started, although its registration does not show it. It has the
+// fewest streams, so each request would go to it first after its prefill, and
+// each refusal costs a request. An entry process with ten requests a second
+// sent it 17 prompts in that time when it retried four times a second, and
+// sends 4 with increasing delays.
+TEST_CASE("An engine that refuses repeatedly is tried with increasing delays") {
   const auto fleet = Fleet(15, 3);
   const std::string changing = "d15";
   EnginePlacement placement = MakePlacement(1);
@@ -400,7 +405,7 @@
   CHECK(refused <= 5);
   CHECK(lost == 0);
 
-  SECTION("and gets its share again once it takes work") {
+  SECTION("it gets its share again once it accepts work") {
     play(kNow + seconds(8), seconds(5), false);
     refused = 0;
     play(kNow + seconds(13), milliseconds(1000), true);
@@ -408,9 +413,10 @@
   }
 }
 
-/// Guards against work for engines whose limit this entry has used up, and
-/// against prompts read beside answers because every reader has a limit.
-TEST_CASE("An engine whose limit is used up gets nothing") {
+// Guards against sending work to engines whose limit this entry process has
+// reached, and against running prefill on decode engines because every prefill
+// engine has reached its limit.
+TEST_CASE("An engine whose limit is reached gets no work") {
   auto fleet = Fleet(3, 3);
   EnginePlacement placement = MakePlacement(1);
   const auto limit = [&fleet](const std::string& instance) {
@@ -421,14 +427,14 @@
   const EnginePlace before =
       PlaceOf(placement.Place(Request(7, 1), fleet, kNow));
 
-  SECTION("a reader's prompts go to the next home, which copies from it") {
+  SECTION("prompts go to the next home, which copies the prefix from it") {
     limit(before.prefill);
     const EnginePlace place =
         PlaceOf(placement.Place(Request(7, 2), fleet, kNow));
     CHECK(place.prefill != before.prefill);
     CHECK(place.copy_from == before.prefill);
   }
-  SECTION("an engine for answers is passed over, at first and after reading") {
+  SECTION("a decode engine is skipped before and after the prefill") {
     limit("d3");
     limit("d4");
     const CallerRequest request = Request(7, 3);
@@ -439,14 +445,14 @@
     limit("d5");
     CHECK(placement.PlaceDecode(Attempt(1), fleet, kNow) == std::nullopt);
   }
-  SECTION("where all readers have limits, nothing is read") {
+  SECTION("no prompt is placed if all prefill engines reached their limits") {
     limit("r0");
     limit("r1");
     limit("r2");
     CHECK(placement.Place(Request(7, 4), fleet, kNow) ==
           PlacementDecision(EnginesClosed{}));
   }
-  SECTION("where all engines for answers have limits, no prompt is read") {
+  SECTION("no prompt is placed if all decode engines reached their limits") {
     limit("d3");
     limit("d4");
     limit("d5");
--- a/tests/core/placement/failure_guard_test.cc
+++ b/tests/core/placement/failure_guard_test.cc
@@ -8,28 +8,28 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("A target whose calls break in a row is left alone for a while") {
+TEST_CASE("A target is avoided for a time after its calls break in a row") {
   FailureGuard guard{FailureGuard::Options{}};
   TimePoint now{seconds(100)};
   CHECK(guard.OnBroken("a", now) == Duration{0});
   CHECK_FALSE(guard.IsAvoided("a", now));
 
-  SECTION("one good call between them ends the suspicion") {
+  SECTION("a successful call between two broken ones resets the count") {
     guard.OnGood("a");
     CHECK(guard.OnBroken("a", now) == Duration{0});
     CHECK_FALSE(guard.IsAvoided("a", now));
   }
-  SECTION("two are enough, and only that target is meant") {
+  SECTION("two broken calls in a row suffice and affect no other target") {
     CHECK(guard.OnBroken("a", now) == seconds(1));
     CHECK(guard.IsAvoided("a", now + milliseconds(999)));
     CHECK_FALSE(guard.IsAvoided("b", now));
     CHECK_FALSE(guard.IsAvoided("a", now + seconds(1)));
 
-    SECTION("calls that were under way do not prolong it") {
+    SECTION("calls that break while the target is avoided do not count") {
       CHECK(guard.OnBroken("a", now + milliseconds(500)) == Duration{0});
       CHECK_FALSE(guard.IsAvoided("a", now + seconds(1)));
     }
-    SECTION("each further break doubles it, up to a bound") {
+    SECTION("each further broken call doubles the time up to the maximum") {
       now += seconds(1);
       CHECK(guard.OnBroken("a", now) == seconds(2));
       now += seconds(2);
@@ -37,19 +37,20 @@
       now += seconds(4);
       CHECK(guard.OnBroken("a", now) == seconds(4));
     }
-    SECTION("a good call ends it at once") {
+    SECTION("a successful call ends it at once") {
       guard.OnGood("a");
       CHECK_FALSE(guard.IsAvoided("a", now));
     }
-    SECTION("as does the end of its run") {
+    SECTION("the end of the target's process ends it at once") {
       guard.Forget("a");
       CHECK_FALSE(guard.IsAvoided("a", now));
     }
   }
 }
 
-// This entry's own path was cut, and everything that it called broke.
-TEST_CASE("Most targets are not believed to fail together") {
+// Guards against avoiding nearly all targets because this entry process's own
+// network path is interrupted, which breaks its calls to every target.
+TEST_CASE("More than two thirds of the targets are not avoided at once") {
   CHECK(FailureGuard::IsPlausible(0, 0));
   CHECK(FailureGuard::IsPlausible(2, 3));
   CHECK_FALSE(FailureGuard::IsPlausible(3, 4));
--- a/tests/core/placement/role_load_test.cc
+++ b/tests/core/placement/role_load_test.cc
@@ -17,18 +17,18 @@
   return duration_cast<Duration>(std::chrono::duration<double, std::milli>(ms));
 }
 
-/// An engine as it really is, which the model does not know.
+/// Actual speed of an engine, which the model has to estimate.
 struct HiddenEngine {
   double fixed_ms;
   double tokens_per_ms;
 };
 
-/// Draws prompt sizes and waits behind others' prompts.
+/// Draws random prompt sizes and waiting times.
 class Traffic {
  public:
   explicit Traffic(std::uint64_t seed) : random_(MakeSeededRandom(seed)) {}
   double Unit() { return ToUnitInterval(random_()); }
-  /// Returns a prompt of 200 to 12,000 tokens, small ones more often.
+  /// Returns a prompt length of 200 to 12,000 tokens, biased to small ones.
   double Tokens() { return 200 + 11800 * Unit() * Unit(); }
 
  private:
@@ -44,9 +44,10 @@
       .count();
 }
 
-// An entry knows its own calls only. Three in four wait behind prompts of other
-// entries; a share of the parts believed cached are cold; some calls hang.
-TEST_CASE("Reading times are found among calls that waited for others") {
+// An entry process sees its own calls only. Three in four of them wait behind
+// prompts of other entry processes, some prefixes assumed to be cached are not,
+// and some calls hang. None of this may distort the estimate.
+TEST_CASE("Prefill times are estimated from calls that include waiting") {
   for (const HiddenEngine engine :
        {HiddenEngine{9, 598}, HiddenEngine{93, 56}, HiddenEngine{1, 5000},
         HiddenEngine{40, 20}}) {
@@ -61,8 +62,8 @@
         ms = traffic.Unit() < 0.02 ? 1600 : ms;
         model.OnRead(tokens, Ms(ms));
       }
-      INFO(engine.fixed_ms << " ms, " << engine.tokens_per_ms << ", seed "
-                           << seed);
+      INFO(engine.fixed_ms << " ms fixed, tokens per ms: "
+                           << engine.tokens_per_ms << ", seed " << seed);
       for (const double tokens : {1000.0, 4000.0, 9000.0}) {
         CHECK(IsWithin(PredictMs(model, tokens),
                        engine.fixed_ms + tokens / engine.tokens_per_ms, 0.15));
@@ -71,7 +72,7 @@
   }
 }
 
-TEST_CASE("No single call moves the model of reading times") {
+TEST_CASE("A single outlier does not change the prefill time model") {
   Traffic traffic(7);
   ReadTimeModel model{ReadTimeModel::Options{}};
   for (int n = 0; n < 256; ++n) {
@@ -89,10 +90,10 @@
   }
 }
 
-// Nothing tells the fixed part from that of the tokens; but what such a prompt
-// takes is known, and an engine ten times as quick as assumed must not be taken
-// for a slow one.
-TEST_CASE("Prompts of one size tell what they take") {
+// Prompts of a single size cannot separate the fixed part from the part for
+// each token, but their own prefill time is known. An engine ten times as fast
+// as assumed must not be taken for a slow one.
+TEST_CASE("Prompts of a single size predict their own prefill time") {
   for (const double ms : {17.0, 170.0}) {
     ReadTimeModel model{ReadTimeModel::Options{}};
     for (int n = 0; n < 64; ++n) {
@@ -102,8 +103,8 @@
   }
 }
 
-TEST_CASE("Roles are shared by what binds each half") {
-  SECTION("few places need more engines for answers") {
+TEST_CASE("The share of decode engines follows from the binding limit") {
+  SECTION("fewer slots per engine need more decode engines") {
     const double many = AnsweringShare(AssumedRoleLoad({128, 0, 0}));
     const double few = AnsweringShare(AssumedRoleLoad({16, 0, 0}));
     const double fewest = AnsweringShare(AssumedRoleLoad({8, 0, 0}));
@@ -111,22 +112,23 @@
     CHECK(few == Approx(1.0 / 3));
     CHECK(fewest == Approx(0.5));
   }
-  SECTION("places that memory cannot fill are none") {
+  SECTION("slots without memory for them do not count") {
     CHECK(AnsweringShare(AssumedRoleLoad({128, 500000, 0})) ==
           Approx(0.256 / 1.256));
   }
-  SECTION("a link that is busy takes no more, whatever the places") {
+  SECTION("a saturated link limits an engine with free slots") {
     const AnsweringWork work{1, 1000, 50000};
     CHECK(EngineSeconds(work, {100, 1e6, 1e-5}) == Approx(0.5));
   }
-  SECTION("without any load no engine is asked for") {
+  SECTION("without load the share is zero") {
     CHECK(AnsweringShare({0, 0}) == 0);
   }
 }
 
-// Two thirds of the answers wait for a place. Counted with that wait, the load
-// would ask for ever more engines, until readers had none.
-TEST_CASE("A queue is no load") {
+// Two thirds of the answers wait for a slot. If that time counted as load, an
+// overload would demand ever more decode engines until none were left for
+// prefill.
+TEST_CASE("Queueing time does not count as load") {
   ReadTimeModel read_time{ReadTimeModel::Options{}};
   for (int n = 0; n < 64; ++n) {
     read_time.OnRead(1000.0 + n, Ms((1000.0 + n) / 100));
@@ -137,11 +139,11 @@
   CHECK_FALSE(meter.Load(limits, read_time, now));
   for (int n = 0; n < 600; ++n) {
     now += milliseconds(50);
-    meter.OnRead(1000, now);  // 10 ms of an engine.
+    meter.OnRead(1000, now);  // 10 ms of engine time.
     meter.OnFirstEvent(milliseconds(n % 3 == 0 ? 40 : 900));
-    meter.OnAnswered(milliseconds(60), 1000, now);  // 100 ms of a place.
+    meter.OnAnswered(milliseconds(60), 1000, now);  // 100 ms of one slot.
     if (n == 300) {
-      CHECK_FALSE(meter.Load(limits, read_time, now));  // Too soon to say.
+      CHECK_FALSE(meter.Load(limits, read_time, now));  // Too early.
     }
   }
   const auto load = meter.Load(limits, read_time, now);
