--- a/src/core/routing/in_flight_table.cc
+++ b/src/core/routing/in_flight_table.cc
@@ -77,8 +77,8 @@
   --size_;
 }
 
-// Moves later entries of the probe sequence back instead of leaving a
-// tombstone, so that lookups stay short however long the process runs.
+// Shifts later entries of the probe sequence back instead of leaving a
+// tombstone, so that lookups stay short in long-running processes.
 void InFlightTable::EraseBucket(std::uint32_t bucket) {
   std::uint32_t hole = bucket;
   std::uint32_t it = bucket;
--- a/src/core/routing/in_flight_table.h
+++ b/src/core/routing/in_flight_table.h
@@ -9,17 +9,17 @@
 
 namespace indigolead {
 
-/// Work that one attempt puts on a target.
+/// Work of one attempt at its target.
 struct AttemptWork {
-  std::uint64_t prefill_tokens = 0;  ///< Prompt tokens not cached there.
+  std::uint64_t prefill_tokens = 0;  ///< Uncached prompt tokens.
   std::uint64_t output_tokens = 0;
   std::uint64_t kv_bytes = 0;
 
   friend bool operator==(const AttemptWork&, const AttemptWork&) = default;
 };
 
-/// One attempt that was sent to a target and whose end is not yet contained in
-/// a load report of that target.
+/// An attempt that was sent to a target and whose end is not yet covered by a
+/// load report of that target.
 struct InFlightAttempt {
   AttemptId id;
   std::uint32_t target = 0;  ///< Index of the target.
@@ -32,11 +32,11 @@
   bool ended = false;
 };
 
-/// Fixed pool of attempts, found by id and listed by target.
+/// Fixed-size pool of attempts, indexed by id and listed by target.
 ///
-/// Ended attempts are kept until a report measured after their end arrives:
-/// without them, a lagging report would count them as load for ever. All
-/// memory is allocated by the constructor.
+/// An ended attempt is kept until a report measured after its end arrives;
+/// otherwise a delayed report would still count it as load. All memory is
+/// allocated by the constructor.
 class InFlightTable {
  public:
   /// Marks the end of a list.
@@ -44,20 +44,20 @@
 
   InFlightTable(std::uint32_t capacity, std::uint32_t max_targets);
 
-  /// Adds `attempt`. Returns its place, or `kNone` if the table is full or
-  /// already holds the id.
+  /// Adds `attempt`. Returns its index, or `kNone` if the table is full or
+  /// already contains the id.
   std::uint32_t Insert(const InFlightAttempt& attempt);
 
-  /// Returns the place of `id`, or `kNone`.
+  /// Returns the index of `id`, or `kNone`.
   std::uint32_t Find(const AttemptId& id) const;
 
-  /// Forgets the attempt at `place`, which must be in use.
+  /// Removes the attempt at `place`, which must be in use.
   void Erase(std::uint32_t place);
 
-  /// Returns the first place in the list of `target`, or `kNone`.
+  /// Returns the first index in the list of `target`, or `kNone`.
   std::uint32_t First(std::uint32_t target) const { return heads_[target]; }
 
-  /// Returns the place after `place` in its target's list, or `kNone`.
+  /// Returns the index after `place` in its target's list, or `kNone`.
   std::uint32_t Next(std::uint32_t place) const { return nodes_[place].next; }
 
   InFlightAttempt& At(std::uint32_t place) { return nodes_[place].attempt; }
--- a/src/core/routing/outlier_detector.cc
+++ b/src/core/routing/outlier_detector.cc
@@ -6,7 +6,7 @@
 namespace indigolead {
 namespace {
 
-/// Expected times below this are noise of the machine, not of the target.
+/// Times below this reflect noise of the machine, not the target.
 constexpr double kFloorSeconds = 0.02;
 
 double Seconds(Duration duration) {
@@ -23,7 +23,7 @@
   state->failures_in_row = 0;
   if (state->suspect) {
     if (sample - fleet_log_ratio_ <= std::log(options_.healthy_ratio)) {
-      // Past samples described the time of trouble: the target starts afresh.
+      // The old samples describe the slow period, so the state is reset.
       *state = OutlierState{};
     }
     return;
@@ -31,8 +31,8 @@
   const double weight = state->samples == 0 ? 1.0 : options_.smoothing;
   state->log_ratio += weight * (sample - state->log_ratio);
   ++state->samples;
-  // One sample moves the fleet's average by a bounded step, so that a single
-  // broken target cannot drag it along and look normal.
+  // The step is bounded, so that a single broken target cannot shift the
+  // fleet's average until it looks normal itself.
   const double step = std::clamp(sample - fleet_log_ratio_, -1.0, 1.0);
   fleet_log_ratio_ += 0.02 * step;
   if (state->samples >= options_.min_samples &&
--- a/src/core/routing/outlier_detector.h
+++ b/src/core/routing/outlier_detector.h
@@ -7,31 +7,31 @@
 
 namespace indigolead {
 
-/// What is known of one target's speed and failures against its peers.
+/// Observed speed and failures of one target.
 struct OutlierState {
-  double log_ratio = 0;  ///< Average log of observed over expected time.
+  double log_ratio = 0;  ///< Mean of log(observed time / expected time).
   std::uint32_t samples = 0;
   std::uint32_t failures_in_row = 0;
   bool suspect = false;
-  TimePoint probe_at{};        ///< When a suspect target may be tried again.
-  Duration probe_interval{0};  ///< Doubles with every failed probe.
+  TimePoint probe_at{};        ///< When a suspect target may be probed next.
+  Duration probe_interval{0};  ///< Doubles with each probe.
 
   friend bool operator==(const OutlierState&, const OutlierState&) = default;
 };
 
-/// Finds targets that are much slower than their peers or that fail.
+/// Detects targets that fail or are much slower than their peers.
 ///
-/// A target that accepts work and does not finish it reports a short queue and
-/// so attracts more: the caller sees timeouts that move with the load. What a
-/// target reports of itself cannot show that; times observed here can. Each is
-/// compared with the time expected of that target at its load, and the ratio
-/// with the average ratio of all targets, so that a load peak that slows
-/// everyone makes nobody suspect.
+/// A target that accepts work without finishing it reports a short queue and so
+/// attracts more, and callers see timeouts. Its own reports cannot show this,
+/// but the times observed here can. Each time is compared with the time
+/// expected at the target's load, and that ratio with the average ratio of all
+/// targets, so that a load peak that slows down every target makes none of them
+/// suspect.
 class OutlierDetector {
  public:
   struct Options {
-    double slow_ratio = 3.0;     ///< Times slower than the peers: suspect.
-    double healthy_ratio = 1.5;  ///< A probe at most this slow clears.
+    double slow_ratio = 3.0;     ///< Slowdown that makes a target suspect.
+    double healthy_ratio = 1.5;  ///< A probe up to this ratio clears it.
     std::uint32_t min_samples = 8;
     std::uint32_t failures_to_suspect = 3;
     Duration probe_interval = std::chrono::seconds(1);
@@ -41,18 +41,18 @@
 
   explicit OutlierDetector(const Options& options) : options_(options) {}
 
-  /// Records the time to the first token, against the time expected.
+  /// Records the observed and the expected time to the first token.
   void OnObserved(OutlierState* state, Duration observed, Duration expected,
                   TimePoint now);
 
-  /// Records a failure that is the target's fault.
+  /// Records a failure caused by the target.
   void OnFailure(OutlierState* state, TimePoint now);
 
-  /// Records that a probe was sent: the next may follow after the interval,
-  /// even if this one is never answered.
+  /// Records that a probe was sent. The next one may follow after the interval
+  /// even if this one gets no response.
   void OnProbe(OutlierState* state, TimePoint now) const;
 
-  /// Returns how many times slower than its peers a target is, at least 1.
+  /// Returns the target's slowdown relative to its peers, at least 1.
   double Slowness(const OutlierState& state) const;
 
  private:
--- a/src/core/routing/prefix_blocks.h
+++ b/src/core/routing/prefix_blocks.h
@@ -9,21 +9,22 @@
 
 namespace indigolead {
 
-/// Most prefix blocks looked at for one request. A longer prompt is matched
-/// by its first blocks only, which bounds the time of a decision.
+/// Maximum number of prefix blocks per request. A longer prompt is matched by
+/// its first blocks only, which bounds the time of a routing decision.
 inline constexpr std::size_t kMaxPrefixBlocks = 64;
 
-/// Hashes of a prompt's prefix blocks, held in place.
+/// Hashes of a prompt's prefix blocks, stored inline.
 ///
-/// Hash N covers everything from the first byte to the end of block N, so two
+/// Hash N covers the prompt from its first byte to the end of block N, so two
 /// prompts share a hash only if they share the whole prefix.
 class PrefixBlocks {
  public:
   PrefixBlocks() = default;
 
-  /// Hashes the whole blocks of `prompt`; the incomplete last one is left out
-  /// because an engine caches whole blocks only. `salt` separates models and
-  /// adapters, whose caches cannot be shared. `block_bytes` must not be 0.
+  /// Hashes the complete blocks of `prompt`. An incomplete last block is
+  /// omitted, because engines cache complete blocks only. `salt` separates
+  /// models and adapters, whose caches cannot be shared. `block_bytes` must not
+  /// be 0.
   PrefixBlocks(std::string_view prompt, std::size_t block_bytes,
                std::uint64_t salt);
 
--- a/src/core/routing/prefix_cache_hint.cc
+++ b/src/core/routing/prefix_cache_hint.cc
@@ -7,14 +7,15 @@
 namespace indigolead {
 namespace {
 
-/// Resolution of the time stamps.
+/// Resolution of the timestamps.
 constexpr Duration kTick = std::chrono::milliseconds(100);
 constexpr std::uint32_t kTickMask = (1U << 24U) - 1;
 
-/// Parts of a halving that doubt is counted in.
+/// Units of doubt that halve the confidence.
 constexpr double kDoubtParts = 16;
-/// Doubt at which a block is forgotten: eight halvings. Half of what eight
-/// bits hold, so that old doubt is dropped before it wraps round.
+/// Maximum doubt that one gap adds: eight halvings. Blocks are removed at half
+/// of it. It is half the range of eight bits, so that a block's doubt cannot
+/// wrap around before the block is removed.
 constexpr std::uint32_t kMostDoubt = 128;
 
 }  // namespace
@@ -37,7 +38,7 @@
 std::uint32_t PrefixCacheHint::AgeOf(const Entry& entry,
                                      std::uint32_t tick) const {
   const std::uint32_t age = (tick - entry.tick) & kTickMask;
-  // A time that went backwards makes an entry young, not ancient.
+  // If the clock went backwards, the entry counts as new, not as very old.
   return age > kTickMask / 2 ? 0 : age;
 }
 
@@ -55,7 +56,7 @@
       place = &it;
       break;
     }
-    // An empty place first, else the block not seen for longest.
+    // Prefers an empty entry, else the one not seen for the longest time.
     const bool better = place->tag != 0 &&
                         (it.tag == 0 || AgeOf(it, tick) > AgeOf(*place, tick));
     place = better ? &it : place;
@@ -79,7 +80,7 @@
   if (size_ == 0 || lost_blocks == 0) {
     return;
   }
-  // Half of what is lost may be removals, and each removes one of those held.
+  // Half of the lost events are assumed to be removals of known blocks.
   const double removed = static_cast<double>(lost_blocks) / 2;
   const double kept =
       static_cast<double>(size_) / (static_cast<double>(size_) + removed);
@@ -128,8 +129,8 @@
 
 CachedPrefix PrefixCacheHint::Find(std::span<const std::uint64_t> blocks,
                                    TimePoint now) const {
-  // The first look is at the first block: most targets hold nothing of a
-  // prompt, and then one cache line is all that is read.
+  // Checks the first block first: most targets cache nothing of a prompt, and
+  // then only one cache line is read.
   const Entry* last = blocks.empty() ? nullptr : FindEntry(blocks[0]);
   if (last == nullptr) {
     return CachedPrefix{};
--- a/src/core/routing/prefix_cache_hint.h
+++ b/src/core/routing/prefix_cache_hint.h
@@ -11,24 +11,24 @@
 
 namespace indigolead {
 
-/// Says how much of a prompt a target probably has in its prefix cache.
+/// Estimate of how much of a prompt is in a target's prefix cache.
 struct CachedPrefix {
-  std::size_t blocks = 0;  ///< Blocks from the start of the prompt.
+  std::size_t blocks = 0;  ///< Leading blocks of the prompt.
   double confidence = 0;   ///< Probability that they are still there, 0 to 1.
 
   friend bool operator==(const CachedPrefix&, const CachedPrefix&) = default;
 };
 
-/// Remembers which prefix blocks one target probably caches.
+/// Tracks which prefix blocks one target probably caches.
 ///
-/// Engines publish cache events late and with gaps, so this is a hint: it may
-/// be wrong both ways, and a wrong one costs a prefill, never an answer. Each
-/// block's confidence halves with every `half_life` since it was last seen, and
-/// falls with each event lost since, by the share of the cache that the event
-/// may have removed.
+/// Engines publish cache events late and with gaps, so the hint can be wrong in
+/// either direction; an error costs a prefill, but never an answer. A block's
+/// confidence halves with every `half_life` since it was last seen, and drops
+/// with each event lost since, by the share of the cache that the event may
+/// have removed.
 ///
-/// Memory is one fixed table of eight-way sets, one cache line each; a full
-/// set forgets its oldest block.
+/// Memory is a fixed eight-way set-associative table with one cache line per
+/// set. A full set evicts its oldest block.
 class PrefixCacheHint {
  public:
   struct Options {
@@ -38,28 +38,29 @@
 
   explicit PrefixCacheHint(const Options& options);
 
-  /// Records that the target holds `block` as of `now`.
+  /// Records that the target caches `block` as of `now`.
   void Add(std::uint64_t block, TimePoint now);
 
-  /// Records that the target dropped `block`.
+  /// Records that the target evicted `block`.
   void Remove(std::uint64_t block);
 
-  /// Records that about `lost_blocks` were added or removed unseen.
+  /// Records that events about an estimated `lost_blocks` blocks were lost.
   void NoteGap(std::uint64_t lost_blocks);
 
-  /// Forgets everything, because the target's cache is empty after a restart.
+  /// Removes all blocks. Used after a restart, when the target's cache is
+  /// empty.
   void Clear();
 
   /// Returns how much of a prompt is probably cached. `blocks` are the hashes
-  /// of the prompt's prefix blocks in order. Takes time logarithmic in their
-  /// number: a cached block implies that those before it are cached.
+  /// of the prompt's prefix blocks in order. Uses a binary search, because a
+  /// cached block implies that all blocks before it are cached.
   CachedPrefix Find(std::span<const std::uint64_t> blocks, TimePoint now) const;
 
  private:
   struct Entry {
-    std::uint32_t tag = 0;        ///< High half of the hash; 0 if empty.
-    std::uint32_t tick : 24 = 0;  ///< Time last seen; wraps after 19 days.
-    std::uint32_t doubt : 8 = 0;  ///< Low bits of `doubt_` at that time.
+    std::uint32_t tag = 0;        ///< Upper hash bits, made odd; 0 if empty.
+    std::uint32_t tick : 24 = 0;  ///< When last seen; wraps after 19 days.
+    std::uint32_t doubt : 8 = 0;  ///< Low bits of `doubt_` when last seen.
   };
   static constexpr std::size_t kWays = 8;
   using Set = std::array<Entry, kWays>;
@@ -76,8 +77,8 @@
   std::uint64_t mask_;
   double half_life_ticks_;
   std::size_t size_ = 0;
-  /// Doubt added by all gaps so far, in parts of a halving. A block's own is
-  /// what was added since it was last seen.
+  /// Total doubt added by lost events, in fractions of a halving of confidence.
+  /// The doubt of a block is the part added since the block was last seen.
   std::uint32_t doubt_ = 0;
   std::uint32_t dropped_at_doubt_ = 0;
 };
--- a/src/core/routing/router.cc
+++ b/src/core/routing/router.cc
@@ -97,9 +97,9 @@
   }
 }
 
-// Every rollout brings a new "name@version". Without dropping the names that
-// no target has any more, a process that runs for months would have no bit
-// left for the newest version and refuse all requests for it.
+// Every rollout adds a new "name@version". Unless names that no target has any
+// more are dropped, a process that runs for months has no bit left for the
+// newest version and refuses all requests for it.
 void Router::RenumberNames() {
   models_.Clear();
   adapters_.Clear();
@@ -232,8 +232,9 @@
   }
   sent.ended = true;
   sent.ended_at = now;
-  // Only a later report can contain an attempt that a report contains; one
-  // sent after the last report is undone already.
+  // An attempt sent after the last report no longer affects the estimate. An
+  // attempt that the last report counts is kept until a report measured after
+  // its end arrives.
   if (!state.load.has_report() ||
       sent.sent_at > state.load.report().measured_at) {
     attempts_.Erase(place);
@@ -241,7 +242,7 @@
 }
 
 void Router::CalibrateFinish(const InFlightAttempt& attempt, TimePoint now) {
-  // Shorter ones are mostly overhead that does not grow with the work.
+  // Shorter attempts are mostly overhead that does not grow with the work.
   constexpr Duration kShortest = std::chrono::milliseconds(50);
   if (attempt.expected_end < kShortest || now < attempt.sent_at) {
     return;
--- a/src/core/routing/router.h
+++ b/src/core/routing/router.h
@@ -19,8 +19,8 @@
 
 namespace indigolead {
 
-/// Names one target of one router. A target that is removed and added again
-/// has a new handle, so that late events of the old one touch nothing.
+/// Identifies one target of one router. A target that is removed and added
+/// again gets a new handle, so that late events of the old one have no effect.
 struct TargetHandle {
   std::uint32_t index = UINT32_MAX;
   std::uint32_t generation = 0;
@@ -28,109 +28,110 @@
   friend bool operator==(const TargetHandle&, const TargetHandle&) = default;
 };
 
-/// What a router needs to know of a target besides its load.
+/// Describes a target except for its load.
 struct TargetView {
   std::string instance;
   std::string failure_domain;
   EngineRole role = EngineRole::kMixed;
-  std::vector<std::string> models;  ///< Loaded, as "name@version".
+  std::vector<std::string> models;  ///< Loaded models as "name@version".
   std::vector<std::string> adapters;
-  bool serving = true;  ///< Up, connected, and not in a change.
+  bool serving = true;  ///< Up, connected and not being changed.
   bool leaving = false;
 
   friend bool operator==(const TargetView&, const TargetView&) = default;
 };
 
-/// What a request asks of a target. Views and spans need only live until
-/// `Choose` returns.
+/// Requirements of a request. Its views and spans need only live until `Choose`
+/// returns.
 struct RouteQuery {
-  std::string_view model;    ///< "name" or "name@version"; empty: any.
-  std::string_view adapter;  ///< Empty: none.
+  std::string_view model;    ///< "name" or "name@version"; empty for any.
+  std::string_view adapter;  ///< Empty for none.
   std::uint64_t prompt_tokens = 0;
   std::uint64_t output_tokens = 0;
   std::span<const std::uint64_t> prefix_blocks;  ///< See `PrefixBlocks`.
-  std::span<const TargetHandle> excluded;        ///< Tried before.
-  /// A suspect target may be tried with this request. Set only for requests
-  /// that may run again if it fails.
+  std::span<const TargetHandle> excluded;        ///< Already tried.
+  /// Allows probing a suspect target with this request. Set only for requests
+  /// that can be retried.
   bool may_probe = false;
-  /// The caller of `Choose` can run the prefill on one engine and the decode
-  /// on another.
+  /// Allows the prefill and the decode to run on different engines.
   bool may_split = false;
 };
 
-/// Why a decision names no target, or that it names one.
+/// Result of a routing decision.
 enum class RouteVerdict {
   kChosen,
   kNoTarget,   ///< No target is serving.
   kNotLoaded,  ///< No serving target has the model and adapter.
-  kExcluded,   ///< Every suitable target was tried before.
+  kExcluded,   ///< Every suitable target was already tried.
 };
 
-/// What one engine is asked to do for a request.
+/// The part of a request that one engine runs.
 struct RouteLeg {
   TargetHandle target;
   AttemptWork work;
-  std::uint64_t cached_tokens = 0;  ///< Prompt tokens probably cached there.
+  std::uint64_t cached_tokens = 0;  ///< Prompt tokens expected to be cached.
   Duration expected_first_token{0};
   Duration expected_end{0};  ///< Before calibration; passed to `OnSent`.
 
   friend bool operator==(const RouteLeg&, const RouteLeg&) = default;
 };
 
-/// Outcome of one decision.
+/// A routing decision.
 struct RouteDecision {
   RouteVerdict verdict = RouteVerdict::kNoTarget;
   RouteLeg leg;  ///< Valid if `verdict` is `kChosen`.
-  /// Engine to prefill on first; that of `leg` then imports its KV cache.
+  /// Engine that runs the prefill; the engine of `leg` then imports its KV
+  /// cache.
   std::optional<RouteLeg> prefill;
-  /// Time to the whole answer, corrected by how the last ones compared.
+  /// Time to the end of the answer, calibrated by recent attempts.
   Duration expected_finish{0};
-  bool probe = false;  ///< The target is suspect and tried on purpose.
+  bool probe = false;  ///< The target is suspect and being probed.
 
   friend bool operator==(const RouteDecision&, const RouteDecision&) = default;
 };
 
-/// What an attempt's end says of its target.
+/// Outcome of an attempt.
 enum class AttemptFate {
-  kFinished,      ///< The answer came whole: shows how long it takes.
-  kTargetFailed,  ///< The target's fault.
-  kOther,         ///< Cancelled, refused, or a fault elsewhere.
+  kFinished,      ///< Answer complete; its time calibrates the model.
+  kTargetFailed,  ///< Failure caused by the target.
+  kOther,         ///< Cancelled, refused, or failed elsewhere.
 };
 
-/// Bounds and weights of a router.
+/// Limits and cost weights of a router.
 struct RouterOptions {
-  std::string failure_domain;  ///< Where the router itself runs.
+  std::string failure_domain;  ///< Of the router itself.
   std::uint32_t max_targets = 512;
   std::uint32_t max_in_flight = 16384;
-  /// Targets scored for one decision; bounds its time at any fleet size.
+  /// Targets scored per decision; bounds its time for any fleet size.
   std::uint32_t max_scored = 128;
   std::uint32_t block_tokens = 256;  ///< Prompt tokens in one prefix block.
   PrefixCacheHint::Options cache;
   OutlierDetector::Options outlier;
   TargetDefaults defaults;
-  /// Off: routes on the last report as it is. Only to measure what the
-  /// correction is worth.
+  /// If false, uses the last load report without correction. Only for measuring
+  /// the effect of the correction.
   bool correct_reports = true;
-  std::uint64_t kv_bytes_per_token = 0;  ///< 0 leaves KV memory out.
+  std::uint64_t kv_bytes_per_token = 0;  ///< 0 ignores KV memory.
   double transfer_bytes_per_s = 1e9;     ///< Of KV cache between engines.
-  /// Weight of a prefill's own work over its time: it delays others as well.
+  /// Cost of a prefill relative to its duration. Above 1 because it also delays
+  /// other requests.
   double prefill_weight = 2.0;
   /// Time added for a target in another failure domain.
   Duration domain_cost = std::chrono::milliseconds(2);
-  /// Time added for a target whose KV memory would overflow, so that it would
-  /// have to evict a running request.
+  /// Time added for a target whose KV memory would overflow, which would evict
+  /// a running request.
   Duration kv_full_cost = std::chrono::seconds(5);
-  /// Times slower that an engine does the work of another role.
+  /// Slowdown factor for work outside an engine's role.
   double role_mismatch_cost = 3.0;
-  /// Costs this close to the best count as equal, relative and absolute.
+  /// Relative and absolute difference from the best cost that counts as a tie.
   double tie_share = 0.05;
   Duration tie = std::chrono::milliseconds(2);
-  /// Share of suspect targets from which on suspicion is ignored: then the
-  /// trouble is elsewhere, and the rest could not carry the load.
+  /// Above this share of suspect targets, suspicion is ignored: the cause is
+  /// probably elsewhere, and the other targets could not carry the load.
   double max_suspect_share = 0.5;
 };
 
-/// Sums over the targets that serve, for admission.
+/// Load summed over the serving targets, for admission control.
 struct FleetLoad {
   std::uint32_t serving = 0;
   double queued_prefill_tokens = 0;
@@ -144,73 +145,75 @@
 
 /// Chooses the target of each attempt of one deployment.
 ///
-/// Each suitable target is given a cost in seconds: the prefill queued there,
-/// the part of this prompt that its cache does not cover, the decode at its
-/// batch size, and surcharges for full KV memory, another failure domain, a
-/// foreign role and slowness. The choice is at random among those whose cost is
-/// about the best, since several routers that see the same reports must not
-/// all pick the same target.
+/// Each suitable target gets a cost in seconds: the prefill queued there, the
+/// prefill of the prompt tokens that its cache does not cover, the decode at
+/// its batch size, and penalties for full KV memory, another failure domain, a
+/// mismatching role and slowness. The choice among targets with nearly the best
+/// cost is random, so that routers that see the same reports do not all pick
+/// the same target.
 ///
-/// Not thread-safe: it belongs to one dispatch thread. `Choose`, `OnSent`,
-/// `OnFirstToken`, `OnEnded`, `OnLoadReport` and `OnCacheEvents` allocate
-/// nothing; memory is bounded by the options.
+/// Not thread-safe; owned by one dispatch thread. `Choose`, `OnSent`,
+/// `OnFirstToken`, `OnEnded`, `OnLoadReport` and `OnCacheEvents` do not
+/// allocate. Memory is bounded by the options.
 class Router {
  public:
   Router(RouterOptions options, RandomSource random);
 
-  /// Adds the target or replaces what is known of it, by instance name.
-  /// Returns nothing if `max_targets` are held.
+  /// Adds the target, or replaces the view of the one with the same instance
+  /// name. Returns nothing if there are already `max_targets` others.
   std::optional<TargetHandle> UpdateTarget(const TargetView& view);
 
-  /// Forgets the target and its attempts.
+  /// Removes the target and its attempts.
   void RemoveTarget(TargetHandle target);
 
-  /// Forgets cache, load and suspicion, because the target's process is new.
+  /// Resets the target's cache hints, load and outlier state after its process
+  /// restarted, and drops its attempts.
   void OnRestart(TargetHandle target);
 
-  /// Takes a report; those older than the one held are ignored.
+  /// Applies a load report unless it is older than the last one.
   void OnLoadReport(TargetHandle target, const TargetLoadReport& report,
                     TimePoint now);
 
-  /// Takes cache events. `lost` is the number of blocks in events before these
-  /// that were lost, by estimate.
+  /// Applies cache events. `lost` is the estimated number of blocks in events
+  /// that were lost before these.
   void OnCacheEvents(TargetHandle target, std::span<const std::uint64_t> added,
                      std::span<const std::uint64_t> removed, std::uint64_t lost,
                      TimePoint now);
 
-  /// Returns the target to send an attempt to. Changes nothing but the random
-  /// source and, for a probe, the time of the next.
+  /// Chooses the target of an attempt. Changes only the random source and, for
+  /// a probe, the time of the next probe.
   RouteDecision Choose(const RouteQuery& query, TimePoint now);
 
-  /// Returns the decision for one given target, however bad, to send a
-  /// request there for a reason of the caller's own. `target` must be known.
+  /// Returns the decision for a given target regardless of its cost, for
+  /// callers that select targets by themselves. `target` must be valid.
   RouteDecision Consider(TargetHandle target, const RouteQuery& query,
                          TimePoint now) const;
 
-  /// Records that the attempt was sent as decided. `prefix_blocks` are then
-  /// taken to be cached there. Returns false if the attempt is not tracked,
-  /// because `max_in_flight` are or the target is gone.
+  /// Records that the attempt was sent to the target of `leg`, where
+  /// `prefix_blocks` are assumed to be cached from then on. Returns false if
+  /// the attempt is not tracked, because `max_in_flight` was reached, its id is
+  /// already tracked, or the target was removed.
   bool OnSent(AttemptId attempt, const RouteLeg& leg,
               std::span<const std::uint64_t> prefix_blocks, TimePoint now);
 
   /// Records the first byte of the answer.
   void OnFirstToken(AttemptId attempt, TimePoint now);
 
-  /// Records the end. `kTargetFailed` blames the target.
+  /// Records the end. `kTargetFailed` counts as a failure of the target.
   void OnEnded(AttemptId attempt, AttemptFate fate, TimePoint now);
 
-  /// Returns the handle of `instance`, if it is known.
+  /// Returns the handle of `instance`, or nothing if there is none.
   std::optional<TargetHandle> Find(std::string_view instance) const;
 
-  /// Returns the view of `target`, or null if the handle is out of date.
+  /// Returns the view of `target`, or null if the handle is stale.
   const TargetView* View(TargetHandle target) const;
 
-  /// Returns the estimate for `target`, or nothing if the handle is old.
+  /// Returns the load estimate of `target`, or nothing if the handle is stale.
   std::optional<LoadEstimate> Estimate(TargetHandle target,
                                        TimePoint now) const;
 
-  /// Returns the newest report of `target`, empty before the first, or
-  /// nothing if the handle is old.
+  /// Returns the last load report of `target`, default-constructed before the
+  /// first, or nothing if the handle is stale.
   std::optional<TargetLoadReport> LastReport(TargetHandle target) const;
 
   FleetLoad Fleet(TimePoint now) const;
@@ -219,7 +222,7 @@
   std::uint32_t suspects() const;
 
  private:
-  /// Part of a request that an engine is asked to do.
+  /// Phase of a request that an engine runs.
   enum class Part { kWhole, kPrefill, kDecode };
 
   struct TargetState {
@@ -237,7 +240,7 @@
     PrefixCacheHint hint;
   };
 
-  /// Cost of one candidate, with what led to it.
+  /// A scored target.
   struct Candidate {
     std::uint32_t index = UINT32_MAX;
     double cost = 0;  ///< Seconds; infinite if there is no candidate.
@@ -246,10 +249,10 @@
     std::uint64_t cached_tokens = 0;
   };
 
-  /// Names of models and adapters, numbered for comparison by bit.
+  /// Maps names of models or adapters to bits of a mask.
   class Names {
    public:
-    /// Returns the bit of `name`, numbering it if there is room; else 0.
+    /// Returns the bit of `name`, assigning one if there is room, else 0.
     std::uint64_t BitsOf(const std::string& name);
     std::uint64_t Find(std::string_view name) const;
     bool full() const { return names_.size() >= kMaxNames; }
@@ -258,11 +261,11 @@
    private:
     std::vector<std::string> names_;
   };
-  /// Bits in a mask, and so the most names that are told apart. A target's
-  /// further names are never matched, which refuses instead of misrouting.
+  /// Number of bits in a mask. Further names of a target never match, so that
+  /// requests for them are refused instead of misrouted.
   static constexpr std::size_t kMaxNames = 64;
 
-  /// What a query asks for, as bits.
+  /// Model and adapter of a query as masks.
   struct Wanted {
     std::uint64_t model = 0;
     std::uint64_t adapter = 0;
@@ -301,12 +304,12 @@
   Names models_;
   Names adapters_;
   std::vector<TargetState> targets_;
-  std::vector<std::uint32_t> serving_;  ///< Indices, in no order.
-  // Scratch of one decision, kept so that deciding allocates nothing.
+  std::vector<std::uint32_t> serving_;  ///< Indices, unordered.
+  // Buffers reused by each decision, so that decisions do not allocate.
   std::vector<std::uint32_t> suitable_;
   std::vector<Candidate> scored_;
   bool any_excluded_ = false;
-  /// Average of the time that attempts took over the time expected.
+  /// Moving average of the actual over the expected duration of attempts.
   double finish_ratio_ = 1;
 };
 
--- a/src/core/routing/router_choose.cc
+++ b/src/core/routing/router_choose.cc
@@ -1,4 +1,4 @@
-// The decision of `Router`: collecting, scoring and choosing candidates.
+// Target selection of `Router`: collects, scores and chooses candidates.
 #include <algorithm>
 #include <cmath>
 #include <limits>
@@ -8,8 +8,8 @@
 namespace indigolead {
 namespace {
 
-/// Share of a decode step's time that does not depend on the batch: reading
-/// the weights. The rest grows with the number of sequences.
+/// Share of a decode step's time that does not depend on the batch size
+/// (reading the weights). The rest grows with the number of sequences.
 constexpr double kFixedStepShare = 0.5;
 
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
@@ -19,17 +19,17 @@
 }
 
 Duration FromSeconds(double seconds) {
-  // A day bounds what a broken rate in a report can make of it.
+  // One day bounds the result of an invalid rate in a load report.
   const double bounded = std::clamp(seconds, 0.0, 86400.0);
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(bounded));
 }
 
-/// Seconds that a decode of `output_tokens` takes on a target.
+/// Estimated time of a decode on a target.
 struct DecodeTime {
-  double wait_s = 0;  ///< Until a slot is free.
-  double run_s = 0;   ///< At the batch size that it joins.
-  double harm_s = 0;  ///< By which the others in the batch are slowed.
+  double wait_s = 0;  ///< Wait for a free slot.
+  double run_s = 0;   ///< Decode at the resulting batch size.
+  double harm_s = 0;  ///< Slowdown of the other requests in the batch.
 };
 
 DecodeTime EstimateDecode(const LoadEstimate& load, double output_tokens) {
@@ -64,9 +64,9 @@
   return wanted;
 }
 
-// Scans from two places: one drawn at random, and one that depends on the
-// prompt's first block, so that in a fleet larger than `max_scored` requests
-// that share a prefix keep meeting the targets that cache it.
+// In a fleet larger than `max_scored`, scans from two positions: one derived
+// from the prompt's first block, so that requests with the same prefix find the
+// targets that cache it, and a random one.
 void Router::CollectCandidates(const RouteQuery& query, const Wanted& wanted) {
   suitable_.clear();
   any_excluded_ = false;
@@ -147,7 +147,7 @@
   DecodeTime decode;
   double decode_mismatch = 1.0;
   if (part != Part::kPrefill) {
-    // A call without tokens still takes a place in the batch.
+    // A call without output tokens still takes a slot in the batch.
     const double output =
         std::max(1.0, static_cast<double>(query.output_tokens));
     decode = EstimateDecode(load, output);
@@ -198,7 +198,7 @@
   const double limit = best * (1 + options_.tie_share) + Seconds(options_.tie);
   std::uint32_t tied = 0;
   for (const Candidate& it : scored_) {
-    // Each of the tied is kept with the same probability, in one pass.
+    // Reservoir sampling: each tied candidate is chosen with equal probability.
     if (it.cost <= limit && ToBelow(random_(), ++tied) == 0) {
       chosen = it;
     }
--- a/src/core/routing/target_load.cc
+++ b/src/core/routing/target_load.cc
@@ -24,8 +24,9 @@
 
 void TargetLoad::OnReport(const TargetLoadReport& report, std::uint32_t target,
                           TimePoint now, InFlightTable* attempts) {
-  // Reports may overtake each other on two connections; the older one must
-  // not win. One from the future (a clock that jumped) counts as of now.
+  // Reports on two connections can arrive out of order; an older one must not
+  // replace a newer one. A measurement time in the future, caused by a clock
+  // jump, is replaced by the current time.
   const TimePoint measured_at = std::min(report.measured_at, now);
   if (has_report_ && measured_at < report_.measured_at &&
       report_.measured_at <= now) {
--- a/src/core/routing/target_load.h
+++ b/src/core/routing/target_load.h
@@ -8,35 +8,35 @@
 
 namespace indigolead {
 
-/// A target's own figures at one moment.
+/// Load of a target as it reports it.
 struct TargetLoadReport {
-  TimePoint measured_at{};  ///< On this machine's clock: arrival minus age.
+  TimePoint measured_at{};  ///< Arrival minus age, on the local clock.
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint64_t queued_prefill_tokens = 0;
   std::uint64_t kv_used_bytes = 0;
-  std::uint64_t kv_capacity_bytes = 0;     ///< 0 if not known.
-  std::uint32_t slots = 0;                 ///< 0 if not known.
-  std::uint64_t prefill_tokens_per_s = 0;  ///< 0 if not known.
-  std::uint64_t decode_tokens_per_s = 0;   ///< At full batch; 0: not known.
+  std::uint64_t kv_capacity_bytes = 0;     ///< 0 if unknown.
+  std::uint32_t slots = 0;                 ///< 0 if unknown.
+  std::uint64_t prefill_tokens_per_s = 0;  ///< 0 if unknown.
+  std::uint64_t decode_tokens_per_s = 0;   ///< At full batch; 0 if unknown.
 
   friend bool operator==(const TargetLoadReport&,
                          const TargetLoadReport&) = default;
 };
 
-/// Figures assumed of a target that does not report them.
+/// Values assumed for a target that does not report them.
 struct TargetDefaults {
   std::uint32_t slots = 32;
   std::uint64_t prefill_tokens_per_s = 8000;
   std::uint64_t decode_tokens_per_s = 1500;
 };
 
-/// What a target's load is believed to be now.
+/// Estimated current load of a target.
 struct LoadEstimate {
   double queued_prefill_tokens = 0;
   double requests = 0;  ///< Running and waiting.
   double kv_used_bytes = 0;
-  double kv_capacity_bytes = 0;  ///< 0 if not known.
+  double kv_capacity_bytes = 0;  ///< 0 if unknown.
   double slots = 1;
   double prefill_tokens_per_s = 1;
   double decode_tokens_per_s = 1;
@@ -44,41 +44,42 @@
   friend bool operator==(const LoadEstimate&, const LoadEstimate&) = default;
 };
 
-/// Estimates one target's load from lagging reports and own sends.
+/// Estimates one target's load from delayed reports and the attempts sent to
+/// it.
 ///
-/// A report describes a moment in the past. Routing on it alone sends every
-/// request of the lag to the same seemingly idle target: the caller sees queues
-/// that slosh from target to target. So the estimate is the report, plus what
-/// was sent after it was measured, minus what ended since, minus the prefill
-/// that the target has worked off in the meantime; and never less than what is
-/// known to be unfinished there.
+/// A report describes the past. Routing by reports alone sends all requests
+/// within the reporting delay to the same seemingly idle target, so that queues
+/// oscillate between targets. The estimate is therefore the report, plus the
+/// work sent after its measurement, minus the work ended since, minus the
+/// prefill that the target has processed in the meantime, and at least the work
+/// sent from here that is unfinished.
 class TargetLoad {
  public:
   explicit TargetLoad(const TargetDefaults& defaults) : defaults_(defaults) {}
 
-  /// Takes `report` as the new base, unless it is older than the one held, and
-  /// counts anew which attempts of `target` it contains. Attempts whose end it
-  /// contains are erased from `attempts`.
+  /// Replaces the report unless `report` is older, and determines again which
+  /// attempts of `target` it counts. Erases attempts that ended before its
+  /// measurement from `attempts`.
   void OnReport(const TargetLoadReport& report, std::uint32_t target,
                 TimePoint now, InFlightTable* attempts);
 
   void OnSent(const InFlightAttempt& attempt);
   void OnFirstToken(const InFlightAttempt& attempt);
-  /// `attempt` must not be marked as ended yet.
+  /// Records the end. `attempt` must not be marked as ended yet.
   void OnEnded(const InFlightAttempt& attempt);
 
   LoadEstimate Estimate(TimePoint now) const;
 
-  /// Returns the last report without any correction.
+  /// Returns the load by the last report, without correction.
   LoadEstimate Reported() const;
 
-  /// Returns the number of own attempts that have not ended.
+  /// Returns the number of attempts sent from here that have not ended.
   std::uint32_t own_requests() const { return own_requests_; }
   bool has_report() const { return has_report_; }
   const TargetLoadReport& report() const { return report_; }
 
  private:
-  /// Sums over attempts.
+  /// Work summed over attempts.
   struct Sum {
     double requests = 0;
     double prefill_tokens = 0;
--- a/tests/core/routing/router_test.cc
+++ b/tests/core/routing/router_test.cc
@@ -54,7 +54,7 @@
 
 AttemptId Attempt(std::uint64_t n) { return AttemptId{Id128{n, n * 7919}}; }
 
-/// Router with engines named "0", "1", ... that all serve "tarifa@1".
+/// A router with targets named "0", "1", ... that all serve "tarifa@1".
 struct Fleet {
   explicit Fleet(int n, RouterOptions options = SmallOptions())
       : router(options, MakeSeededRandom(7)) {
@@ -63,7 +63,7 @@
     }
   }
 
-  /// Returns how often each target is chosen in `n` independent decisions.
+  /// Returns how often each target is chosen in `n` decisions.
   std::map<std::uint32_t, int> Count(const RouteQuery& query, int n,
                                      TimePoint now) {
     std::map<std::uint32_t, int> counts;
@@ -79,8 +79,8 @@
   std::vector<TargetHandle> handles;
 };
 
-TEST_CASE("A router says why it has no target") {
-  SECTION("nothing is known") {
+TEST_CASE("A decision without a target states the reason") {
+  SECTION("there are no targets") {
     Fleet fleet(0);
     CHECK(fleet.router.Choose(Prompt(1), kStart).verdict ==
           RouteVerdict::kNoTarget);
@@ -98,7 +98,7 @@
     CHECK(fleet.router.Choose(query, kStart).verdict ==
           RouteVerdict::kNotLoaded);
   }
-  SECTION("every target was tried before") {
+  SECTION("every target was already tried") {
     Fleet fleet(2);
     RouteQuery query = Prompt(1);
     query.excluded = fleet.handles;
@@ -118,7 +118,7 @@
   }
 }
 
-TEST_CASE("A router corrects lagging reports with what it sent") {
+TEST_CASE("A router corrects delayed reports by the attempts it sent") {
   Fleet fleet(2);
   fleet.router.OnLoadReport(fleet.handles[0], Report(kStart, 0), kStart);
   fleet.router.OnLoadReport(fleet.handles[1], Report(kStart, 500), kStart);
@@ -126,17 +126,17 @@
   REQUIRE(first.leg.target == fleet.handles[0]);
   REQUIRE(fleet.router.OnSent(Attempt(1), first.leg, {}, kStart));
 
-  SECTION("the next request avoids the target just sent to") {
+  SECTION("the next request goes to another target") {
     CHECK(fleet.router.Choose(Prompt(2000), kStart).leg.target ==
           fleet.handles[1]);
   }
-  SECTION("a report measured before the send does not undo it") {
+  SECTION("a report measured before the attempt was sent does not remove it") {
     fleet.router.OnLoadReport(fleet.handles[0],
                               Report(kStart - milliseconds(1), 0),
                               kStart + milliseconds(5));
     CHECK(fleet.router.Estimate(fleet.handles[0], kStart)->requests == 1);
   }
-  SECTION("a report that contains the attempt counts it once") {
+  SECTION("an attempt that a report includes is counted once") {
     TargetLoadReport report = Report(kStart + milliseconds(10), 2000);
     report.running = 1;
     fleet.router.OnLoadReport(fleet.handles[0], report,
@@ -150,7 +150,7 @@
                          kStart + milliseconds(30));
     CHECK(fleet.router.Estimate(fleet.handles[0], kStart + milliseconds(30))
               ->requests == 0);
-    // Late report from before the end: still one less.
+    // A late report measured before the end must not count it again.
     report.measured_at = kStart + milliseconds(25);
     fleet.router.OnLoadReport(fleet.handles[0], report,
                               kStart + milliseconds(40));
@@ -158,8 +158,7 @@
               ->requests == 0);
   }
   SECTION(
-      "queued prefill is worked off with time, but not what is known to "
-      "be unfinished") {
+      "queued prefill decreases over time, except for unfinished attempts") {
     const TimePoint later = kStart + seconds(60);
     CHECK(
         fleet.router.Estimate(fleet.handles[1], later)->queued_prefill_tokens ==
@@ -172,7 +171,7 @@
         fleet.router.Estimate(fleet.handles[0], later)->queued_prefill_tokens ==
         0);
   }
-  SECTION("a clock that jumps back or a report from the future is survived") {
+  SECTION("clock jumps and reports from the future are tolerated") {
     fleet.router.OnLoadReport(fleet.handles[0],
                               Report(kStart + std::chrono::hours(9), 700),
                               kStart + seconds(1));
@@ -196,7 +195,7 @@
   }
 }
 
-TEST_CASE("A router prefers the target that caches the prompt") {
+TEST_CASE("A router prefers a target that caches the prompt") {
   Fleet fleet(3);
   const PrefixBlocks blocks(std::string(4096, 'x'), 256, 1);
   RouteQuery query = Prompt(4096);
@@ -212,32 +211,31 @@
     CHECK(decision.leg.cached_tokens == 4096);
     CHECK(decision.leg.work.prefill_tokens == 0);
   }
-  SECTION("but not when waiting there costs more than a prefill elsewhere") {
+  SECTION("but not if waiting there costs more than a prefill elsewhere") {
     fleet.router.OnLoadReport(fleet.handles[2], Report(kStart, 9000), kStart);
     CHECK(fleet.router.Choose(query, kStart).leg.target != fleet.handles[2]);
   }
-  SECTION("and trusts what it was told less after lost events and with age") {
+  SECTION("with less confidence after lost events until it is seen again") {
     const auto before = fleet.router.Choose(query, kStart).leg.cached_tokens;
     fleet.router.OnCacheEvents(fleet.handles[2], {}, {}, 32, kStart);
     const auto after_gap = fleet.router.Choose(query, kStart).leg.cached_tokens;
-    // Sixteen blocks held, sixteen removals lost.
+    // Sixteen cached blocks, sixteen removals lost.
     CHECK(after_gap == before / 2);
     fleet.router.OnCacheEvents(fleet.handles[2], blocks.hashes(), {}, 0,
                                kStart + seconds(1));
     CHECK(fleet.router.Choose(query, kStart + seconds(1)).leg.cached_tokens >
           after_gap);
   }
-  SECTION("and forgets it when the target starts anew") {
+  SECTION("until the target restarts") {
     fleet.router.OnRestart(fleet.handles[2]);
     CHECK(fleet.router.Choose(query, kStart).leg.cached_tokens == 0);
   }
 }
 
-// The caller sees slow answers that follow one engine around: it accepts
-// work, reports a short queue and takes ten times as long as its peers. The
-// router compares observed times with expected ones, gives it nothing, tries
-// it with one request at a time, and takes it back once it is quick again.
-TEST_CASE("A slow or failing target gets little and is probed back") {
+// A target accepts work, reports a short queue and takes ten times as long as
+// its peers. The router must detect it by comparing observed with expected
+// times, send it only one probe at a time, and use it again once it is fast.
+TEST_CASE("A slow or failing target gets only probes until it recovers") {
   Fleet fleet(3);
   std::uint64_t id = 0;
   const auto run = [&](TargetHandle target, milliseconds took, bool failed,
@@ -260,7 +258,7 @@
   }
   RouteQuery query = Prompt(10);
 
-  SECTION("slow") {
+  SECTION("a slow target") {
     for (int it = 0; it < 20; ++it) {
       run(fleet.handles[2], milliseconds(1000), false, kStart);
     }
@@ -277,14 +275,14 @@
     run(fleet.handles[2], milliseconds(100), false, later);
     CHECK(fleet.router.suspects() == 0);
   }
-  SECTION("failing") {
+  SECTION("a failing target") {
     for (int it = 0; it < 3; ++it) {
       run(fleet.handles[2], milliseconds(1), true, kStart);
     }
     CHECK(fleet.router.suspects() == 1);
     CHECK(fleet.Count(query, 200, kStart).count(2) == 0);
   }
-  SECTION("when most are suspect, the trouble is elsewhere and all are used") {
+  SECTION("suspicion is ignored if most targets are suspect") {
     for (const TargetHandle target : fleet.handles) {
       for (int it = 0; it < 3; ++it) {
         run(target, milliseconds(1), true, kStart);
@@ -334,13 +332,13 @@
   }
 }
 
-TEST_CASE("A router keeps its bounds") {
+TEST_CASE("A router respects its limits") {
   RouterOptions options = SmallOptions();
   options.max_targets = 2;
   options.max_in_flight = 3;
   Fleet fleet(2, options);
 
-  SECTION("no more targets than stated; a removed one makes room") {
+  SECTION("max_targets is not exceeded and a removed target frees its slot") {
     CHECK_FALSE(fleet.router.UpdateTarget(Engine("2")).has_value());
     fleet.router.RemoveTarget(fleet.handles[0]);
     const auto handle = fleet.router.UpdateTarget(Engine("2"));
@@ -348,7 +346,7 @@
     CHECK(fleet.router.View(fleet.handles[0]) == nullptr);
     CHECK(fleet.router.View(*handle)->instance == "2");
   }
-  SECTION("attempts beyond the bound are not tracked") {
+  SECTION("attempts beyond max_in_flight are not tracked") {
     RouteLeg leg;
     leg.target = fleet.handles[0];
     for (std::uint64_t it = 1; it <= 3; ++it) {
@@ -358,7 +356,7 @@
     fleet.router.OnEnded(Attempt(2), AttemptFate::kFinished, kStart);
     CHECK(fleet.router.OnSent(Attempt(4), leg, {}, kStart));
   }
-  SECTION("hundreds of rollouts do not use up the names") {
+  SECTION("hundreds of rollouts do not exhaust the model name bits") {
     for (int version = 1; version < 300; ++version) {
       TargetView view = Engine("0");
       view.models = {"tarifa@" + std::to_string(version)};
@@ -370,7 +368,7 @@
   }
 }
 
-TEST_CASE("Deciding allocates nothing in steady state") {
+TEST_CASE("A router does not allocate in steady state") {
   RouterOptions options = SmallOptions();
   options.max_targets = 100;
   Fleet fleet(100, options);
@@ -394,12 +392,12 @@
                                query.prefix_blocks.first(1), it % 5, now);
   }
   const std::uint64_t allocated = AllocationsOfThisThread() - before;
-  INFO("expected 0 calls of operator new in 2000 decisions, seen "
+  INFO("expected no calls of operator new in 2000 decisions, saw "
        << allocated);
   CHECK(allocated == 0);
 }
 
-TEST_CASE("A router never chooses a target that must not be chosen") {
+TEST_CASE("A router never chooses an unsuitable target") {
   const bool held = rc::check(
       "leaving, down, wrong model, wrong adapter or excluded",
       [](std::uint64_t seed) {
