--- a/src/core/placement/engine_placement.cc
+++ b/src/core/placement/engine_placement.cc
@@ -22,7 +22,7 @@
 /// the average follows a burst within a quarter of a second.
 constexpr double kAnswerWaitWeight = 0.06;
 
-/// Adding and subtracting weighted tokens leaves a rounding error far below one
+/// Adding and subtracting weighted tokens leaves rounding errors well below one
 /// token, so an engine with a backlog below one token is idle.
 bool IsIdle(double backlog) { return backlog < 1; }
 
--- a/src/core/placement/engine_placement.h
+++ b/src/core/placement/engine_placement.h
@@ -98,7 +98,7 @@
     double share_without_target = 0.25;
     /// Homes of one shared prefix. Each further home duplicates its KV cache.
     std::size_t max_homes = 3;
-    std::string failure_domain;  ///< Of this entry process.
+    std::string failure_domain;  ///< Domain of this entry process.
     /// Extra streams that a decode engine may have and still be preferred: in
     /// the entry process's failure domain, because the whole request is sent to
     /// it again, and in the prefill engine's failure domain, from which a KV
@@ -185,7 +185,7 @@
 
  private:
   struct EngineState {
-    std::uint64_t epoch = 0;  ///< Identifies the engine's process.
+    std::uint64_t epoch = 0;  ///< Unique to one run of the engine's process.
     double backlog = 0;       ///< Weighted tokens to prefill.
     std::uint32_t reads = 0;  ///< Prompts in the backlog.
     /// Time that the latest prompt waited behind those of all entry processes,
@@ -198,8 +198,9 @@
     std::uint32_t owed = 0;          ///< Calls without a first response.
     TimePoint progress_at{};         ///< Last response, or first pending call.
     TimePoint avoid_until{};
-    TimePoint full_until{};  ///< It refused a decode for lack of capacity.
-    std::unordered_map<std::uint64_t, std::uint64_t> prefixes;  ///< To tokens.
+    TimePoint full_until{};  ///< After refusing a decode for lack of room.
+    /// Tokens of each cached prefix, by the hash of the prefix.
+    std::unordered_map<std::uint64_t, std::uint64_t> prefixes;
   };
   struct Sent {
     EnginePlace place;
@@ -207,7 +208,7 @@
     std::uint64_t prefix_tokens = 0;
     std::uint64_t reader_epoch = 0;
     std::uint64_t decode_epoch = 0;
-    std::uint64_t tokens = 0;  ///< Of the whole prompt.
+    std::uint64_t tokens = 0;  ///< Prompt length.
     bool read_alone = false;   ///< Prefill engine idle, prefix cached.
     TimePoint sent_at{};
     TimePoint asked_at{};  ///< When the decode was last requested.
@@ -260,8 +261,8 @@
   std::map<std::string, EngineState> engines_;
   std::uint64_t last_epoch_ = 0;
   EngineLimits limits_;
-  ReadTimeModel read_time_;   ///< Of prefill engines.
-  ReadTimeModel whole_time_;  ///< To the first event, of engines that do both.
+  ReadTimeModel read_time_;   ///< For prefill engines.
+  ReadTimeModel whole_time_;  ///< To the first event, without a split.
   RoleLoadMeter load_;
   double answer_wait_s_ = 0;  ///< Mean time from request to first event.
   std::unordered_map<AttemptId, Sent> sent_;
--- a/src/core/placement/role_load_meter.h
+++ b/src/core/placement/role_load_meter.h
@@ -27,7 +27,7 @@
     /// alternation.
     std::uint64_t min_answers = 40;
     Duration min_observed = std::chrono::seconds(20);
-    /// Number of first-event waits kept. The faster quarter is assumed to have
+    /// Number of first-event times kept. The faster quarter is assumed to have
     /// found a free slot. If queueing time counted as load, an overload would
     /// demand ever more engines.
     std::size_t waits = 64;
--- a/src/core/routing/router.h
+++ b/src/core/routing/router.h
@@ -99,7 +99,7 @@
 
 /// Limits and cost weights of a router.
 struct RouterOptions {
-  std::string failure_domain;  ///< Of the router itself.
+  std::string failure_domain;  ///< Domain of the router itself.
   std::uint32_t max_targets = 512;
   std::uint32_t max_in_flight = 16384;
   /// Targets scored per decision; bounds its time for any fleet size.
@@ -112,7 +112,7 @@
   /// the effect of the correction.
   bool correct_reports = true;
   std::uint64_t kv_bytes_per_token = 0;  ///< 0 ignores KV memory.
-  double transfer_bytes_per_s = 1e9;     ///< Of KV cache between engines.
+  double transfer_bytes_per_s = 1e9;     ///< KV cache transfer rate.
   /// Cost of a prefill relative to its duration. Above 1 because it also delays
   /// other requests.
   double prefill_weight = 2.0;
@@ -185,7 +185,7 @@
   RouteDecision Choose(const RouteQuery& query, TimePoint now);
 
   /// Returns the decision for a given target regardless of its cost, for
-  /// callers that select targets by themselves. `target` must be valid.
+  /// callers that choose the target themselves. `target` must be valid.
   RouteDecision Consider(TargetHandle target, const RouteQuery& query,
                          TimePoint now) const;
 
