--- a/src/core/placement/engine_placement.h
+++ b/src/core/placement/engine_placement.h
@@ -49,10 +49,12 @@
   friend bool operator==(const EnginePlace&, const EnginePlace&) = default;
 };
 
-/// No engine can serve the request in time because of queued work.
+/// No engine can serve the request in time, or all decode engines are full.
 struct EnginesBusy {
   Duration retry_after{0};
-  Duration first_event{0};  ///< Predicted for the best engine considered.
+  /// Predicted for the best engine considered, or `avoid_after_refusal` if all
+  /// decode engines are full.
+  Duration first_event{0};
 
   friend bool operator==(const EnginesBusy&, const EnginesBusy&) = default;
 };
