--- a/src/core/request/answer_end.h
+++ b/src/core/request/answer_end.h
@@ -10,35 +10,36 @@
 
 namespace indigolead {
 
-/// What says where an answer's body ends (RFC 9112, section 6.3).
+/// What delimits the body of an answer (RFC 9112, section 6.3).
 enum class BodyFraming {
-  kLength,  ///< A stated length, or a status or method without a body.
+  kLength,  ///< Content-Length, or a status or method without a body.
   kChunks,  ///< The last chunk.
-  kClose,   ///< The regular close of the connection.
+  kClose,   ///< An orderly close of the connection.
 };
 
-/// Returns the framing as a word for logs.
+/// Returns the name of the framing for logs.
 std::string_view NameOf(BodyFraming framing);
 
-/// End of an answer whose framing was kept.
+/// End of an answer whose HTTP framing is intact.
 struct AnswerBodyEnd {
   int status = 0;
   BodyFraming framing = BodyFraming::kLength;
   std::uint64_t body_bytes = 0;
-  /// Where the end came in a stream of events; nothing for other bodies.
+  /// Position at the end of an event stream; `nullopt` for other bodies.
   std::optional<StreamPosition> position;
 
   friend bool operator==(const AnswerBodyEnd&, const AnswerBodyEnd&) = default;
 };
 
-/// Returns why the answer was broken off although its framing was kept; nothing
-/// if it is whole, as far as anybody can know.
+/// Returns why the answer is truncated although its framing is intact, or
+/// `nullopt` if no truncation can be detected.
 ///
-/// A target that dies may close its connections in order. Where that is all
-/// that ends a stream of events, only the events show whether it is whole.
+/// The connections of a crashed target may be closed in an orderly way. If a
+/// stream ends by such a close, only its events show whether it is complete.
 std::optional<std::string> WhyBrokenOff(const AnswerBodyEnd& end);
 
-/// Returns true if the framing alone does not show that the answer is whole.
+/// Returns true if the answer may be incomplete: the framing alone does not
+/// prove its end, or the end lies inside an event.
 bool IsDoubtful(const AnswerBodyEnd& end);
 
 }  // namespace indigolead
--- a/src/core/request/attempt.h
+++ b/src/core/request/attempt.h
@@ -15,19 +15,19 @@
 
 namespace indigolead {
 
-/// Says what to do with a frame that came for an attempt.
+/// What the receiver of an attempt does with an incoming frame.
 enum class FrameVerdict {
-  kTake,       ///< The next one: use it.
-  kDuplicate,  ///< Seen before: drop it.
-  kGap,        ///< Earlier ones are missing: drop it and ask for them.
+  kTake,       ///< Next in sequence: process it.
+  kDuplicate,  ///< Already received: discard it.
+  kGap,        ///< Earlier frames are missing: discard it and resume.
 };
 
-/// Receiving end of one attempt's numbered frames.
+/// Receiver of the numbered frames of one attempt.
 ///
-/// A connection may be replaced in the middle of an answer, so a frame can
-/// come twice, late or after a hole. Without numbers the caller would see a
-/// repeated or missing part as a whole answer; with them, and with the end
-/// frame's count, length and checksum, only the exact bytes pass.
+/// The connection may be replaced in the middle of an answer, so frames can be
+/// duplicated, late or missing. Sequence numbers and the frame count, body
+/// length and checksum in the end frame ensure that an answer with repeated or
+/// missing parts is never reported to the caller as complete.
 class Attempt {
  public:
   Attempt(AttemptRef ref, std::string instance, std::uint64_t granted_bytes,
@@ -39,33 +39,36 @@
   std::uint64_t next_sequence() const { return next_sequence_; }
   std::uint64_t granted_bytes() const { return granted_bytes_; }
 
-  /// Returns true if the side has sent any frame: the target was asked.
+  /// Returns true if a frame has been received, which means that the request
+  /// was sent to the target.
   bool started() const { return next_sequence_ > 0; }
 
-  /// Judges the frame numbered `sequence` and counts it if it is taken.
+  /// Classifies the frame numbered `sequence`. Advances the expected sequence
+  /// number if the frame is the next one.
   FrameVerdict Accept(std::uint64_t sequence, TimePoint now);
 
-  /// Adds chunk data that was taken to the length and checksum.
+  /// Adds the data of an accepted chunk to the body length and checksum.
   void AddBody(std::string_view data);
 
-  /// Returns true if `end` agrees with the frames taken. Call after `Accept`
-  /// took its sequence number.
+  /// Returns true if `end` matches the frames received. Must be called after
+  /// `Accept` accepted the end frame.
   bool Matches(const AttemptEnd& end) const;
 
-  /// Notes that `bytes` more may be sent by the side.
+  /// Adds `bytes` to the credit granted to the side process.
   void Grant(std::uint64_t bytes) { granted_bytes_ += bytes; }
 
-  /// Binds the attempt to another target. Only before any frame has come.
+  /// Assigns the attempt to another target. Must not be called after a frame
+  /// was received.
   void MoveTo(const AttemptRef& ref, std::string instance) {
     ref_ = ref;
     instance_ = std::move(instance);
   }
 
-  /// Time of the last sign of life from the side about this attempt.
+  /// Time of the last message from the side process about this attempt.
   TimePoint heard_at;
-  /// Time at which the side was last asked to resume.
+  /// Time of the last resume request to the side process.
   TimePoint asked_at;
-  /// Credit taken by the caller that could not be sent yet.
+  /// Bytes consumed by the caller for which credit could not be sent yet.
   std::uint64_t unsent_credit = 0;
 
  private:
--- a/src/core/request/attempt_memory.cc
+++ b/src/core/request/attempt_memory.cc
@@ -44,7 +44,7 @@
 
 void AttemptMemory::Remember(const Record& record, Fate fate) {
   if (!fates_.emplace(record.id, fate).second) {
-    return;  // What was learnt first stays true.
+    return;  // The first recorded result is final.
   }
   by_age_.push_back(record);
   if (by_age_.size() > options_.max_ids) {
--- a/src/core/request/attempt_memory.h
+++ b/src/core/request/attempt_memory.h
@@ -12,16 +12,16 @@
 
 namespace indigolead {
 
-/// Remembers what became of attempts that are no longer held, in bounded
-/// memory, and never claims more than it can prove.
+/// Records, in bounded memory, the results of attempts whose frames are no
+/// longer held, and reports only results that it can prove.
 ///
-/// A side that has forgotten an attempt cannot tell it from one that never
-/// came; taking it for one that never came would run it twice or report a run
-/// as "not run". So entries number their starts, and for each entry process
-/// this memory keeps the highest number that it has forgotten. A start above
-/// that number which is not remembered is new; one at or below it may have run
-/// and is refused, and asked about it the answer is "lost". Time plays no part
-/// in the proof, so a paused process or a slow network cannot break it.
+/// A side process cannot tell a forgotten attempt from one that never arrived.
+/// Treating a forgotten attempt as new would run it twice or report it as "not
+/// run". Therefore entries number their starts, and this class keeps the
+/// highest forgotten number per entry process. An unrecorded attempt with a
+/// higher number is new. One with a lower or equal number may have run: it is
+/// not run again, and its state is reported as lost. The proof does not depend
+/// on time, so a paused process or a slow network cannot invalidate it.
 class AttemptMemory {
  public:
   struct Options {
@@ -30,32 +30,33 @@
     Duration retention = std::chrono::seconds(30);
   };
 
-  /// What is remembered of one attempt.
+  /// What is known about an attempt.
   enum class Fate {
     kNew,       ///< Provably never started here.
-    kRefused,   ///< Not started, and to be refused if it comes.
-    kFinished,  ///< Was started here, and has ended.
-    kLost,      ///< Forgotten, or never numbered: it may have run.
+    kRefused,   ///< Not started; a later start must be refused.
+    kFinished,  ///< Started here and ended.
+    kLost,      ///< Forgotten or not numbered: it may have run.
   };
 
   explicit AttemptMemory(Options options) : options_(options) {}
 
-  /// Returns false if there is no room for one more entry process.
+  /// Starts tracking an entry process. Returns false if `max_peers` others
+  /// are already tracked.
   bool AddPeer(const Incarnation& peer);
 
-  /// Returns what is known of `id`, sent by `peer` with `start_sequence`.
+  /// Returns what is known about `id`, sent by `peer` with `start_sequence`.
   Fate Find(const Incarnation& peer, const AttemptId& id,
             std::uint64_t start_sequence) const;
 
-  /// Remembers that `id` was refused, or is to be refused if it comes.
+  /// Records that `id` was refused, or must be refused if it arrives later.
   void Refuse(const Incarnation& peer, const AttemptId& id,
               std::uint64_t start_sequence, TimePoint now);
 
-  /// Remembers that `id` ran and ended.
+  /// Records that `id` ran and ended.
   void Finish(const Incarnation& peer, const AttemptId& id,
               std::uint64_t start_sequence, TimePoint now);
 
-  /// Forgets what is older than the retention.
+  /// Forgets records older than the retention.
   void Tick(TimePoint now);
 
   std::size_t size() const { return fates_.size(); }
@@ -74,7 +75,7 @@
   Options options_;
   std::unordered_map<AttemptId, Fate> fates_;
   std::deque<Record> by_age_;
-  /// Highest sequence forgotten of each entry process.
+  /// Highest forgotten start sequence of each entry process.
   std::unordered_map<Incarnation, std::uint64_t> forgotten_;
 };
 
--- a/src/core/request/attempt_table.cc
+++ b/src/core/request/attempt_table.cc
@@ -25,7 +25,7 @@
 }
 
 void AttemptTable::OnLinkDown(LinkNumber link) {
-  // Attempts go on: the entry resumes them over its next connection.
+  // Attempts continue; the entry resumes them over its next connection.
   peers_.erase(link);
 }
 
@@ -50,8 +50,8 @@
     ++counts_.foreign;
     return;
   }
-  // A repeated start is never answered by a refusal: the attempt may have run,
-  // and a refusal says that it did not.
+  // The start of an attempt that is held is not refused: a refusal means that
+  // the attempt did not run, but this one may have.
   if (const Attempt* held = Find(start.id)) {
     ++counts_.foreign;
     hooks_.send_state(
@@ -62,7 +62,8 @@
   }
   auto fate = memory_.Find(*peer, start.id, start.start_sequence);
   if (fate == AttemptMemory::Fate::kLost && start.start_sequence == 0) {
-    // An entry that does not number its starts does not repeat them either.
+    // An entry that does not number its starts does not repeat them either, so
+    // this start is new.
     fate = AttemptMemory::Fate::kNew;
   }
   if (fate == AttemptMemory::Fate::kFinished ||
@@ -141,8 +142,8 @@
     return;
   }
   auto& body = attempt->gathering->request.body;
-  // The target sees the request only when its body is whole, so an entry that
-  // dies in between, or a chunk that is lost, leaves nothing half run.
+  // The request is sent to the target only when its body is complete, so an
+  // entry crash or a lost chunk cannot leave a partial request there.
   if (sequence != attempt->next_body_sequence ||
       body.size() + data.size() > options_.max_body_bytes) {
     RefuseHeld(attempt, RefusalReason::kOverloaded, "body lost or too long",
@@ -214,8 +215,8 @@
     return;
   }
   if (attempt->called) {
-    // The target's thread says whether a byte was written; until then no
-    // answer would be true.
+    // The target's thread reports whether a byte was written. The state of
+    // the attempt is unknown until then.
     hooks_.cancel_call(query.id);
     return;
   }
@@ -267,7 +268,7 @@
   attempt->link = link;
   const bool held = attempt->frames.Rewind(next_sequence, granted_bytes);
   if (!held) {
-    // The entry would wait for frames that can never come.
+    // The entry would wait forever for frames that were already dropped.
     hooks_.send_state(link, {query.id, SideKnowledge::kLost,
                              attempt->frames.next_sequence()});
     return;
--- a/src/core/request/attempt_table.h
+++ b/src/core/request/attempt_table.h
@@ -21,20 +21,20 @@
 
 namespace indigolead {
 
-/// Decides about every attempt that reaches the side of one target.
+/// Manages all attempts that a side process runs on its target.
 ///
-/// It starts each attempt at most once, numbers the frames of its answer and
-/// keeps them until the caller has taken them, so that a stream outlives the
-/// connection it began on. What it says of an attempt is proven: see
-/// `AttemptMemory`. An attempt handed to the target's thread counts as running
-/// until that thread says that no byte was written; only then is it refused.
+/// Starts each attempt at most once, numbers the frames of its answer and holds
+/// them until the caller has consumed them, so that a stream can be resumed
+/// over a new connection. Reports only provable states; see `AttemptMemory`. An
+/// attempt that was passed to the target's thread counts as running. It is
+/// refused afterwards only if that thread reports that no byte was written.
 ///
-/// Not thread-safe; one thread feeds it. Hooks are called from inside the
+/// Not thread-safe; must be used from one thread. Hooks are called during the
 /// events and must not call back into the table.
 class AttemptTable {
  public:
   struct Options {
-    Incarnation incarnation;  ///< Of this process.
+    Incarnation incarnation;  ///< Incarnation of this process.
     std::string deployment;
     std::size_t max_attempts = 512;
     std::uint64_t max_buffer_bytes = 64ULL << 20;
@@ -42,36 +42,38 @@
     std::uint64_t max_body_bytes = 16ULL << 20;
     Duration finished_retention = std::chrono::seconds(30);
     std::size_t max_finished = 65536;
-    /// Told to an entry that is refused for lack of room.
+    /// Sent to the entry with a `kOverloaded` refusal.
     Duration overload_retry_after = std::chrono::seconds(1);
     AttemptMemory::Options memory;
   };
 
-  /// What the table has others do.
+  /// Callbacks through which the table acts.
   struct Hooks {
-    /// Sends a frame; returns false if the link takes no more just now.
+    /// Sends a frame; returns false if the link cannot accept more now.
     std::function<bool(LinkNumber, const AttemptId&, const AttemptFrame&)>
         send_frame;
     std::function<void(LinkNumber, const AttemptRefusal&)> send_refusal;
     std::function<void(LinkNumber, const AttemptStateReply&)> send_state;
-    /// Hands the request to the target's thread, which must write its first
-    /// byte before the time given or not at all. False: no room, nothing done.
+    /// Passes the request to the target's thread, which must write the first
+    /// byte before `start_by` or not at all. Returns false, without effect, if
+    /// the target's queue is full.
     std::function<bool(const AttemptId&, AttemptRequest&&, TimePoint start_by,
                        TimePoint finish_by)>
         start_call;
     std::function<void(const AttemptId&)> cancel_call;
     std::function<void(const AttemptId&, bool pause)> pause_call;
-    /// Returns a reason to refuse the attempt, or `kUnspecified` to take it:
-    /// target down, quarantined, changing.
+    /// Returns why the attempt is refused (for example target down or request
+    /// quarantined), or `kUnspecified` to accept it.
     std::function<RefusalReason(const AttemptStart&)> check;
   };
 
-  /// Counts for metrics and tests.
+  /// Counters for metrics and tests.
   struct Counts {
     std::uint64_t started = 0;
     std::uint64_t ended = 0;
     std::uint64_t refused = 0;
-    std::uint64_t foreign = 0;  ///< Messages about attempts not held.
+    /// Repeated starts, and messages about attempts that are not held.
+    std::uint64_t foreign = 0;
     std::uint64_t resumed = 0;
 
     friend bool operator==(const Counts&, const Counts&) = default;
@@ -88,8 +90,8 @@
                    std::string_view data, bool last, TimePoint now);
   void OnCredit(const AttemptId& id, std::uint64_t bytes);
   void OnCancel(LinkNumber link, const AttemptQuery& query, TimePoint now);
-  /// `granted_bytes` is the sum of all credit that the entry gave; 0 if it
-  /// does not say.
+  /// `granted_bytes` is the total credit that the entry granted; 0 if
+  /// unknown.
   void OnResume(LinkNumber link, const AttemptQuery& query,
                 std::uint64_t next_sequence, std::uint64_t granted_bytes,
                 TimePoint now);
@@ -103,19 +105,20 @@
                  TimePoint now);
   /// @}
 
-  /// Ends what is past its deadline, forgets what is past its retention, and
-  /// sends what a full link refused earlier.
+  /// Stops attempts past their deadline, forgets finished attempts past their
+  /// retention, and resends frames that a full link rejected.
   void Tick(TimePoint now);
 
-  /// From now on every new attempt is refused; those running finish.
+  /// While `leaving` is true, refuses every new attempt; running ones finish.
   void SetLeaving(bool leaving) { leaving_ = leaving; }
   bool leaving() const { return leaving_; }
 
-  /// Returns the attempts that have not ended.
+  /// Returns the number of attempts that have not ended.
   std::size_t running() const { return running_; }
   /// Returns true if the attempt is held here and has not ended.
   bool IsRunning(const AttemptId& id) const;
-  /// Returns true if no attempt runs and the end of each was sent.
+  /// Returns true if no attempt runs and every end frame was sent. Cancelled
+  /// attempts need no end frame.
   bool Idle() const;
   std::uint64_t buffered_bytes() const { return buffered_bytes_; }
   std::size_t held() const { return attempts_.size(); }
@@ -129,12 +132,12 @@
     std::uint64_t start_sequence = 0;
     TimePoint start_by;
     TimePoint finish_by;
-    std::unique_ptr<AttemptStart> gathering;  ///< Until its body is whole.
+    std::unique_ptr<AttemptStart> gathering;  ///< Until its body is complete.
     std::uint64_t next_body_sequence = 0;
     FrameBuffer frames;
     bool cancelled = false;
     bool past_deadline = false;
-    bool called = false;  ///< Handed to the target's thread.
+    bool called = false;  ///< Passed to the target's thread.
     bool ended = false;
     TimePoint ended_at;
 
@@ -153,7 +156,8 @@
   void StartCall(Attempt* attempt, AttemptRequest&& request, TimePoint now);
   void RefuseHeld(Attempt* attempt, RefusalReason reason, std::string detail,
                   TimePoint now);
-  /// `if_finished` is the answer about one that ran here and is held no more.
+  /// `if_finished` is the reply for an attempt that ran here and whose frames
+  /// are no longer held.
   void AnswerQueryOfAbsent(LinkNumber link, const AttemptQuery& query,
                            SideKnowledge if_finished, TimePoint now);
   void End(Attempt* attempt, RunOutcome outcome, std::string detail,
@@ -170,16 +174,16 @@
   Options options_;
   Hooks hooks_;
   AttemptMemory memory_;
-  std::uint64_t buffered_bytes_ = 0;  ///< Changed by the attempts' frames.
+  std::uint64_t buffered_bytes_ = 0;  ///< Updated by the frame buffers.
   std::unordered_map<AttemptId, Attempt> attempts_;
   std::unordered_map<LinkNumber, Incarnation> peers_;
   std::set<std::pair<TimePoint, AttemptId>> deadlines_;
   std::deque<AttemptId> finished_;        ///< Oldest first.
-  std::unordered_set<AttemptId> unsent_;  ///< A full link refused a frame.
+  std::unordered_set<AttemptId> unsent_;  ///< A full link rejected a frame.
   std::unordered_set<AttemptId> paused_;
   std::size_t running_ = 0;
   bool leaving_ = false;
-  TimePoint latest_;  ///< Time of the latest event that carried one.
+  TimePoint latest_;  ///< Of the latest event that had a time.
   Counts counts_;
 };
 
--- a/src/core/request/attempt_table_answers.cc
+++ b/src/core/request/attempt_table_answers.cc
@@ -1,4 +1,4 @@
-// Second half of the table: what comes back from the target, and time.
+// Implements the events from the target's thread, sending and expiry.
 #include "core/request/attempt_table.h"
 
 namespace indigolead {
@@ -75,7 +75,7 @@
   attempt->frames.AppendEnd(outcome, std::move(detail));
   Send(attempt);
   if (attempt->cancelled) {
-    // The entry wants no more of it, so what it never took is freed at once.
+    // The entry discards a cancelled answer, so the frames are freed at once.
     hooks_.send_state(attempt->link, {attempt->id, SideKnowledge::kFinished,
                                       attempt->frames.next_sequence()});
     attempt->frames.Clear();
@@ -83,8 +83,8 @@
   MakeRoom(now);
 }
 
-// What finished attempts hold is kept for callers that may resume; it must
-// not keep new attempts out or stop the streams that run.
+// Frames of finished attempts are held in case the entry resumes them. They
+// must not cause new attempts to be refused or running streams to be paused.
 void AttemptTable::MakeRoom(TimePoint now) {
   latest_ = now;
   while (finished_.size() > options_.max_finished ||
@@ -112,8 +112,8 @@
   if (attempt->ended) {
     return;
   }
-  // Half the bound is the mark to go on, so that the target's thread is not
-  // told to stop and go for every frame.
+  // Resumes only at half the bound, to avoid pausing and resuming the target's
+  // thread for every frame.
   const auto held = attempt->frames.held_bytes();
   const auto bound = options_.stream_buffer_bytes;
   const bool full = buffered_bytes_ >= options_.max_buffer_bytes;
--- a/src/core/request/attempt_types.h
+++ b/src/core/request/attempt_types.h
@@ -12,10 +12,10 @@
 
 namespace indigolead {
 
-/// Names one connection to a peer, as the transport numbers them.
+/// Number that the transport assigns to a connection to a peer.
 using LinkNumber = std::uint64_t;
 
-/// Why a side refuses an attempt. The numbers are those of the protocol.
+/// Why a side process refuses an attempt. Values match the wire protocol.
 enum class RefusalReason {
   kUnspecified = 0,
   kLeaving = 1,
@@ -29,29 +29,30 @@
   kDuplicateAttempt = 9,
 };
 
-/// How an attempt that was accepted ended. The numbers are the protocol's.
+/// How an accepted attempt ended. Values match the wire protocol.
 enum class RunOutcome {
   kComplete = 0,
-  kTargetFailed = 1,  ///< The target broke after the request was written.
-  kTargetDied = 2,    ///< The target's process ended meanwhile.
+  kTargetFailed = 1,  ///< The call failed after the request was written.
+  kTargetDied = 2,    ///< The target's process exited during the call.
   kCancelled = 3,
   kDeadline = 4,
-  kNotStarted = 5,  ///< Never written to the target, and never will be.
+  kNotStarted = 5,  ///< Not written to the target, and will not be.
 };
 
-/// What a side knows of an attempt. The numbers are those of the protocol.
+/// State of an attempt as known to a side process. Values match the wire
+/// protocol.
 enum class SideKnowledge {
   kUnspecified = 0,
-  kNotStarted = 1,  ///< Never started, and refused if it comes from now on.
+  kNotStarted = 1,  ///< Never started; a later start will be refused.
   kRunning = 2,
   kFinished = 3,
-  kLost = 4,  ///< It may have run; this process cannot tell.
+  kLost = 4,  ///< It may have run; this process does not know.
 };
 
-/// One HTTP header of a request or an answer.
+/// HTTP headers of a request or an answer.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-/// Request of an attempt, as it is to be written to the target.
+/// HTTP request that an attempt writes to the target.
 struct AttemptRequest {
   std::string method;
   std::string path;
@@ -62,12 +63,12 @@
                          const AttemptRequest&) = default;
 };
 
-/// Asks a side to run one attempt.
+/// Message that asks a side process to run an attempt.
 struct AttemptStart {
   AttemptId id;
   RequestId request_id;
-  std::uint64_t start_sequence = 0;  ///< 0: the entry does not number them.
-  Duration start_within{};           ///< From its receipt to its first byte.
+  std::uint64_t start_sequence = 0;  ///< 0: the entry does not number starts.
+  Duration start_within{};           ///< From receipt to first byte written.
   Duration finish_within{};
   std::string deployment;
   std::uint64_t fingerprint = 0;
@@ -78,16 +79,16 @@
   friend bool operator==(const AttemptStart&, const AttemptStart&) = default;
 };
 
-/// Names an attempt in a cancel or a resume.
+/// Identifies an attempt in a cancel or resume message.
 struct AttemptQuery {
   AttemptId id;
-  Incarnation side;                  ///< Run of the side it was sent to.
-  std::uint64_t start_sequence = 0;  ///< As in its start; 0: not stated.
+  Incarnation side;                  ///< Side process the start was sent to.
+  std::uint64_t start_sequence = 0;  ///< As in the start; 0: unknown.
 
   friend bool operator==(const AttemptQuery&, const AttemptQuery&) = default;
 };
 
-/// Says that an attempt was not started and never will be.
+/// Reports that an attempt was not started and never will be.
 struct AttemptRefusal {
   AttemptId id;
   RefusalReason reason = RefusalReason::kUnspecified;
@@ -98,7 +99,7 @@
                          const AttemptRefusal&) = default;
 };
 
-/// Answers a cancel or a resume.
+/// Reply to a cancel or resume message.
 struct AttemptStateReply {
   AttemptId id;
   SideKnowledge knowledge = SideKnowledge::kUnspecified;
@@ -108,8 +109,8 @@
                          const AttemptStateReply&) = default;
 };
 
-/// One numbered frame of an answer. Shared and immutable: it is kept until the
-/// caller has taken it, and may be sent over more than one connection.
+/// One numbered frame of an answer. It is held until the caller has consumed
+/// it and may be sent over more than one connection.
 struct AttemptFrame {
   enum class Kind { kHead, kChunk, kEnd };
 
@@ -117,7 +118,7 @@
   std::uint64_t sequence = 0;
   int status = 0;      ///< Head only.
   HeaderList headers;  ///< Head only.
-  std::string data;    ///< Chunk: bytes of the body. End: detail.
+  std::string data;    ///< Chunk: part of the body. End: detail.
   RunOutcome outcome = RunOutcome::kComplete;  ///< End only.
   std::uint64_t body_bytes = 0;                ///< End only.
   std::uint64_t body_checksum = 0;             ///< End only: XXH64.
@@ -127,15 +128,15 @@
 
 using AttemptFramePtr = std::shared_ptr<const AttemptFrame>;
 
-/// How a call to the target ended, as its thread saw it.
+/// How a call to the target ended, as reported by the target's thread.
 enum class CallOutcome {
   kComplete,
-  kNotWritten,  ///< No byte reached the target: it was out of reach.
-  kTooLate,     ///< No byte was written: the start-by time had passed.
+  kNotWritten,  ///< No byte was written: the target was unreachable.
+  kTooLate,     ///< No byte was written: the start deadline passed.
   kStopped,     ///< No byte was written: the call was cancelled first.
-  kFailed,      ///< Broke after the first byte; the target still runs.
-  kTargetDied,  ///< Broke after the first byte; the target's process ended.
-  kTimeout,     ///< The target stayed silent past the deadline.
+  kFailed,      ///< Failed after the first byte; the target still runs.
+  kTargetDied,  ///< Failed after the first byte; the target exited.
+  kTimeout,     ///< The target did not answer by the deadline.
   kCancelled,   ///< Cancelled after the first byte.
 };
 
--- a/src/core/request/completion_body.cc
+++ b/src/core/request/completion_body.cc
@@ -7,7 +7,7 @@
 
 using Json = nlohmann::json;
 
-/// Takes the fields of the outermost object and skips all below.
+/// Reads the fields of the outermost object and skips nested values.
 class FieldReader : public nlohmann::json_sax<Json> {
  public:
   explicit FieldReader(CompletionBody* body) : body_(body) {}
@@ -58,7 +58,7 @@
   }
 
  private:
-  /// Deeper nesting is refused: no model takes it and it costs memory.
+  /// Deeper nesting is rejected: no model accepts it and it costs memory.
   static constexpr int kMostDepth = 64;
 
   bool Enter() { return ++depth_ <= kMostDepth; }
--- a/src/core/request/completion_body.h
+++ b/src/core/request/completion_body.h
@@ -8,18 +8,18 @@
 
 namespace indigolead {
 
-/// What an entry needs to know of an OpenAI-style request body.
+/// Fields of an OpenAI-style request body that an entry uses.
 struct CompletionBody {
   std::string model;
   bool streamed = false;
-  std::uint64_t max_tokens = 0;  ///< 0: not stated.
+  std::uint64_t max_tokens = 0;  ///< 0: not specified.
 
   friend bool operator==(const CompletionBody&,
                          const CompletionBody&) = default;
 };
 
-/// Reads the top-level fields of `body`; nothing unless it is a JSON object.
-/// Never builds the prompt as a tree: it can be megabytes long.
+/// Parses the top-level fields of `body`. Returns `nullopt` if `body` is not a
+/// JSON object. Builds no JSON tree, because the prompt can be megabytes long.
 std::optional<CompletionBody> ReadCompletionBody(std::string_view body);
 
 }  // namespace indigolead
--- a/src/core/request/crash_ledger.cc
+++ b/src/core/request/crash_ledger.cc
@@ -14,7 +14,7 @@
   return it == report->crashes.end() ? nullptr : &*it;
 }
 
-/// Adds what is not in the list yet.
+/// Adds the elements of `added` that are not in the list yet.
 template <typename T>
 void AddNew(const std::vector<T>& added, std::vector<T>* list) {
   for (const T& it : added) {
--- a/src/core/request/crash_ledger.h
+++ b/src/core/request/crash_ledger.h
@@ -16,15 +16,16 @@
 
 namespace indigolead {
 
-/// Names the crash of one run of a target. Whoever sees it names it the same.
+/// Identifies the crash of one run of a target. All entries that observe the
+/// crash use the same identifier.
 struct TargetCrash {
   std::string target;
-  std::int64_t run = 0;  ///< Start of that run; 0 if the target does not say.
+  std::int64_t run = 0;  ///< Start of that run; 0 if unknown.
 
   friend auto operator<=>(const TargetCrash&, const TargetCrash&) = default;
 };
 
-/// A crash and the requests of one entry that ran in the target.
+/// A crash and the requests of one entry that were running on the target.
 struct CrashRecord {
   TargetCrash crash;
   std::vector<Fingerprint> running;
@@ -32,7 +33,7 @@
   friend bool operator==(const CrashRecord&, const CrashRecord&) = default;
 };
 
-/// A request that was answered since, so these crashes were not its doing.
+/// A request that was answered after these crashes and so did not cause them.
 struct ClearedRequest {
   Fingerprint request = 0;
   std::vector<TargetCrash> crashes;
@@ -41,59 +42,59 @@
                          const ClearedRequest&) = default;
 };
 
-/// All that one entry tells the others of crashes.
+/// Everything that one entry reports to the others about crashes.
 struct CrashReport {
-  std::vector<CrashRecord> crashes;  ///< The oldest first.
+  std::vector<CrashRecord> crashes;  ///< Oldest first.
   std::vector<ClearedRequest> cleared;
 
   friend bool operator==(const CrashReport&, const CrashReport&) = default;
 };
 
-/// Counts the crashes of targets under each request, as seen by all entries,
-/// and says which requests are to run no more.
+/// Counts, over all entries, the target crashes during which each request was
+/// running, and determines which requests must not run any more.
 ///
-/// A crash alone does not tell which of the requests that ran was its cause, so
-/// all of them are counted. An innocent one is cleared when it is answered; it
-/// is stopped only if it ran in `crashes_to_stop` targets that crashed and was
-/// never answered in between.
+/// A crash does not show which of the running requests caused it, so it counts
+/// against all of them. A complete answer clears a request. A harmless request
+/// is blocked only if it was running in `crashes_to_stop` crashes without an
+/// answer in between.
 class CrashLedger {
  public:
   struct Options {
     std::size_t crashes_to_stop = 3;
-    /// A crash counts for so long after this entry has learned of it.
+    /// How long a crash counts after this entry learned of it.
     Duration keep = std::chrono::hours(1);
-    /// Bound on the requests in this entry's own report. What has stopped a
-    /// request is dropped last.
+    /// Bound on the requests in this entry's own report. Crashes that block a
+    /// request are dropped last.
     std::size_t max_requests = 4096;
   };
 
   explicit CrashLedger(const Options& options) : options_(options) {}
 
-  /// A target crashed while it ran these requests of this entry.
+  /// Records a target crash while these requests of this entry were running.
   void OnCrash(const TargetCrash& crash,
                const std::vector<Fingerprint>& running, TimePoint now);
-  /// Whether the other entries must be told of an answer.
+  /// How urgently the other entries must be informed of an answer.
   enum class Telling {
     kNot,
     kSoon,
-    kNow,  ///< One crash more would stop the request.
+    kNow,  ///< One more crash would block the request.
   };
-  /// The request has a whole answer.
+  /// Clears the request after a complete answer.
   Telling OnAnswered(Fingerprint request, TimePoint now);
-  /// Takes the reports of all other entries.
+  /// Replaces the reports of all other entries.
   void OnReports(std::vector<CrashReport> reports, TimePoint now);
-  /// Takes what this entry had reported before its process started anew.
+  /// Merges the report that this entry published before its process restarted.
   void OnEarlierReport(const CrashReport& report, TimePoint now);
-  /// Drops what does not count any more. Returns true if that changed `own`.
+  /// Drops crashes that no longer count. Returns true if that changed `own`.
   bool Tick(TimePoint now);
 
-  /// Returns the crashes that count against the request.
+  /// Returns the number of crashes that count against the request.
   std::size_t CrashesUnder(Fingerprint request) const;
-  /// Returns for how long the request is not to run; nothing if it may.
+  /// Returns for how long the request is blocked; `nullopt` if it may run.
   std::optional<Duration> StoppedFor(Fingerprint request, TimePoint now) const;
-  /// Returns what this entry tells the others.
+  /// Returns the report of this entry for the others.
   const CrashReport& own() const { return own_; }
-  /// Returns the number of requests that ran in a target which crashed.
+  /// Returns the number of requests with crashes counted against them.
   std::size_t suspects() const { return crashes_under_.size(); }
 
  private:
@@ -105,14 +106,14 @@
   void Add(const CrashReport& report, TimePoint now);
   void Clear(const ClearedRequest& cleared);
   bool Counts(const TargetCrash& crash, TimePoint now) const;
-  /// Drops the oldest of this entry's own report if it has become too long.
+  /// Shortens this entry's own report to `max_requests`, oldest first.
   void BoundOwn(TimePoint now);
   std::size_t OwnRequests() const;
 
   Options options_;
   CrashReport own_;
   std::vector<CrashReport> others_;
-  /// When this entry learned of each crash that is in a report.
+  /// When this entry learned of each reported crash.
   std::map<TargetCrash, TimePoint> known_since_;
   std::unordered_map<Fingerprint, Crashes> crashes_under_;
   TimePoint ticked_at_{};
--- a/src/core/request/event_cursor.cc
+++ b/src/core/request/event_cursor.cc
@@ -13,7 +13,8 @@
                       [](unsigned char it) { return std::iscntrl(it) != 0; });
 }
 
-/// Removes the first line, with its end, from `text` and returns it without.
+/// Removes the first line and its terminator from `text`. Returns the line
+/// without the terminator.
 std::string_view TakeLine(std::string_view* text) {
   constexpr std::string_view kCrLf = "\r\n";
   const auto end = std::min(text->find_first_of(kCrLf), text->size());
--- a/src/core/request/event_cursor.h
+++ b/src/core/request/event_cursor.h
@@ -10,45 +10,48 @@
 
 namespace indigolead {
 
-/// Position in a stream of server-sent events, for going on at another target.
+/// Tracks a stream of server-sent events so that another target can continue
+/// it.
 ///
-/// A target may stop in the middle of an event. Had its first half been passed
-/// on, what another target sends from the next event on could not be joined to
-/// it; so events are passed on whole, and the id of the last one is kept.
+/// A target may fail in the middle of an event. The stream of another target,
+/// which continues with the next event, cannot be joined to a partial event.
+/// Therefore only complete events are forwarded, and the id of the last one is
+/// kept.
 class EventCursor {
  public:
-  /// Adds bytes of the stream. Returns the bytes of the events that are whole
-  /// now; the rest is held back.
+  /// Adds bytes of the stream. Returns the bytes of all events that are now
+  /// complete and buffers the rest.
   std::string Take(std::string_view data);
 
-  /// Forgets the held part of an event that will not be finished; what comes
-  /// next is the beginning of another target's stream.
+  /// Discards the buffered part of an event that will not be completed. The
+  /// next bytes are the start of another target's stream.
   void DropPartial();
 
   std::size_t held_bytes() const { return partial_.size(); }
 
-  /// Returns what is held back. The cursor is of no use afterwards.
+  /// Returns the buffered bytes. The cursor must not be used afterwards.
   std::string TakePartial() { return std::exchange(partial_, {}); }
 
-  /// Returns true if an event has begun and is not whole.
+  /// Returns true if an event has begun and is incomplete.
   bool is_inside_event() const {
     return scanner_.position() == StreamPosition::kInsideEvent;
   }
 
-  /// Returns true if another target can go on after the last whole event: there
-  /// is none yet, or it has an id. Else events would come twice.
+  /// Returns true if another target can continue after the last complete event:
+  /// there is none yet, or it has an id. Otherwise events would be repeated.
   bool can_go_on() const { return can_go_on_; }
 
-  /// Returns the id of the last whole event that had one; empty before.
+  /// Returns the id of the last complete event that had one; empty if none.
   const std::string& last_id() const { return last_id_; }
 
  private:
   void NoteIds(std::string_view events);
-  /// Keeps the id that a line states. Returns false if it states none.
+  /// Stores the id if `line` is an id field. Returns false if it has no usable
+  /// id.
   bool TakeId(std::string_view line);
 
   EventScanner scanner_;
-  bool any_line_ = false;  ///< Of the present target's stream.
+  bool any_line_ = false;  ///< In the current target's stream.
   std::string partial_;
   std::string last_id_;
   bool can_go_on_ = true;
--- a/src/core/request/event_scanner.h
+++ b/src/core/request/event_scanner.h
@@ -6,33 +6,33 @@
 
 namespace indigolead {
 
-/// May come before the first line of a stream of events.
+/// UTF-8 byte order mark, optional at the start of an event stream.
 inline constexpr std::string_view kByteOrderMark = "\xEF\xBB\xBF";
 
 /// Returns true if a body with these header values is a stream of server-sent
-/// events whose bytes can be read as such.
+/// events without a content encoding such as gzip.
 bool IsEventStream(std::string_view content_type,
                    std::string_view content_encoding);
 
-/// Where a stream of server-sent events stands after the bytes seen so far.
+/// Position in a stream of server-sent events after the bytes scanned so far.
 enum class StreamPosition {
-  kNoEvent,        ///< No event has begun; comments may have come.
-  kBetweenEvents,  ///< Every event that has begun is whole.
-  kInsideEvent,    ///< An event, or a line of a comment, is unfinished.
+  kNoEvent,        ///< No event has begun; comments may have been seen.
+  kBetweenEvents,  ///< Every event that has begun is complete.
+  kInsideEvent,    ///< An event or a comment line is incomplete.
 };
 
-/// Returns the position as a word for logs.
+/// Returns the name of the position for logs.
 std::string_view NameOf(StreamPosition position);
 
-/// Finds the events of a stream in the bytes of its body, however they are cut.
+/// Incremental scanner that finds event boundaries in an event stream.
 ///
-/// Lines end with CR, LF or CRLF, in any mixture; an empty line ends an event;
-/// a line that begins with a colon is a comment and part of no event; a byte
-/// order mark may come first (WHATWG HTML, "Server-sent events").
+/// Lines end with CR, LF or CRLF, in any mixture. An empty line ends an event.
+/// A line that begins with a colon is a comment and belongs to no event. The
+/// stream may start with a byte order mark (WHATWG HTML, "Server-sent events").
 class EventScanner {
  public:
-  /// Adds bytes of the stream. Returns how many of them, from the first on, end
-  /// before the event that is unfinished now.
+  /// Scans the next bytes of the stream. Returns the length of the prefix of
+  /// `data` that precedes the incomplete event.
   std::size_t Scan(std::string_view data);
 
   StreamPosition position() const;
@@ -43,13 +43,13 @@
   void EndLine();
   bool IsBetweenEvents() const { return !in_line_ && !in_event_; }
 
-  std::size_t mark_seen_ = 0;  ///< Bytes of the byte order mark.
-  bool begun_ = false;         ///< A byte other than of that mark has come.
+  std::size_t mark_seen_ = 0;  ///< Bytes of the byte order mark seen.
+  bool begun_ = false;         ///< A byte after the byte order mark was seen.
   bool any_event_ = false;
-  bool in_event_ = false;  ///< A field came since the last empty line.
+  bool in_event_ = false;  ///< A field was seen since the last empty line.
   bool in_line_ = false;
   bool in_comment_ = false;
-  bool after_cr_ = false;  ///< A LF that comes now is part of a CRLF.
+  bool after_cr_ = false;  ///< A following LF is part of a CRLF.
 };
 
 }  // namespace indigolead
--- a/src/core/request/fingerprint.h
+++ b/src/core/request/fingerprint.h
@@ -5,8 +5,8 @@
 
 namespace indigolead {
 
-/// Names requests that a target cannot tell apart: a hash of client account,
-/// path and body, which stay the same when a caller repeats a request.
+/// Identifies requests that a target cannot distinguish: a hash of client
+/// account, path and body, which stay the same when a caller repeats a request.
 using Fingerprint = std::uint64_t;
 
 }  // namespace indigolead
--- a/src/core/request/frame_buffer.cc
+++ b/src/core/request/frame_buffer.cc
@@ -6,7 +6,7 @@
 namespace indigolead {
 namespace {
 
-/// What a frame costs beside the bytes of its body.
+/// Memory cost of a frame in addition to its data and headers.
 constexpr std::uint64_t kFrameOverheadBytes = sizeof(AttemptFrame);
 
 std::uint64_t CostOf(const AttemptFrame& frame) {
@@ -63,7 +63,8 @@
 }
 
 void FrameBuffer::Take(std::uint64_t bytes) {
-  // More than was ever sent cannot have been taken: a repeated credit.
+  // The caller cannot consume more than was sent, so a surplus comes from a
+  // repeated credit message.
   taken_ = std::min(taken_ + bytes, sent_bytes_);
   DropTaken();
 }
@@ -116,8 +117,8 @@
   const std::uint64_t limit = initial_credit_ + taken_;
   while (next_to_send_ < next_sequence()) {
     const Held& it = frames_[next_to_send_ - first_];
-    // A chunk may overshoot the window by its own length, so that a window
-    // smaller than one chunk does not stop the stream for good.
+    // A chunk may exceed the remaining credit; otherwise a window smaller than
+    // one chunk would stall the stream forever.
     const bool is_chunk = it.frame.kind == AttemptFrame::Kind::kChunk;
     if (is_chunk && it.body_end - it.frame.data.size() >= limit) {
       return true;
--- a/src/core/request/frame_buffer.h
+++ b/src/core/request/frame_buffer.h
@@ -13,15 +13,16 @@
 
 namespace indigolead {
 
-/// Numbers the frames of one answer and holds them until the caller took them.
+/// Numbers the frames of one answer and holds them until the caller has
+/// consumed them.
 ///
-/// Credit bounds what may be on its way: the initial credit plus every byte
-/// that the caller took. A frame is dropped once the bytes taken cover it and
-/// something after its place was taken, which proves that it arrived; the end
-/// frame is dropped only with the whole buffer.
+/// Credit bounds the body bytes sent: the initial credit plus every byte that
+/// the caller consumed. A chunk is dropped once the consumed bytes cover it,
+/// and the head once any body byte was consumed, which proves that the frame
+/// arrived. The end frame is dropped only with the whole buffer.
 class FrameBuffer {
  public:
-  /// Adds what it holds to `total_held_bytes` too, which must outlive it.
+  /// Also adds its size to `total_held_bytes`, which must outlive the buffer.
   FrameBuffer(std::uint64_t initial_credit, std::uint64_t* total_held_bytes);
   ~FrameBuffer() { Clear(); }
   FrameBuffer(const FrameBuffer&) = delete;
@@ -31,19 +32,19 @@
   void AppendChunk(std::string&& data);
   void AppendEnd(RunOutcome outcome, std::string detail);
 
-  /// Adds bytes that the caller took.
+  /// Records that the caller consumed `bytes` more.
   void Take(std::uint64_t bytes);
 
-  /// Sends again from `sequence` on. Returns false if a frame from there on is
-  /// no longer held, or `sequence` was never reached. `granted` is the sum of
-  /// all credit, or 0 to let the receiver have one window from `sequence` on.
+  /// Resumes sending at `sequence`. Returns false if that frame is no longer
+  /// held, or if `sequence` is beyond the next one. `granted` is the total
+  /// credit; 0 grants the initial credit from `sequence` on.
   bool Rewind(std::uint64_t sequence, std::uint64_t granted);
 
-  /// Hands frames to `send` in order while credit lasts and it returns true.
-  /// Returns false if `send` refused one.
+  /// Passes frames to `send` in order while credit remains and `send` returns
+  /// true. Returns false if `send` rejected a frame.
   bool Send(const std::function<bool(const AttemptFrame&)>& send);
 
-  /// Drops everything held; it cannot be resumed any more.
+  /// Drops all frames; the answer cannot be resumed afterwards.
   void Clear();
 
   std::uint64_t held_bytes() const { return held_bytes_; }
@@ -53,7 +54,7 @@
  private:
   struct Held {
     AttemptFrame frame;
-    std::uint64_t body_end = 0;  ///< Bytes of the body up to its end.
+    std::uint64_t body_end = 0;  ///< Body bytes up to the frame's end.
   };
 
   void Append(AttemptFrame frame);
@@ -63,10 +64,10 @@
   std::uint64_t initial_credit_;
   std::uint64_t taken_ = 0;
   std::uint64_t body_bytes_ = 0;
-  std::uint64_t sent_bytes_ = 0;  ///< Most of them that were ever sent.
+  std::uint64_t sent_bytes_ = 0;  ///< Highest `body_end` sent.
   std::uint64_t held_bytes_ = 0;
   std::uint64_t* total_held_bytes_;
-  std::uint64_t first_ = 0;  ///< Sequence of the oldest frame held.
+  std::uint64_t first_ = 0;  ///< Sequence of the oldest held frame.
   std::uint64_t next_to_send_ = 0;
   bool end_sent_ = false;
   std::unique_ptr<XXH64_state_t, decltype(&XXH64_freeState)> checksum_;
--- a/src/core/request/quarantine.cc
+++ b/src/core/request/quarantine.cc
@@ -10,8 +10,8 @@
 
 constexpr std::size_t kMaxKills = 16;
 
-/// Returns the target that every entry chooses for `fingerprint` out of the
-/// same `targets`: the one with the highest hash of both.
+/// Returns the target with the highest rendezvous hash for `fingerprint`. Every
+/// entry with the same `targets` chooses the same one.
 const std::string& ChooseFor(Fingerprint fingerprint,
                              const std::vector<std::string>& targets) {
   return *std::max_element(targets.begin(), targets.end(),
@@ -52,8 +52,9 @@
 std::string Quarantine::PlaceFor(Fingerprint fingerprint, const Record& record,
                                  const std::vector<std::string>& targets,
                                  TimePoint now) const {
-  // Another target than those that died, so that its death is told from theirs
-  // by name; the same one again only when there is no other.
+  // Prefers a target that has not crashed with this request, so that a new
+  // crash is distinguishable by instance name. A crashed one is reused only if
+  // there is no other and each crash is older than twice `same_death`.
   std::vector<std::string> others;
   bool settled = true;
   for (const std::string& it : targets) {
@@ -128,8 +129,8 @@
   Record* record = Obtain(subject.fingerprint, now);
   record->client_account = subject.client_account;
   record->deployment = subject.deployment;
-  // Several copies die in one death; one that was started after the death
-  // known so far died in another.
+  // Copies that were running in the same crash count it once. A copy that was
+  // started after the recorded crash belongs to a new one.
   TimePoint started = now;
   const auto copies = by_fingerprint_.find(subject.fingerprint);
   if (copies != by_fingerprint_.end()) {
@@ -198,11 +199,12 @@
     record->quarantined = true;
     record->reason = notice.reason;
   }
-  // The two entries may each have seen one of the deaths.
+  // Each of the two entries may have observed a different crash.
   Judge(record, policy, now);
   if (!record->quarantined && FindRunning(notice.fingerprint) &&
       !notice.in_flight) {
-    // Its sender is about to retry it; it must learn of the copy here first.
+    // The sender may be about to retry the request and must first learn that a
+    // copy runs here.
     Announce(notice.fingerprint, *record, now);
   }
 }
@@ -255,7 +257,7 @@
 Quarantine::Record* Quarantine::Obtain(Fingerprint fingerprint, TimePoint now) {
   if (records_.size() >= options_.max_records &&
       records_.count(fingerprint) == 0) {
-    // The one that would be forgotten first makes room.
+    // Evicts the record that expires first.
     const auto oldest = std::min_element(
         records_.begin(), records_.end(), [](const auto& a, const auto& b) {
           return a.second.until < b.second.until;
@@ -264,7 +266,7 @@
   }
   Record& record = records_[fingerprint];
   if (record.until != TimePoint{} && now >= record.until) {
-    record = {};  // A time that is over does not count towards a new one.
+    record = {};  // An expired record starts over.
   }
   return &record;
 }
--- a/src/core/request/quarantine.h
+++ b/src/core/request/quarantine.h
@@ -18,66 +18,68 @@
 
 namespace indigolead {
 
-/// Death of one target.
+/// Crash of one target.
 struct TargetDeath {
   std::string instance;
-  Duration age{0};  ///< Time since it was noticed.
+  Duration age{0};  ///< Time since it was detected.
 
   friend bool operator==(const TargetDeath&, const TargetDeath&) = default;
 };
 
-/// What entries tell each other about a request that was in flight when a
-/// target died. Repeating it has no further effect.
+/// Message between entries about a request that was in flight when a target
+/// crashed. Idempotent.
 struct SuspicionNotice {
   Fingerprint fingerprint = 0;
   std::string client_account;
   std::string deployment;
-  std::vector<TargetDeath> deaths;  ///< It was in flight in each of them.
+  std::vector<TargetDeath> deaths;  ///< The request was in flight in each.
   bool quarantined = false;
-  bool lifted = false;     ///< It finished, or an operator lifted it.
-  bool in_flight = false;  ///< The sender runs it now.
-  Duration remaining{0};   ///< Until it is forgotten.
+  bool lifted = false;     ///< The request finished or an operator cleared it.
+  bool in_flight = false;  ///< The sender has an attempt running.
+  Duration remaining{0};   ///< Until the record expires.
   std::string reason;
 
   friend bool operator==(const SuspicionNotice&,
                          const SuspicionNotice&) = default;
 };
 
-/// Keeps a request that crashes its targets from crashing all of them.
+/// Limits how many targets a request can crash when it is retried by the caller
+/// or by an entry.
 ///
-/// The failure: one request kills the target that runs it, and a retry, the
-/// caller's or our own, kills the next. A crash alone does not tell which of
-/// the requests in flight was the cause, so all of them become suspects.
-/// A suspect is retried with no other suspect beside it; a second death that
-/// it was part of quarantines it. Innocent ones finish and are cleared.
+/// A crash does not show which of the requests in flight caused it, so all of
+/// them become suspects. A suspect is retried on a target that runs no other
+/// suspect, and is quarantined after `Policy::kills` crashes (2 by default). A
+/// request that finishes is cleared.
 ///
-/// Copies of a request must not run on several targets before it has finished
-/// once: here they follow the copy that runs, and a suspect goes to the target
-/// that all entries choose for it by its hash. So copies that two entries
-/// start at the same moment cost one target.
+/// Copies of a request must not run on several targets before one of them has
+/// finished. Within an entry they are sent to the target that already runs a
+/// copy. A suspect is sent to the target that all entries choose by its hash,
+/// so copies started by two entries at the same time can crash only one target.
 class Quarantine {
  public:
   struct Options {
     std::size_t max_records = 4096;
     std::size_t max_proven = 65536;
     Duration suspect_time = std::chrono::minutes(10);
-    /// Reports of two entries about one target within this time are of one
-    /// death: longer than a notice takes, shorter than a target's restart.
+    /// Crashes of one target that two entries report within this time are the
+    /// same crash. Longer than the delay of a notice, shorter than the restart
+    /// of a target.
     Duration same_death = std::chrono::milliseconds(500);
-    /// A suspect rests after a kill, so that other entries which run a copy
-    /// can say so, and while they go on saying so.
+    /// How long a suspect is not retried after a crash (`rest`), so that other
+    /// entries can report running copies, and after each such report
+    /// (`busy`).
     Duration rest = std::chrono::milliseconds(300);
     Duration busy = std::chrono::milliseconds(1500);
     Duration announce_interval = std::chrono::milliseconds(400);
   };
 
-  /// Limits of the request's deployment.
+  /// Quarantine limits of the request's deployment.
   struct Policy {
     std::uint32_t kills = 2;
     Duration time = std::chrono::minutes(30);
   };
 
-  /// A request as this entry sees it.
+  /// A request and the policy that applies to it.
   struct Subject {
     Fingerprint fingerprint = 0;
     std::string client_account;
@@ -85,12 +87,12 @@
     Policy policy;
   };
 
-  /// Where a request may go now.
+  /// Possible results of `Check`.
   struct Anywhere {};
   struct OnlyTo {
     std::string instance;
   };
-  struct Hold {};  ///< Ask again soon.
+  struct Hold {};  ///< Not now; check again soon.
   struct Quarantined {
     Duration remaining{0};
     std::string reason;
@@ -99,37 +101,38 @@
 
   explicit Quarantine(Options options) : options_(options) {}
 
-  /// Returns whether the request may go, and to which of `targets`.
+  /// Returns whether the request may run now, and on which of `targets`.
   Verdict Check(const Subject& subject, const std::vector<std::string>& targets,
                 TimePoint now) const;
 
-  /// An attempt of the request was sent to a target, or has ended there.
+  /// Records that an attempt was sent to a target, finished, or failed.
   void OnStarted(const Subject& subject, const AttemptId& attempt,
                  const std::string& instance, TimePoint now);
   void OnFinished(const AttemptId& attempt, TimePoint now);
   void OnBroken(const AttemptId& attempt);
 
-  /// Keeps a suspect from being started here before `until`.
+  /// Prevents this entry from starting a suspect before `until`.
   void Rest(Fingerprint fingerprint, TimePoint until);
 
-  /// A target died with the request in flight.
+  /// Records that a target crashed with the request in flight.
   void OnKill(const Subject& subject, const std::string& instance,
               TimePoint now);
 
-  /// Another entry says something.
+  /// Applies a notice from another entry.
   void OnNotice(const SuspicionNotice& notice, const Policy& policy,
                 TimePoint now);
 
-  /// An operator ends a quarantine.
+  /// Ends a quarantine on an operator's request.
   void Lift(Fingerprint fingerprint, TimePoint now);
 
-  /// Forgets what is over and repeats what other entries must know.
+  /// Drops expired records and repeats notices about running suspects.
   void Tick(TimePoint now);
 
-  /// Returns what to tell every other entry.
+  /// Returns and removes the pending notices for all other entries.
   std::vector<SuspicionNotice> TakeNotices();
 
-  /// Returns the records held, for `status` and for entries that connect.
+  /// Returns all unexpired records, for `status` and for newly connected
+  /// entries.
   std::vector<SuspicionNotice> List(TimePoint now) const;
 
   std::size_t size() const { return records_.size(); }
@@ -145,7 +148,7 @@
     std::vector<Kill> kills;
     bool quarantined = false;
     TimePoint until;
-    TimePoint rest_until;  ///< Not to be started here before.
+    TimePoint rest_until;  ///< Not started by this entry before this time.
     std::string reason;
   };
   struct Running {
@@ -179,30 +182,31 @@
   TimePoint next_announce_;
 };
 
-/// Keeps suspects apart at one target, whichever entries send them.
+/// Prevents two suspects from running on one target at the same time.
 ///
-/// Two suspects that die together would both be blamed for two deaths, and the
-/// innocent one be refused. Only the target's side sees what all entries send.
+/// Two suspects that run together in a second crash would both be quarantined,
+/// including the harmless one. Only the side process of the target sees the
+/// attempts of all entries.
 class SuspectGate {
  public:
   explicit SuspectGate(std::size_t max_suspects = 4096)
       : max_suspects_(max_suspects) {}
 
-  /// Takes in what an entry says about a request.
+  /// Applies a notice from an entry.
   void OnNotice(const SuspicionNotice& notice, TimePoint now);
 
-  /// Returns true if an attempt may start beside those running now, and if so
-  /// counts it as running.
+  /// Returns true if an attempt may start alongside those running now, and
+  /// records it as running in that case.
   bool Admit(const AttemptId& attempt, Fingerprint fingerprint, TimePoint now);
 
-  /// Forgets the attempts that no longer run.
+  /// Drops attempts that no longer run.
   void Sweep(const std::function<bool(const AttemptId&)>& is_running);
 
  private:
   bool IsSuspect(Fingerprint fingerprint, TimePoint now) const;
 
   std::size_t max_suspects_;
-  std::unordered_map<Fingerprint, TimePoint> suspects_;  ///< With their end.
+  std::unordered_map<Fingerprint, TimePoint> suspects_;  ///< Expiry times.
   std::unordered_map<AttemptId, Fingerprint> running_;
 };
 
