--- a/tests/core/request/answer_end_test.cc
+++ b/tests/core/request/answer_end_test.cc
@@ -13,21 +13,22 @@
   bool broken_off;
 };
 
-TEST_CASE("An answer's end is judged by its framing and its events") {
+TEST_CASE("WhyBrokenOff detects truncation from framing and events") {
   const Row row = GENERATE(values<Row>({
-      // What is no stream of events is whole if its framing was kept.
+      // A body that is not an event stream is complete if its framing is
+      // intact.
       {{200, Framing::kLength, 4, std::nullopt}, false},
       {{200, Framing::kChunks, 4, std::nullopt}, false},
       {{200, Framing::kClose, 4, std::nullopt}, false},
       {{200, Framing::kClose, 0, std::nullopt}, false},
-      // No framing makes half an event whole.
+      // A partial event is truncated with any framing.
       {{200, Framing::kLength, 9, Position::kInsideEvent}, true},
       {{200, Framing::kChunks, 9, Position::kInsideEvent}, true},
       {{200, Framing::kClose, 9, Position::kInsideEvent}, true},
       {{500, Framing::kClose, 9, Position::kInsideEvent}, true},
       {{200, Framing::kClose, 9, Position::kBetweenEvents}, false},
       {{200, Framing::kChunks, 9, Position::kBetweenEvents}, false},
-      // An empty stream is whole only where that was stated.
+      // An empty successful stream is truncated if only the close ends it.
       {{200, Framing::kLength, 0, Position::kNoEvent}, false},
       {{200, Framing::kChunks, 0, Position::kNoEvent}, false},
       {{200, Framing::kClose, 0, Position::kNoEvent}, true},
--- a/tests/core/request/attempt_table_fixture.h
+++ b/tests/core/request/attempt_table_fixture.h
@@ -11,7 +11,7 @@
 
 namespace indigolead {
 
-/// An attempt table with its entry, target and clock played by a test.
+/// Attempt table with a simulated entry, target and clock.
 class AttemptTableFixture {
  public:
   static constexpr LinkNumber kLink = 1;
@@ -66,7 +66,7 @@
     table_.Tick(now_);
   }
 
-  /// Returns the runs that reached the target's thread for attempt `n`.
+  /// Returns how often attempt `n` was passed to the target's thread.
   int RunsOf(std::uint64_t n) const {
     const auto it = runs_.find(AttemptId{{1, n}});
     return it == runs_.end() ? 0 : it->second;
--- a/tests/core/request/attempt_table_random_test.cc
+++ b/tests/core/request/attempt_table_random_test.cc
@@ -12,7 +12,7 @@
 
 using Fixture = AttemptTableFixture;
 
-/// Plays an entry and a network that loses, repeats and reorders its messages.
+/// Simulates an entry whose messages are lost, repeated and reordered.
 class ChaosRun {
  public:
   ChaosRun() : f_(MakeOptions()) {}
@@ -60,7 +60,7 @@
     return options;
   }
 
-  /// Ends a call as the target's thread would: it wrote the request or not.
+  /// Ends a call as the target's thread would, with the request written or not.
   void EndCall(std::uint64_t n) {
     const AttemptId id{{1, n}};
     if (f_.RunsOf(n) == 0 || ended_.contains(id)) {
@@ -88,7 +88,7 @@
         said_not_run_.insert(it.id);
       }
     }
-    // What was called "not run" must not be running now, nor ever.
+    // An attempt reported as "not run" must not be running now.
     for (const auto& id : said_not_run_) {
       RC_ASSERT(!f_.runs_.contains(id) || ended_.contains(id));
     }
@@ -102,10 +102,12 @@
   std::set<AttemptId> said_not_run_;
 };
 
-// Starts, cancels, resumes and answers of forty attempts arrive lost, repeated
-// and in any order, while memory is far too small for them. Whatever happens,
-// none runs twice, and none that was called "not run" ever ran.
-TEST_CASE("AttemptTable runs each attempt at most once and refuses truly") {
+// Guards against attempts that run twice or that run although they were
+// reported as "not run". Starts, cancels, resumes and answers of about forty
+// attempts are lost, repeated and reordered, and the memory holds only a few of
+// them.
+TEST_CASE(
+    "AttemptTable runs attempts at most once and refuses only unrun ones") {
   CHECK(rc::check("at most one run, refusals true", [] {
     ChaosRun run;
     const int steps = *rc::gen::inRange(50, 300);
@@ -122,7 +124,8 @@
   bool ended = false;
 };
 
-/// Takes over `receiver` what arrived on `link`, a random tail of it lost.
+/// Delivers the frames sent on `link` to `receiver`. If `lose` is true, drops a
+/// random tail of them. Returns the number of body bytes received.
 std::uint64_t Receive(const Fixture& f, LinkNumber link, bool lose,
                       Delivery* receiver) {
   std::uint64_t taken = 0;
@@ -143,10 +146,11 @@
   return taken;
 }
 
-// A stream's connection is lost again and again, each time with some of the
-// frames and credits in it. After each the entry resumes where it stopped. The
-// caller gets every byte once, in order, and then the end.
-TEST_CASE("AttemptTable delivers a stream whole over lossy connections") {
+// Guards against lost or repeated bytes after reconnects. The connection is
+// lost repeatedly, together with frames and credits in flight, and the entry
+// resumes at the first missing frame. The caller must get every byte once, in
+// order, and then the end.
+TEST_CASE("AttemptTable delivers a complete stream over lossy connections") {
   CHECK(rc::check("whole, in order, once", [] {
     Fixture f;
     auto start = Fixture::MakeStart(1);
--- a/tests/core/request/attempt_table_test.cc
+++ b/tests/core/request/attempt_table_test.cc
@@ -11,7 +11,7 @@
 
 using Fixture = AttemptTableFixture;
 
-TEST_CASE("AttemptTable numbers an answer and ends it with its sum") {
+TEST_CASE("AttemptTable numbers frames and ends with length and checksum") {
   Fixture f;
   f.Start(1);
   f.Answer(1, {"Wind ", "warning"});
@@ -27,10 +27,11 @@
   CHECK(f.table_.Idle());
 }
 
-// The caller sees "not run" and asks elsewhere. For each cause the side refuses
-// before the target's thread hears of the attempt, and refuses it again if the
-// same start arrives a second time, since its entry has already reported it.
-TEST_CASE("AttemptTable refuses an attempt before it runs, for good") {
+// A refused attempt is reported as "not run" and may be retried elsewhere, so
+// it must never run here. For each cause, the attempt is refused before it
+// reaches the target's thread, and does not run if the same start arrives
+// again.
+TEST_CASE("AttemptTable never runs a refused attempt") {
   struct Case {
     const char* cause;
     std::function<void(Fixture*, AttemptStart*)> arrange;
@@ -89,7 +90,7 @@
   }
 }
 
-TEST_CASE("AttemptTable says how an attempt ended") {
+TEST_CASE("AttemptTable reports how an attempt ended") {
   struct Case {
     CallOutcome call;
     std::optional<RunOutcome> end;
@@ -121,10 +122,10 @@
   }
 }
 
-// The caller notices nothing: its stream stops for a moment and goes on. The
-// connection falls silent after some frames, the entry opens a new one and asks
-// for the first frame that it has not seen; the side still holds it, because
-// only bytes that the caller took free a frame.
+// Guards against streams that break when their connection is lost. The entry
+// opens a new connection and resumes at the first frame it has not received.
+// The table still holds that frame, because a frame is freed only after the
+// caller consumed it.
 TEST_CASE("AttemptTable resumes a stream over a new connection") {
   Fixture f;
   f.Start(1);
@@ -136,20 +137,20 @@
   REQUIRE(f.SequencesOn(Fixture::kLink).size() == 3);
   f.table_.OnPeer(Fixture::kNewLink, f.kEntry);
 
-  SECTION("from the frame asked for, nothing repeated or missing") {
+  SECTION("resumes at the requested frame without gaps or duplicates") {
     f.table_.OnResume(Fixture::kNewLink, f.QueryOf(1), 2, 1028, f.now_);
     CHECK(f.SequencesOn(Fixture::kNewLink) ==
           std::vector<std::uint64_t>{2, 3, 4});
     CHECK(f.states_.back().next_sequence == 2);
   }
 
-  SECTION("says so if a frame asked for is gone") {
+  SECTION("reports the attempt as lost if the requested frame was dropped") {
     f.table_.OnResume(Fixture::kNewLink, f.QueryOf(1), 0, 1028, f.now_);
     CHECK(f.SequencesOn(Fixture::kNewLink).empty());
     CHECK(f.last_knowledge() == SideKnowledge::kLost);
   }
 
-  SECTION("a finished attempt is held for the retention, then only known of") {
+  SECTION("drops the frames of a finished attempt after the retention") {
     f.Pass(std::chrono::seconds(31));
     f.table_.OnResume(Fixture::kNewLink, f.QueryOf(1), 2, 1028, f.now_);
     CHECK(f.SequencesOn(Fixture::kNewLink).empty());
@@ -159,7 +160,7 @@
   }
 }
 
-TEST_CASE("AttemptTable lets a slow caller stop its own stream only") {
+TEST_CASE("AttemptTable pauses only the stream of a slow caller") {
   auto options = Fixture::MakeOptions();
   options.stream_buffer_bytes = 4096;
   Fixture f(options);
@@ -168,8 +169,8 @@
   const std::string chunk(1000, 'x');
   f.Answer(1, {chunk, chunk, chunk, chunk});
 
-  // 1,024 bytes of credit let two chunks out; the rest waits, and the target's
-  // thread is told to stop reading.
+  // 1,024 bytes of credit allow two chunks to be sent. The rest is buffered,
+  // and the target's thread is told to pause reading.
   CHECK(f.SequencesOn(Fixture::kLink) == std::vector<std::uint64_t>{0, 1, 2});
   CHECK(f.pauses_ == std::vector<bool>{true});
   f.sent_.clear();
@@ -183,7 +184,7 @@
   CHECK(f.pauses_ == std::vector<bool>{true, false});
 }
 
-TEST_CASE("AttemptTable sends again what a full link refused") {
+TEST_CASE("AttemptTable resends frames that a full link rejected") {
   Fixture f;
   f.Start(1);
   f.link_full_ = true;
@@ -196,12 +197,12 @@
   CHECK(f.table_.Idle());
 }
 
-// The entry asks about an attempt that the side does not hold. "Not started"
-// may be reported to the caller as "not run", so it is said only if provable.
-TEST_CASE("AttemptTable says of an attempt only what it can prove") {
+// The entry asks about an attempt that the table does not hold. "Not started"
+// may be reported to the caller as "not run", so it is used only if provable.
+TEST_CASE("AttemptTable reports only provable attempt states") {
   Fixture f;
 
-  SECTION("one that never came: not started, and refused when it comes") {
+  SECTION("an attempt that never arrived is not started and later refused") {
     f.table_.OnResume(Fixture::kLink, f.QueryOf(1), 0, 0, f.now_);
     CHECK(f.last_knowledge() == SideKnowledge::kNotStarted);
     f.Start(1);
@@ -209,21 +210,21 @@
     CHECK(f.last_refusal() == RefusalReason::kCancelledEarlier);
   }
 
-  SECTION("one sent to an earlier run of the side: lost") {
+  SECTION("an attempt sent to an earlier side process is lost") {
     auto query = f.QueryOf(1);
     query.side = Incarnation{{6, 6}};
     f.table_.OnCancel(Fixture::kLink, query, f.now_);
     CHECK(f.last_knowledge() == SideKnowledge::kLost);
   }
 
-  SECTION("one that its entry did not number: lost") {
+  SECTION("an attempt without a start number is lost") {
     auto query = f.QueryOf(1);
     query.start_sequence = 0;
     f.table_.OnCancel(Fixture::kLink, query, f.now_);
     CHECK(f.last_knowledge() == SideKnowledge::kLost);
   }
 
-  SECTION("one that ran and was forgotten: lost, and never run again") {
+  SECTION("an attempt that ran and was forgotten is lost and not run again") {
     f.Start(1);
     f.Answer(1, {});
     f.End(1, CallOutcome::kComplete);
@@ -237,23 +238,23 @@
     CHECK(f.refusals_.empty());
   }
 
-  SECTION("a cancel waits for the target's thread to say whether it wrote") {
+  SECTION("a cancel waits for the result of the target's thread") {
     f.Start(1);
     f.table_.OnCancel(Fixture::kLink, f.QueryOf(1), f.now_);
     CHECK(f.states_.empty());
     REQUIRE(f.cancelled_.size() == 1);
-    SECTION("not written: refused") {
+    SECTION("a request that was not written is refused") {
       f.End(1, CallOutcome::kStopped);
       CHECK(f.last_refusal() == RefusalReason::kCancelledEarlier);
     }
-    SECTION("written: ended as cancelled, never as not run") {
+    SECTION("a request that was written ends as cancelled") {
       f.End(1, CallOutcome::kCancelled);
       CHECK(f.refusals_.empty());
       CHECK(f.last_knowledge() == SideKnowledge::kFinished);
     }
   }
 
-  SECTION("a repeated start of one that runs is not refused") {
+  SECTION("a repeated start of a running attempt is not refused") {
     f.Start(1);
     f.Start(1);
     CHECK(f.RunsOf(1) == 1);
@@ -272,9 +273,9 @@
   CHECK(f.sent_.back().second.outcome == RunOutcome::kDeadline);
 }
 
-// An entry that dies between two chunks of a request's body, or a chunk lost
-// with its connection, must not leave half a request at the target.
-TEST_CASE("AttemptTable starts a request only once its body is whole") {
+// Guards against partial requests on the target after an entry crashes between
+// two body chunks or a chunk is lost with its connection.
+TEST_CASE("AttemptTable starts a request only when its body is complete") {
   Fixture f;
   auto start = Fixture::MakeStart(1);
   start.body_continues = true;
@@ -282,26 +283,26 @@
   f.table_.OnStart(Fixture::kLink, start, f.now_);
   CHECK(f.RunsOf(1) == 0);
 
-  SECTION("whole: it runs") {
+  SECTION("a complete body starts the request") {
     f.table_.OnBodyChunk(Fixture::kLink, start.id, 0, "two ", false, f.now_);
     f.table_.OnBodyChunk(Fixture::kLink, start.id, 1, "three", true, f.now_);
     CHECK(f.RunsOf(1) == 1);
   }
-  SECTION("a chunk lost: refused") {
+  SECTION("a missing chunk causes a refusal") {
     f.table_.OnBodyChunk(Fixture::kLink, start.id, 1, "three", true, f.now_);
     CHECK(f.RunsOf(1) == 0);
     CHECK(f.last_refusal() == RefusalReason::kOverloaded);
   }
-  SECTION("never finished: refused at the deadline") {
+  SECTION("an incomplete body is refused at the deadline") {
     f.Pass(std::chrono::seconds(61));
     CHECK(f.RunsOf(1) == 0);
     CHECK(f.last_refusal() == RefusalReason::kTooLate);
   }
 }
 
-// Answers that their callers took long ago are still held for a resume. They
-// must make way: a new attempt is not refused, nor a stream paused, for them.
-TEST_CASE("AttemptTable lets finished answers make way for new attempts") {
+// Finished answers are held in case they are resumed. They must not cause a new
+// attempt to be refused or a running stream to be paused.
+TEST_CASE("AttemptTable evicts finished answers for new attempts") {
   auto options = Fixture::MakeOptions();
   options.max_buffer_bytes = 8000;
   Fixture f(options);
@@ -319,7 +320,7 @@
   CHECK(f.table_.buffered_bytes() < 8000);
 }
 
-TEST_CASE("AttemptTable keeps its memory within its bounds") {
+TEST_CASE("AttemptTable bounds its memory of finished attempts") {
   auto options = Fixture::MakeOptions();
   options.max_finished = 2;
   options.memory.max_ids = 2;
--- a/tests/core/request/crash_ledger_test.cc
+++ b/tests/core/request/crash_ledger_test.cc
@@ -21,50 +21,50 @@
 
 TargetCrash Crash(int n) { return {"i-" + std::to_string(n), 5}; }
 
-TEST_CASE("A request that ran in targets which crashed") {
+TEST_CASE("CrashLedger counts crashes of targets that ran a request") {
   CrashLedger ledger(CrashLedger::Options{});
   ledger.OnCrash(Crash(1), {kBad, 11}, kStart);
   ledger.OnCrash(Crash(2), {kBad, 12}, kStart + minutes(1));
 
-  SECTION("may run after two crashes") {
+  SECTION("the request may run after two crashes") {
     CHECK(ledger.CrashesUnder(kBad) == 2);
     CHECK_FALSE(ledger.StoppedFor(kBad, kStart + minutes(1)));
   }
-  SECTION("may not after the third, until the first is an hour old") {
+  SECTION("the third crash blocks it until the first is an hour old") {
     ledger.OnCrash(Crash(3), {kBad}, kStart + minutes(2));
     CHECK(ledger.StoppedFor(kBad, kStart + minutes(2)) ==
           Duration(minutes(58)));
     CHECK_FALSE(ledger.StoppedFor(11, kStart + minutes(2)));
 
-    SECTION("or longer, if there were more") {
+    SECTION("a fourth crash extends the block") {
       ledger.OnCrash(Crash(4), {kBad}, kStart + minutes(3));
       CHECK(ledger.StoppedFor(kBad, kStart + minutes(3)) ==
             Duration(minutes(58)));
     }
-    SECTION("and no longer") {
+    SECTION("the block expires") {
       CHECK(ledger.Tick(kStart + minutes(60)));
       CHECK_FALSE(ledger.StoppedFor(kBad, kStart + minutes(60)));
       CHECK(ledger.own().crashes.size() == 2);
     }
   }
-  SECTION("is not counted twice for one crash that two entries saw") {
+  SECTION("a crash reported by two entries counts once") {
     ledger.OnReports({{{{Crash(2), {kBad}}}, {}}}, kStart + minutes(1));
     CHECK(ledger.CrashesUnder(kBad) == 2);
   }
-  SECTION("is counted again where a target crashes in another run") {
+  SECTION("a crash in another run of the same target counts again") {
     ledger.OnCrash({"i-2", 6}, {kBad}, kStart + minutes(2));
     CHECK(ledger.StoppedFor(kBad, kStart + minutes(2)));
   }
-  SECTION("is stopped by what other entries saw") {
+  SECTION("reports of other entries block the request") {
     ledger.OnReports({{{{Crash(3), {kBad}}}, {}}}, kStart + minutes(2));
     CHECK(ledger.StoppedFor(kBad, kStart + minutes(2)));
-    SECTION("for no longer if they never forget") {
+    SECTION("reports that never expire do not extend the block") {
       ledger.OnReports({{{{Crash(3), {kBad}}}, {}}}, kStart + minutes(70));
       CHECK_FALSE(ledger.StoppedFor(kBad, kStart + minutes(70)));
       CHECK(ledger.CrashesUnder(kBad) == 0);
     }
   }
-  SECTION("is cleared by an answer, of which others hear at once") {
+  SECTION("an answer clears the request and is reported at once") {
     CHECK(ledger.OnAnswered(kBad, kStart + minutes(2)) ==
           CrashLedger::Telling::kNow);
     CHECK(ledger.CrashesUnder(kBad) == 0);
@@ -76,14 +76,14 @@
     other.OnReports({ledger.own()}, kStart + minutes(3));
     CHECK(other.CrashesUnder(kBad) == 2);
   }
-  SECTION("is cleared soon if one crash more would not stop it") {
+  SECTION("an answer is reported later if one more crash would not block") {
     CHECK(ledger.OnAnswered(11, kStart + minutes(2)) ==
           CrashLedger::Telling::kSoon);
     CHECK(ledger.CrashesUnder(11) == 0);
     CHECK(ledger.OnAnswered(99, kStart + minutes(2)) ==
           CrashLedger::Telling::kNot);
   }
-  SECTION("is known to the process that follows") {
+  SECTION("the counts survive a restart of the process") {
     CrashLedger next(CrashLedger::Options{});
     next.OnCrash(Crash(3), {kBad}, kStart + minutes(2));
     next.OnEarlierReport(ledger.own(), kStart + minutes(2));
@@ -92,7 +92,7 @@
   }
 }
 
-TEST_CASE("What an entry tells of crashes is bounded") {
+TEST_CASE("CrashLedger bounds the size of its own report") {
   CrashLedger::Options options;
   options.max_requests = 100;
   CrashLedger ledger(options);
@@ -111,14 +111,15 @@
     requests += it.running.size();
   }
   CHECK(requests <= 100);
-  SECTION("what has stopped a request is kept") {
+  SECTION("crashes that block a request are kept") {
     CHECK(ledger.StoppedFor(kBad, kStart));
   }
-  SECTION("the newest is kept") { CHECK(ledger.CrashesUnder(1995) == 1); }
+  SECTION("the newest crash is kept") { CHECK(ledger.CrashesUnder(1995) == 1); }
 }
 
-/// Entries whose callers repeat one request that crashes its targets, among
-/// others that run beside it. Reports are late; entries are killed and frozen.
+/// Simulates entries whose callers repeat a request that crashes its targets,
+/// together with harmless requests. Reports are delayed; entries are restarted
+/// and frozen.
 class CrashWorld {
  public:
   CrashWorld(std::uint64_t seed, int entries)
@@ -140,7 +141,7 @@
       Deliver();
       if (now_ >= next_bad) {
         SendBad();
-        // Sometimes two at once, at two entries.
+        // One time in four, the next one follows at once.
         next_bad += milliseconds(Below(4) == 0 ? 0 : 30 + Below(900));
       }
       for (int n = 0; n < 3; ++n) {
@@ -154,12 +155,12 @@
 
   int sent_on() const { return SentOnAfterCrashes(crashes_, in_touch_sends_); }
   std::size_t crashes() const { return crashes_.size(); }
-  /// Returns how often a request was stopped that had not run in three targets
-  /// which crashed since its last answer.
+  /// Returns how often a request was blocked that had not been running in three
+  /// crashes since its last answer.
   int wrongly_stopped() const { return wrongly_stopped_; }
 
  private:
-  /// A report that an entry has not taken yet.
+  /// A report that an entry has not received yet.
   struct Due {
     TimePoint at;
     std::size_t entry;
@@ -183,7 +184,7 @@
     crashes_.push_back(now_);
     const TargetCrash crash{"i-" + std::to_string(Below(targets_)),
                             next_run_++};
-    // Each entry sees those of its own requests that ran there.
+    // Each entry observes only its own requests that were running there.
     std::map<std::size_t, std::vector<Fingerprint>> seen;
     seen[entry].push_back(kBad);
     for (std::uint64_t n = Below(30); n > 0; --n) {
@@ -248,7 +249,8 @@
   }
 
   void Tell(std::size_t entry) {
-    // A call of the store, and the rest of another entry's watch.
+    // The delay models a store call and the remaining watch interval of the
+    // other entry.
     stored_[entry] = held_[entry].own();
     for (std::size_t n = 0; n < held_.size(); ++n) {
       if (n != entry) {
@@ -289,7 +291,8 @@
   }
 
   static constexpr std::uint64_t kInnocents = 400;
-  /// Answers are known to all entries by then, unless theirs were killed.
+  /// Time after which an answer is known to all entries, unless the entry that
+  /// received it was restarted.
   static constexpr seconds kAnswerTold{4};
 
   RandomSource random_;
@@ -308,9 +311,9 @@
   int wrongly_stopped_ = 0;
 };
 
-/// Guards against entries that each count alone, or lose the count with a
-/// process.
-TEST_CASE("A crashing request is stopped by all entries in random worlds") {
+/// Guards against entries that count only their own crashes or lose their
+/// counts in a restart.
+TEST_CASE("CrashLedger blocks a crashing request in randomized fleets") {
   const auto [entries, worlds] =
       GENERATE(table<int, int>({{1, 60}, {4, 60}, {20, 20}, {400, 1}}));
   INFO(entries << " entries");
--- a/tests/core/request/event_scanner_test.cc
+++ b/tests/core/request/event_scanner_test.cc
@@ -10,13 +10,13 @@
 
 using Position = StreamPosition;
 
-/// What a scanner says after a stream.
+/// Result of scanning a stream.
 struct Scanned {
   Position position = Position::kNoEvent;
-  std::size_t whole = 0;  ///< Bytes before the unfinished event.
+  std::size_t whole = 0;  ///< Bytes before the incomplete event.
 };
 
-/// Scans `stream`, cut into parts of `part` bytes.
+/// Scans `stream` in parts of `part` bytes.
 Scanned Scan(std::string_view stream, std::size_t part) {
   EventScanner scanner;
   Scanned scanned;
@@ -36,7 +36,7 @@
   std::size_t whole;
 };
 
-TEST_CASE("EventScanner finds where a stream of events stands") {
+TEST_CASE("EventScanner reports the position in an event stream") {
   const Row row = GENERATE(values<Row>({
       {"", Position::kNoEvent, 0},
       {"\n\n", Position::kNoEvent, 2},
@@ -71,7 +71,7 @@
   CHECK(scanned.whole == row.whole);
 }
 
-TEST_CASE("Streams of events are known by their type and encoding") {
+TEST_CASE("IsEventStream checks content type and encoding") {
   CHECK(IsEventStream("text/event-stream", ""));
   CHECK(IsEventStream("Text/Event-Stream; charset=utf-8", "Identity"));
   CHECK_FALSE(IsEventStream("text/event-stream", "gzip"));
@@ -80,7 +80,7 @@
   CHECK_FALSE(IsEventStream("", ""));
 }
 
-TEST_CASE("An end is doubtful if its framing alone does not prove it") {
+TEST_CASE("IsDoubtful requires proof of the end by framing and events") {
   AnswerBodyEnd end;
   end.status = 200;
   CHECK_FALSE(IsDoubtful(end));
--- a/tests/core/request/quarantine_test.cc
+++ b/tests/core/request/quarantine_test.cc
@@ -28,10 +28,10 @@
   return std::holds_alternative<T>(verdict);
 }
 
-// A request kills its target, with an innocent one beside it. Both become
-// suspects; run apart, the innocent one finishes and is cleared, and the other
-// kills a second target and is refused from then on.
-TEST_CASE("Two kills quarantine a request and clear the one beside it") {
+// A request crashes its target while a harmless one runs there. Both become
+// suspects and run separately: the harmless one finishes and is cleared; the
+// other crashes a second target and is quarantined.
+TEST_CASE("Quarantine blocks a request after two crashes, clears the other") {
   Quarantine quarantine({});
   const auto poison = MakeSubject(1);
   const auto innocent = MakeSubject(2);
@@ -50,13 +50,13 @@
   const std::string second = std::get<Quarantine::OnlyTo>(place).instance;
   quarantine.OnStarted(innocent, MakeAttempt(3), second, later);
 
-  SECTION("suspects run one by one at a target") {
+  SECTION("suspects run one at a time on a target") {
     CHECK(Says<Quarantine::Hold>(quarantine.Check(poison, kTargets, later)));
     quarantine.OnFinished(MakeAttempt(3), later);
     CHECK(Says<Quarantine::OnlyTo>(quarantine.Check(poison, kTargets, later)));
     CHECK(quarantine.List(later).size() == 1);
   }
-  SECTION("the second kill quarantines") {
+  SECTION("the second crash quarantines the request") {
     quarantine.OnFinished(MakeAttempt(3), later);
     quarantine.OnStarted(poison, MakeAttempt(4), second, later);
     quarantine.OnKill(poison, second, later);
@@ -71,7 +71,7 @@
       CHECK_FALSE(Says<Quarantine::Quarantined>(
           quarantine.Check(poison, kTargets, later + minutes(30))));
     }
-    SECTION("until an operator lifts it, at every entry") {
+    SECTION("until an operator lifts it on all entries") {
       Quarantine other({});
       for (const auto& it : quarantine.TakeNotices()) {
         other.OnNotice(it, {}, later);
@@ -89,7 +89,7 @@
   }
 }
 
-TEST_CASE("Copies that die together count one death") {
+TEST_CASE("Quarantine counts one crash for copies that ran together") {
   Quarantine quarantine({});
   const auto subject = MakeSubject(1);
   quarantine.OnStarted(subject, MakeAttempt(1), "a", kStart);
@@ -102,13 +102,13 @@
   const TimePoint later = death + seconds(1);
   CHECK(Says<Quarantine::OnlyTo>(quarantine.Check(subject, kTargets, later)));
 
-  SECTION("and the next death of the same target counts again") {
+  SECTION("the next crash of the same target counts again") {
     quarantine.OnStarted(subject, MakeAttempt(3), "a", later);
     quarantine.OnKill(subject, "a", later + milliseconds(10));
     CHECK(Says<Quarantine::Quarantined>(
         quarantine.Check(subject, kTargets, later + seconds(1))));
   }
-  SECTION("and so does another entry's report of it") {
+  SECTION("another entry's report of the same crash does not count again") {
     SuspicionNotice notice;
     notice.fingerprint = 1;
     notice.deaths = {{"a", milliseconds(900)}};
@@ -117,7 +117,7 @@
   }
 }
 
-TEST_CASE("A burst of copies costs one target until one has finished") {
+TEST_CASE("Quarantine keeps copies on one target until one has finished") {
   Quarantine quarantine({});
   const auto subject = MakeSubject(7);
   quarantine.OnStarted(subject, MakeAttempt(1), "a", kStart);
@@ -130,8 +130,9 @@
       Says<Quarantine::Anywhere>(quarantine.Check(subject, kTargets, kStart)));
 }
 
-/// Two entries, some targets, one request that kills whatever runs it, and
-/// innocent ones all around it, with notices delayed up to 100 ms.
+/// Simulates two entries, eight targets, one request that crashes every target
+/// it runs on, and harmless requests. Notices between entries are delayed by up
+/// to 100 ms.
 struct PoisonWorld {
   explicit PoisonWorld(std::uint64_t seed) : random(seed) {
     for (int it = 0; it < 8; ++it) {
@@ -142,7 +143,7 @@
   struct Job {
     Quarantine::Subject subject;
     std::size_t entry;
-    std::string target;  ///< Empty: waits.
+    std::string target;  ///< Empty while waiting.
     TimePoint ends;
     AttemptId attempt;
     bool done = false;
@@ -240,10 +241,11 @@
   int deaths = 0;
 };
 
-// The caller sends the killing request again and again through both entries,
-// some of them at the same moment, among innocent ones. Two targets die; every
-// innocent request is answered; the rest of the copies are refused.
-TEST_CASE("At most two targets die of one request") {
+// Guards against repeated copies of a crashing request that take down more
+// targets. Copies arrive through both entries among harmless requests. At most
+// two targets may crash, every harmless request must be answered, and the
+// remaining copies must be refused.
+TEST_CASE("Quarantine limits one request to two target crashes") {
   int worst = 0;
   int over = 0;
   int wrongly_refused = 0;
