--- a/tests/core/request/answer_end_test.cc
+++ b/tests/core/request/answer_end_test.cc
@@ -13,7 +13,7 @@
   bool broken_off;
 };
 
-TEST_CASE("WhyBrokenOff detects truncation from framing and events") {
+TEST_CASE("Truncated answers are detected by framing and events") {
   const Row row = GENERATE(values<Row>({
       // A body that is not an event stream is complete if its framing is
       // intact.
--- a/tests/core/request/crash_ledger_test.cc
+++ b/tests/core/request/crash_ledger_test.cc
@@ -320,7 +320,7 @@
   for (int seed = 1; seed <= worlds; ++seed) {
     CrashWorld world(static_cast<std::uint64_t>(seed), entries);
     world.Play();
-    INFO("world " << seed);
+    INFO("seed " << seed);
     CHECK(world.crashes() >= testing::kCrashesToStop);
     CHECK(world.sent_on() <= testing::kSentOnAllowed);
     CHECK(world.wrongly_stopped() == 0);
--- a/tests/core/request/event_scanner_test.cc
+++ b/tests/core/request/event_scanner_test.cc
@@ -80,7 +80,7 @@
   CHECK_FALSE(IsEventStream("", ""));
 }
 
-TEST_CASE("IsDoubtful requires proof of the end by framing and events") {
+TEST_CASE("An end is uncertain unless framing and events prove it") {
   AnswerBodyEnd end;
   end.status = 200;
   CHECK_FALSE(IsDoubtful(end));
--- a/tests/core/request/quarantine_test.cc
+++ b/tests/core/request/quarantine_test.cc
@@ -267,7 +267,7 @@
     worst = std::max(worst, world.deaths);
     over += world.deaths > 2;
   }
-  INFO("worlds with more than two deaths: " << over << " of 300");
+  INFO("runs with more than two crashes: " << over << " of 300");
   CHECK(worst <= 2);
   CHECK(wrongly_refused == 0);
 }
