--- a/src/core/request/attempt_table.h
+++ b/src/core/request/attempt_table.h
@@ -132,7 +132,7 @@
     std::uint64_t start_sequence = 0;
     TimePoint start_by;
     TimePoint finish_by;
-    std::unique_ptr<AttemptStart> gathering;  ///< Until its body is complete.
+    std::unique_ptr<AttemptStart> gathering;  ///< Body incomplete.
     std::uint64_t next_body_sequence = 0;
     FrameBuffer frames;
     bool cancelled = false;
--- a/src/core/request/attempt_types.h
+++ b/src/core/request/attempt_types.h
@@ -133,7 +133,7 @@
   kComplete,
   kNotWritten,  ///< No byte was written: the target was unreachable.
   kTooLate,     ///< No byte was written: the start deadline passed.
-  kStopped,     ///< No byte was written: the call was cancelled first.
+  kStopped,     ///< No byte was written: the call was cancelled.
   kFailed,      ///< Failed after the first byte; the target still runs.
   kTargetDied,  ///< Failed after the first byte; the target exited.
   kTimeout,     ///< The target did not answer by the deadline.
--- a/src/core/request/quarantine.h
+++ b/src/core/request/quarantine.h
@@ -48,8 +48,8 @@
 ///
 /// A crash does not show which of the requests in flight caused it, so all of
 /// them become suspects. A suspect is retried on a target that runs no other
-/// suspect, and is quarantined after `Policy::kills` crashes (2 by default). A
-/// request that finishes is cleared.
+/// suspect, and is quarantined at the crash count set in `Policy` (2 by
+/// default). A request that finishes is cleared.
 ///
 /// Copies of a request must not run on several targets before one of them has
 /// finished. Within an entry they are sent to the target that already runs a
--- a/tests/core/request/attempt_table_random_test.cc
+++ b/tests/core/request/attempt_table_random_test.cc
@@ -106,9 +106,8 @@
 // reported as "not run". Starts, cancels, resumes and answers of about forty
 // attempts are lost, repeated and reordered, and the memory holds only a few of
 // them.
-TEST_CASE(
-    "AttemptTable runs attempts at most once and refuses only unrun ones") {
-  CHECK(rc::check("at most one run, refusals true", [] {
+TEST_CASE("AttemptTable runs attempts at most once, refused ones never") {
+  CHECK(rc::check("at most one run, none after a refusal", [] {
     ChaosRun run;
     const int steps = *rc::gen::inRange(50, 300);
     for (int i = 0; i < steps; ++i) {
@@ -151,7 +150,7 @@
 // resumes at the first missing frame. The caller must get every byte once, in
 // order, and then the end.
 TEST_CASE("AttemptTable delivers a complete stream over lossy connections") {
-  CHECK(rc::check("whole, in order, once", [] {
+  CHECK(rc::check("complete, in order, once", [] {
     Fixture f;
     auto start = Fixture::MakeStart(1);
     start.initial_credit_bytes = *rc::gen::inRange<std::uint64_t>(1, 40);
