--- a/src/core/request/api_keys.cc
+++ b/src/core/request/api_keys.cc
@@ -10,8 +10,8 @@
 
 namespace indigolead {
 
-// The library's one-shot function looks its algorithm up by name each time,
-// which takes longer than the hash of a key.
+// OpenSSL's one-shot function looks up its algorithm by name on each call,
+// which takes longer than hashing a key.
 KeyHash HashKey(std::string_view key) {
   using Context = std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)>;
   static const EVP_MD* const kSha256 = EVP_MD_fetch(nullptr, "SHA256", nullptr);
--- a/src/core/request/api_keys.h
+++ b/src/core/request/api_keys.h
@@ -12,43 +12,43 @@
 
 namespace indigolead {
 
-/// SHA-256 of an API key. The key itself is held nowhere longer than it takes
-/// to hash it, so no log line, metric or error can show it.
+/// SHA-256 of an API key. The key itself is kept only until it is hashed, so
+/// that no log line, metric or error can show it.
 using KeyHash = std::array<unsigned char, 32>;
 
 /// Returns the hash of `key` as presented by a caller.
 KeyHash HashKey(std::string_view key);
 
-/// Returns the key that a caller presents as `Authorization: Bearer KEY`; empty
-/// if there is none, or more than one such field: which of two keys a target or
-/// an earlier proxy went by could not be told. Valid as long as `headers`.
+/// Returns the key that a caller presents as `Authorization: Bearer KEY`. Empty
+/// if there is no Authorization field or more than one: it would be unclear
+/// which of two keys a target or an earlier proxy used. Valid as long as
+/// `headers`.
 std::string_view FindBearerKey(const std::vector<HeaderField>& headers);
 
-/// Returns the refusal for a missing, malformed or unknown API key. It says
-/// nothing of the key presented.
+/// Returns the refusal for a missing, malformed or unknown API key. It reveals
+/// nothing about the key presented.
 Refusal UnknownKeyRefusal();
 
 namespace internal {
 
-/// Picks a bucket by the first bytes of a hash: those of SHA-256 are spread
-/// evenly.
+/// Uses the first bytes of the SHA-256, which are uniformly distributed.
 struct KeyHashBucket {
   std::size_t operator()(const KeyHash& hash) const;
 };
 
-/// Compares in constant time, so that the time taken does not tell how close a
-/// guess came.
+/// Compares in constant time, so that the timing does not reveal how much of a
+/// guess matched.
 struct KeyHashEqual {
   bool operator()(const KeyHash& a, const KeyHash& b) const;
 };
 
 }  // namespace internal
 
-/// What each of a set of API keys stands for, found in a time that does not
-/// grow with their number. One key may stand for several values.
+/// Maps API keys to values with a lookup time independent of the number of
+/// keys. One key may have several values.
 ///
-/// Which bucket is looked into depends on the SHA-256 of the guess alone: its
-/// timing tells a caller nothing about a key that it does not have.
+/// The bucket searched depends only on the SHA-256 of the key presented, so the
+/// timing reveals nothing to a caller about keys that it does not have.
 template <typename T>
 class KeyIndex {
  public:
--- a/src/core/request/catalogue.cc
+++ b/src/core/request/catalogue.cc
@@ -44,7 +44,8 @@
          std::find(names.begin(), names.end(), name) != names.end();
 }
 
-/// Returns the model and adapter that `name` stands for, or nothing.
+/// Returns the model and adapter that `name` denotes, or nothing. The adapter
+/// is empty if `name` is a model.
 std::optional<std::pair<std::string, std::string>> FindModel(
     const DeploymentSpec& spec, std::string_view name) {
   for (const ModelSpec& it : spec.models) {
@@ -64,7 +65,7 @@
          (adapter.empty() || Allows(account.adapters, adapter));
 }
 
-/// Returns true if `path` is `prefix` or lies below it.
+/// Returns true if `path` is `prefix` or is below it.
 bool IsBelow(std::string_view path, std::string_view prefix) {
   if (prefix.empty() || path.substr(0, prefix.size()) != prefix) {
     return false;
@@ -164,7 +165,7 @@
       return ResolvedRequest{best, it.account, "", ""};
     }
   }
-  return Forbidden("This client account has no part in deployment " +
+  return Forbidden("This client account has no access to deployment " +
                    best->spec.name + ".");
 }
 
--- a/src/core/request/catalogue.h
+++ b/src/core/request/catalogue.h
@@ -13,46 +13,46 @@
 
 namespace indigolead {
 
-/// One client account's entry in one deployment.
+/// Access of one client account to one deployment.
 struct AccountGrant {
   const Revision* revision = nullptr;
   const ClientAccountSpec* account = nullptr;
 };
 
-/// What a caller's key and path or model resolve to.
+/// Deployment, account and model that a request resolves to.
 struct ResolvedRequest {
   const Revision* revision = nullptr;
   const ClientAccountSpec* account = nullptr;
-  std::string model;  ///< Models only.
+  std::string model;  ///< Empty for a service.
   std::string adapter;
 };
 
-/// Immutable view of every deployment's revision in force, for looking up
-/// callers and their requests. Built anew for each change, so that a request
-/// is judged by one state of the configuration from start to end.
+/// Immutable view of the current revision of every deployment, for looking up
+/// callers and their requests. Rebuilt for each change, so that each lookup
+/// sees one consistent state of the configuration.
 class Catalogue {
  public:
-  /// Keys: deployment names.
+  /// `revisions` is keyed by deployment name.
   explicit Catalogue(std::map<std::string, Revision> revisions);
   Catalogue(const Catalogue&) = delete;
   Catalogue& operator=(const Catalogue&) = delete;
 
-  /// Returns every grant of the key that hashes to `hash`. Valid as long as the
-  /// catalogue.
+  /// Returns every grant of the key that hashes to `hash`. The result is valid
+  /// as long as the catalogue.
   const std::vector<AccountGrant>& FindGrants(const KeyHash& hash) const;
 
-  /// Finds the deployment that serves `model`, which names a model or one of
-  /// its adapters, to one of `grants`; else the refusal to send.
+  /// Finds the deployment in `grants` that serves `model`, the name of a model
+  /// or adapter, to the account. Returns the refusal to send if there is none.
   std::variant<ResolvedRequest, Refusal> ResolveModel(
       const std::vector<AccountGrant>& grants, std::string_view model) const;
 
-  /// Finds the service deployment for a Host and path. Host goes before path
-  /// prefix, and a longer prefix before a shorter one.
+  /// Finds the service deployment for a Host and path. A Host match takes
+  /// precedence over a path prefix, and a longer prefix over a shorter one.
   std::variant<ResolvedRequest, Refusal> ResolveService(
       const std::vector<AccountGrant>& grants, std::string_view host,
       std::string_view path) const;
 
-  /// Returns the names of the models and adapters open to `grants`, sorted.
+  /// Returns the sorted names of the models and adapters that `grants` allow.
   std::vector<std::string> ModelsFor(
       const std::vector<AccountGrant>& grants) const;
 
--- a/src/core/request/header_fields.cc
+++ b/src/core/request/header_fields.cc
@@ -41,8 +41,8 @@
 }  // namespace
 
 bool EqualsIgnoringCase(std::string_view a, std::string_view b) {
-  // Most names differ in length already, and the library's tolower asks the
-  // locale for every letter.
+  // Most names already differ in length. std::tolower is avoided because it
+  // consults the locale for every letter.
   return a.size() == b.size() &&
          std::equal(a.begin(), a.end(), b.begin(),
                     [](char x, char y) { return Lower(x) == Lower(y); });
--- a/src/core/request/header_fields.h
+++ b/src/core/request/header_fields.h
@@ -8,16 +8,16 @@
 
 namespace indigolead {
 
-/// Returns true if `a` and `b` differ in the case of ASCII letters only.
+/// Returns true if `a` and `b` are equal except for the case of ASCII letters.
 bool EqualsIgnoringCase(std::string_view a, std::string_view b);
 
-/// Returns the value of the first field called `name`, or nothing.
+/// Returns the value of the first field called `name`; empty if there is none.
 std::string_view FindHeader(const std::vector<HeaderField>& headers,
                             std::string_view name);
 
-/// Returns true if the field belongs to one connection and must not be passed
-/// on, in either direction (RFC 9110, section 7.6.1). `connection` is the value
-/// of the message's Connection field, which may name more such fields.
+/// Returns true if the field is hop-by-hop and must not be forwarded in either
+/// direction (RFC 9110, section 7.6.1). `connection` is the value of the
+/// message's Connection field, which may name more such fields.
 bool IsHopByHop(std::string_view name, std::string_view connection);
 
 }  // namespace indigolead
--- a/src/core/request/request_flow.cc
+++ b/src/core/request/request_flow.cc
@@ -10,16 +10,17 @@
 
 constexpr int kOk = 200;
 
-/// Least time between two resume requests for one attempt.
+/// Minimum time after a resume request before a frame gap causes another.
 constexpr Duration kLeastAskInterval = std::chrono::milliseconds(100);
 
-/// Returns true if the answer's parts matter as they come. Any other answer is
-/// worth more whole than early.
+/// Returns true if the answer is an event stream, which is passed on as it
+/// arrives. Any other answer is buffered and preferably sent complete.
 bool IsStreamed(const std::vector<HeaderField>& headers) {
   return IsEventStream(FindHeader(headers, "content-type"), "");
 }
 
-/// Returns true if the events of the answer can be told apart.
+/// Returns true if the answer is an event stream whose events can be parsed,
+/// that is, one without a content encoding.
 bool HasReadableEvents(const std::vector<HeaderField>& headers) {
   return IsEventStream(FindHeader(headers, "content-type"),
                        FindHeader(headers, "content-encoding"));
@@ -81,7 +82,7 @@
     actions_.push_back(AnswerRefusal{
         id,
         {503, RunState::kNotRun, "entry_overloaded",
-         "This entry holds as many requests as it may. Try again later.",
+         "This entry has reached its limit of open requests. Try again later.",
          std::chrono::seconds(1)}});
     return;
   }
@@ -163,7 +164,7 @@
            now);
     return;
   }
-  // An earlier attempt may have shown that the request kills its targets.
+  // An earlier attempt may have shown that the request crashes its targets.
   if (it.forwards > 0 && hooks_.check_quarantine) {
     if (auto refusal = hooks_.check_quarantine(*it.request, now)) {
       Refuse(it, std::move(*refusal), now);
@@ -186,10 +187,10 @@
   if (const auto* wait = std::get_if<RouteWait>(&result); wait && wait->held) {
     return;
   }
-  // Every target is gone or tried: wait a moment for one to come up, and give
-  // the tried ones a second chance then. Without the pause, a request would
-  // use up its forwards within milliseconds on targets whose change of state
-  // this entry has not heard of yet, and be refused while another serves.
+  // Every target is unavailable or was tried. Wait for one to become available
+  // and then allow the tried ones again. Without the delay, a request would use
+  // up its forwards within milliseconds on targets whose state change is not
+  // yet known to this entry, and be refused while another target could serve.
   if (!it.tried.empty()) {
     it.tried.clear();
     it.route_after = now + options_.second_chance_delay;
@@ -329,13 +330,13 @@
                                 const std::vector<HeaderField>& headers,
                                 TimePoint now) {
   if (status == kOk && HasReadableEvents(headers)) {
-    // The caller keeps the head of the first target.
+    // The caller already has the head of the first target.
     it.head_taken = true;
     return;
   }
   SideRefusal why;
   why.code = "resume_failed";
-  why.detail = "another target did not go on with the stream";
+  why.detail = "Another target did not resume the stream.";
   FinishAttempt(it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed, why,
                 /*retry=*/false, now);
 }
@@ -364,8 +365,9 @@
   if (it.cursor) {
     data = it.cursor->Take(data);
     if (it.cursor->held_bytes() > options_.stream_window_bytes / 2) {
-      // What is held back takes up the window: the target could never send the
-      // rest of the event. Nobody can go on inside an event.
+      // Buffered bytes earn no credit, so an event larger than the window would
+      // block the stream. Send the partial event and give up on resuming, which
+      // is not possible inside an event.
       data += it.cursor->TakePartial();
       it.cursor.reset();
     }
@@ -410,8 +412,8 @@
   attempt.Grant(bytes);
   attempt.unsent_credit += bytes;
   const SideTable::Side* side = sides_.Find(attempt.instance());
-  // Credit goes out in quarters of the window: often enough that the side
-  // never waits for it, rarely enough to cost nothing per token.
+  // Credit is sent in quarters of the window: often enough that the side never
+  // waits for it, and seldom enough that its cost per token is negligible.
   if (attempt.unsent_credit * 4 < options_.stream_window_bytes ||
       side == nullptr || !side->link) {
     return;
--- a/src/core/request/request_flow.h
+++ b/src/core/request/request_flow.h
@@ -21,32 +21,34 @@
 
 namespace indigolead {
 
-/// Verdict on whether a request may be forwarded now.
+/// Whether a request may proceed.
 enum class Gate {
-  kOpen,  ///< Go on at once.
+  kOpen,  ///< Proceed at once.
   kWait,  ///< Wait for `OnAdmitted` or `OnClaimGranted`.
 };
 
-/// Result of a hook that may hold a request back or refuse it.
+/// Result of a hook that may delay or refuse a request.
 using GateResult = std::variant<Gate, Refusal>;
 
-/// Where a request goes next.
+/// Forwards a request to a target.
 struct RouteTo {
   std::string instance;
-  std::string prefill_at = {};  ///< Reads the prompt; empty: `instance` does.
+  std::string prefill_at = {};  ///< Runs the prefill; empty: `instance` does.
 };
-/// No target now; asked again soon. A request that is held back on purpose
-/// waits up to its deadline, any other until `no_target_wait` is over.
+/// No target can take the request now; routing is repeated soon. A request that
+/// is `held` on purpose waits until its deadline, any other at most
+/// `no_target_wait`.
 struct RouteWait {
   bool held = false;
 };
 using RouteResult = std::variant<RouteTo, RouteWait, Refusal>;
 
-/// Returns true if the engine holds the model, or does not say what it holds.
+/// Returns true if the engine has loaded the model or does not report its
+/// models. Always true for a target that is not an engine.
 bool HoldsModel(const SideInfo& side, const std::string& model);
 
-/// Chooses the untried candidate with the fewest attempts in flight. The
-/// default of `RequestFlowHooks::route`.
+/// Chooses the untried candidate with the fewest attempts in flight. Default of
+/// `RequestFlowHooks::route`.
 RouteResult LeastOutstanding(const CallerRequest& request,
                              const std::vector<Candidate>& candidates,
                              TimePoint now);
@@ -54,96 +56,99 @@
 /// How a keyed request's claim ended.
 enum class ClaimSettlement { kFinished, kNotRun, kUnknown };
 
-/// Bounds and times of the request flow.
+/// Limits and timeouts of the request flow.
 struct RequestFlowOptions {
   std::size_t max_requests = 8192;
   std::size_t max_sides = 4096;
-  std::size_t max_pending_cancels = 1024;  ///< Kept for one absent side.
-  /// Bytes of an answer that a target may send before its caller has taken
-  /// them. Of a stream that may go on elsewhere, up to half of it is held back
-  /// until an event is whole.
+  std::size_t max_pending_cancels = 1024;  ///< For each side.
+  /// Bytes of an answer that a target may send before the caller has consumed
+  /// them. For a resumable stream, up to half of this is buffered until an
+  /// event is complete.
   std::uint64_t stream_window_bytes = 256U << 10;
-  /// Answers that are not streamed are held up to this size until their end
+  /// Answers that are not streamed are buffered up to this size until their end
   /// frame is checked, so that a failure can still become a retry or an error.
   std::uint64_t max_held_bytes = 64U << 10;
   std::uint64_t max_stored_answer_bytes = 1U << 20;
-  /// Longest time to hold an answer that does not state its length.
+  /// Longest time to buffer an answer that has no Content-Length.
   Duration max_hold = std::chrono::milliseconds(250);
   std::uint32_t max_forwards = 8;
   Duration resume_timeout = std::chrono::seconds(10);
-  /// Absence of a side after which an idempotent request with nothing
-  /// delivered is sent elsewhere.
+  /// Time that a side may be absent before an idempotent request that can still
+  /// be retried is sent to another target.
   Duration absence_grace = std::chrono::seconds(1);
-  /// Longest wait for any target to come up.
+  /// Longest wait for a target to become available.
   Duration no_target_wait = std::chrono::seconds(1);
-  /// Pause after every known target has refused; several of them outlast the
-  /// heartbeat that tells of a changed target.
+  /// Delay before the tried targets are tried again. Several such delays are
+  /// longer than the heartbeat interval after which a changed target is known.
   Duration second_chance_delay = std::chrono::milliseconds(200);
-  /// Silence of an attempt after which its side is asked about it.
+  /// Time without news of an attempt after which its side is probed.
   Duration probe_interval = std::chrono::seconds(1);
-  /// A target's own failure (5xx) of an idempotent request is answered by
+  /// Retries an idempotent request that a target answered with a 5xx status at
   /// another target, within the retry budget.
   bool retry_failed_answers = false;
-  /// Attempts that a target refused count against the retry budget, as where
-  /// the targets' operator counts every arrival.
+  /// Charges attempts that a target refused to the retry budget, for targets
+  /// whose operator counts every arrival.
   bool charge_refused_attempts = false;
 };
 
-/// Decisions taken by other parts of the process. Each has a working default.
+/// Decisions and notifications handled by other parts of the process. Each hook
+/// is optional and has a working default.
 struct RequestFlowHooks {
-  /// Asked before anything else: refuses requests known to kill targets.
+  /// Refuses requests known to crash targets. Called before any other hook.
   std::function<std::optional<Refusal>(const CallerRequest&, TimePoint)>
       check_quarantine;
-  /// Asks whether a keyed request may run. `kWait` promises a later
-  /// `OnClaimGranted` or `OnClaimRefused` with the request's id.
+  /// Claims the idempotency key of a keyed request. After `kWait`, the owner
+  /// calls `OnClaimGranted`, `OnClaimAnswered` or `OnGateRefused` with the
+  /// request's id.
   std::function<GateResult(const CallerRequest&, TimePoint)> claim;
-  /// Tells how a granted claim ended; the answer is null if it is too large
-  /// to be kept or there is none.
+  /// Reports how a granted claim ended. The answer is null if there is none or
+  /// it is too large to store.
   std::function<void(const CallerRequest&, ClaimSettlement, const WholeAnswer*,
                      TimePoint)>
       settle_claim;
-  /// Admits a request. `kWait` promises a later `OnAdmitted` or `OnRefused`.
+  /// Admits a request. After `kWait`, the owner calls `OnAdmitted` or
+  /// `OnGateRefused`.
   std::function<GateResult(const CallerRequest&, TimePoint)> admit;
-  /// Chooses among the targets of the request's deployment that are up, not
-  /// leaving and connected. Default: the least outstanding, untried first.
+  /// Chooses among the targets of the request's deployment that are up,
+  /// connected and not leaving. Default: `LeastOutstanding`.
   std::function<RouteResult(const CallerRequest&, const std::vector<Candidate>&,
                             TimePoint)>
       route;
-  /// Returns true if one more attempt may be spent on a request that may have
-  /// run already. Default: the deployment's retry budget.
+  /// Takes one retry for a request from the budget; returns false if none is
+  /// left. Default: the deployment's retry budget.
   std::function<bool(const CallerRequest&, AttemptReach, TimePoint)>
       spend_retry;
-  /// An attempt was sent to a target.
+  /// Called when an attempt was sent to a target.
   std::function<void(const CallerRequest&, const AttemptId&, const SideInfo&,
                      TimePoint)>
       on_sent;
   /// Returns false if the attempt has provably not been written to its target
-  /// and, once cancelled, never will be. Default: it may have been.
+  /// and never will be once it is cancelled. Default: true.
   std::function<bool(const AttemptId&)> may_have_started;
-  /// The first frame of an attempt came.
+  /// Called when the first frame of an attempt arrives.
   std::function<void(const AttemptId&, TimePoint)> on_first_frame;
-  /// An attempt at a target is over.
+  /// Called when an attempt at a target has ended.
   std::function<void(const CallerRequest&, const AttemptId&,
                      const std::string& instance, AttemptOutcome, TimePoint)>
       on_attempt_end;
-  /// A target died while it ran the request.
+  /// Called when a target died while it ran the request.
   std::function<void(const CallerRequest&, const std::string& instance,
                      TimePoint)>
       report_kill;
-  /// The request has its final answer, or its caller left.
+  /// Called when the request has its final answer or its caller has left.
   std::function<void(const CallerRequest&, TimePoint)> on_done;
 };
 
-/// Counts of what the request flow dropped and did.
+/// Counters of the request flow.
 struct RequestFlowCounts {
   std::uint64_t requests = 0;
   std::uint64_t forwards = 0;
   std::uint64_t retries = 0;
   std::uint64_t resumes = 0;
-  std::uint64_t foreign_frames = 0;    ///< Of an attempt not held.
-  std::uint64_t duplicate_frames = 0;  ///< Of a number seen before.
-  std::uint64_t gap_frames = 0;        ///< After a missing one.
-  std::uint64_t corrupt_answers = 0;   ///< End frame did not agree.
+  std::uint64_t foreign_frames = 0;    ///< For an attempt that is not held.
+  std::uint64_t duplicate_frames = 0;  ///< Sequence number seen before.
+  std::uint64_t gap_frames = 0;        ///< An earlier frame is missing.
+  std::uint64_t corrupt_answers = 0;   ///< End frame did not match.
   std::uint64_t unknown_outcomes = 0;
   std::uint64_t not_run_refusals = 0;
 
@@ -151,43 +156,43 @@
                          const RequestFlowCounts&) = default;
 };
 
-/// Takes callers' requests to targets and the answers back.
+/// Forwards callers' requests to targets and returns the answers.
 ///
-/// Every way in which a target, a side, a connection or a caller can fail in
-/// the middle meets here, so that one place decides what may be said of a
-/// request: answered in whole, or refused with what is known about its run. A
-/// request that may have started is never called "not run", and one that is
-/// not idempotent is never sent again.
+/// Failures of targets, sides, connections and callers are all handled here, so
+/// that one place decides the outcome of a request: a complete answer, or a
+/// refusal that states what is known about its run. A request that may have
+/// started is never reported as "not run", and one that is not idempotent is
+/// not sent again after it may have started.
 ///
-/// Each forward is an attempt with an id of its own. An attempt is not
-/// started, unknown or finished; only the side can prove the first, by
-/// refusing the id. An accepted send proves nothing.
+/// Each forward is an attempt with its own id. An attempt is not started,
+/// unknown or finished. A successful send does not prove a start; that an
+/// attempt has not started must be proven, as by a side that refuses its id.
 class RequestFlow {
  public:
   RequestFlow(RequestFlowOptions options, RequestFlowHooks hooks, IdSource ids);
 
-  /// Takes a request. A full table refuses it.
+  /// Accepts a request, or refuses it if the table is full.
   void OnRequest(std::shared_ptr<const CallerRequest> request, TimePoint now);
   /// The caller has disconnected.
   void OnCallerGone(const RequestId& id, TimePoint now);
-  /// The caller has taken `bytes` of its answer.
+  /// The caller has consumed `bytes` of its answer.
   void OnCallerTook(const RequestId& id, std::uint64_t bytes, TimePoint now);
 
   void OnClaimGranted(const RequestId& id, TimePoint now);
   void OnClaimAnswered(const RequestId& id, WholeAnswer answer, TimePoint now);
   void OnAdmitted(const RequestId& id, TimePoint now);
-  /// A gate refuses a request that it held back.
+  /// The claim or admission hook refuses a request that it delayed.
   void OnGateRefused(const RequestId& id, Refusal refusal, TimePoint now);
 
-  /// A side said hello. A new incarnation of a known instance means that its
-  /// predecessor and all it knew are gone.
+  /// A side has connected. A new incarnation of a known instance means that the
+  /// previous one and its state are lost.
   void OnSideUp(SideLink link, SideInfo info, TimePoint now);
   void OnSideDown(SideLink link, TimePoint now);
-  /// A side's own words about its target changed.
+  /// A side reports changed information about itself or its target.
   void OnSideChanged(SideLink link, const SideInfo& info, TimePoint now);
-  /// The platform or an operator says that an instance leaves, or stays.
+  /// The platform reports whether an instance is leaving.
   void OnLeaving(const std::string& instance, bool leaving, TimePoint now);
-  /// These instances, and no others, are drained by operators.
+  /// Replaces the set of instances that operators drain.
   void OnDrains(const std::vector<std::string>& instances, TimePoint now);
 
   void OnRefused(SideLink link, const AttemptId& id, const SideRefusal& refusal,
@@ -198,11 +203,12 @@
                std::string data, TimePoint now);
   void OnEnd(SideLink link, const AttemptId& id, const AttemptEnd& end,
              TimePoint now);
-  /// `next_sequence` is the first frame that the side can still send.
+  /// A side reports the state of an attempt. `next_sequence` is the first frame
+  /// that it can still send.
   void OnKnowledge(SideLink link, const AttemptId& id, AttemptKnowledge known,
                    std::uint64_t next_sequence, TimePoint now);
 
-  /// The start could not be queued, so it provably has no effect.
+  /// A start could not be queued, so it provably has no effect.
   void OnStartNotSent(const AttemptId& id, TimePoint now);
   /// Credit could not be queued; it is sent again later.
   void OnCreditNotSent(const AttemptId& id, std::uint64_t bytes);
@@ -210,18 +216,18 @@
   void OnCancelNotSent(SideLink link, const AttemptRef& ref);
 
   /// Moves an attempt that has provably not started to `instance`, which its
-  /// carrier knows to be better now. Returns the link to go on with, or nothing
-  /// if the attempt is not held, has started, or the instance takes no work.
+  /// carrier now prefers. Returns the link to use, or nothing if the attempt is
+  /// not held, has started, or the instance accepts no new attempts.
   std::optional<SideLink> MoveAttempt(const AttemptId& id,
                                       const std::string& instance);
 
-  /// Returns what the connected side of `link` says of itself, or null.
+  /// Returns what the connected side of `link` reported, or null.
   const SideInfo* FindSide(SideLink link) const;
 
-  /// Acts on what time alone decides. Call every 20 to 100 ms.
+  /// Handles timeouts and retries. Call every 20 to 100 ms.
   void Tick(TimePoint now);
 
-  /// Moves the actions decided so far into `out`, which must be empty.
+  /// Moves the pending actions into `out`, which must be empty.
   void TakeActions(std::vector<RequestAction>* out) { actions_.swap(*out); }
 
   const RequestFlowCounts& counts() const { return counts_; }
@@ -241,20 +247,20 @@
     bool may_have_run = false;
     bool claimed = false;
     bool caller_gone = false;
-    bool head_taken = false;      ///< From the current attempt.
-    bool head_delivered = false;  ///< To the caller: no retry any more.
-    bool keep_answer = false;     ///< Still small enough to be stored.
-    WholeAnswer answer;           ///< Held or stored part of the answer.
+    bool head_taken = false;      ///< Received from the current attempt.
+    bool head_delivered = false;  ///< To the caller; only a resume can follow.
+    bool keep_answer = false;     ///< Keyed and still small enough to store.
+    WholeAnswer answer;           ///< Buffered or stored part of the answer.
     TimePoint route_until;
-    TimePoint route_after;  ///< Earliest second chance of tried targets.
-    TimePoint held_since;   ///< Time of the head that is held back.
-    /// Of an answer being delivered that may go on at another target.
+    TimePoint route_after;  ///< Earliest time to route to tried targets again.
+    TimePoint held_since;   ///< When the buffered head arrived.
+    /// Position in a stream that may resume at another target.
     std::optional<EventCursor> cursor;
   };
 
   using Requests = std::unordered_map<RequestId, Request>;
 
-  // Ways in (request_flow.cc).
+  // Requests and frames (request_flow.cc).
   void PassAdmission(Request& it, TimePoint now);
   void Route(Request& it, TimePoint now);
   void Start(Request& it, const RouteTo& to, TimePoint now);
@@ -268,7 +274,8 @@
   void GrantCredit(Request& it, std::uint64_t bytes);
   void AskAgain(Request& it, SideLink link, TimePoint now);
 
-  // Ways out (request_flow_ends.cc).
+  // Ends of attempts and requests (request_flow_ends.cc) and their timeouts
+  // (request_flow_time.cc).
   enum class Ending { kNotStarted, kAmbiguous };
   void ReleaseAttempt(Request& it, AttemptOutcome outcome, bool cancel,
                       TimePoint now);
@@ -297,7 +304,7 @@
   Requests requests_;
   std::unordered_map<AttemptId, RequestId> attempts_;
   SideTable sides_;
-  /// One for each deployment, whose number the catalogue bounds.
+  /// Keyed by deployment; the catalogue bounds their number.
   std::unordered_map<std::string, RetryBudget> retry_budgets_;
   std::vector<RequestAction> actions_;
   std::vector<RequestId> tick_ids_;
--- a/src/core/request/request_flow_ends.cc
+++ b/src/core/request/request_flow_ends.cc
@@ -6,27 +6,31 @@
 namespace indigolead {
 namespace {
 
-/// Retries that a deployment may spend before its traffic has earned any, and
-/// most that it saves up.
+/// Retries that a deployment has before its traffic has earned any, and the
+/// most that it can accumulate.
 constexpr double kFirstRetries = 20;
 constexpr double kMostRetries = 100;
 
 SideRefusal CauseOf(const AttemptEnd& end) {
   switch (end.outcome) {
     case AttemptOutcome::kTargetDied:
-      return Because("target_died", "The target ended while it ran this.");
+      return Because("target_died",
+                     "The target died while it ran the request.");
     case AttemptOutcome::kDeadline:
-      return Because("deadline", "The target did not finish in time.");
+      return Because("deadline",
+                     "The target did not finish before the deadline.");
     case AttemptOutcome::kCancelled:
       return Because("cancelled", "The attempt was cancelled.");
     case AttemptOutcome::kNotStarted:
       return Because("target_unreachable", "The target could not be reached.");
     case AttemptOutcome::kComplete:
-      return Because("corrupt_answer", "The answer's parts do not add up.");
+      return Because("corrupt_answer",
+                     "The answer does not match its end frame.");
     case AttemptOutcome::kTargetFailed:
       break;
   }
-  return Because("target_failed", "The target broke off its answer.");
+  return Because("target_failed",
+                 "The target failed before its answer was complete.");
 }
 
 }  // namespace
@@ -47,9 +51,10 @@
   if (agrees) {
     if (IsFailedAnswer(*it) &&
         MayRetry(*it, Ending::kAmbiguous, AttemptReach::kTarget, now)) {
-      FinishAttempt(*it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
-                    Because("target_failed", "The target answered a failure."),
-                    /*retry=*/true, now);
+      FinishAttempt(
+          *it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
+          Because("target_failed", "The target answered with a 5xx status."),
+          /*retry=*/true, now);
       return;
     }
     CompleteAnswer(*it, now);
@@ -61,7 +66,7 @@
   if (end.outcome == AttemptOutcome::kTargetDied && hooks_.report_kill) {
     hooks_.report_kill(*it->request, it->attempt->instance(), now);
   }
-  // A head proves a start, whatever the end frame claims.
+  // A head proves a start, whatever the end frame states.
   const bool not_started =
       end.outcome == AttemptOutcome::kNotStarted && !it->head_taken;
   EndAttempt(*it, not_started ? Ending::kNotStarted : Ending::kAmbiguous,
@@ -87,7 +92,7 @@
   if (found == attempts_.end()) {
     return;
   }
-  SideRefusal why = Because("side_busy", "The connection to the side is full.");
+  SideRefusal why = Because("side_busy", "The send queue to the side is full.");
   why.overloaded = true;
   EndAttempt(requests_.at(found->second), Ending::kNotStarted,
              AttemptOutcome::kNotStarted, why, now);
@@ -96,7 +101,8 @@
 void RequestFlow::OnKnowledge(SideLink link, const AttemptId& id,
                               AttemptKnowledge known,
                               std::uint64_t next_sequence, TimePoint now) {
-  // Answers about attempts cancelled meanwhile are expected: not counted.
+  // Replies about attempts that were cancelled meanwhile are expected and not
+  // counted as foreign frames.
   if (attempts_.count(id) == 0) {
     return;
   }
@@ -111,7 +117,7 @@
       if (next_sequence > it->attempt->next_sequence()) {
         EndAttempt(*it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
                    Because("frames_lost",
-                           "The side no longer holds a part of the answer."),
+                           "The side no longer has a part of the answer."),
                    now);
       }
       return;
@@ -120,7 +126,7 @@
           *it,
           it->attempt->started() ? Ending::kAmbiguous : Ending::kNotStarted,
           AttemptOutcome::kNotStarted,
-          Because("not_started", "The side never got the request."), now);
+          Because("not_started", "The side did not receive the request."), now);
       return;
     case AttemptKnowledge::kLost:
       EndAttempt(*it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
@@ -196,8 +202,8 @@
 void RequestFlow::FinishAttempt(Request& it, Ending ending,
                                 AttemptOutcome outcome, const SideRefusal& why,
                                 bool retry, TimePoint now) {
-  // A cancel to a side that has already ended the attempt does nothing; one to
-  // a side that is absent keeps it from running the request later.
+  // A cancel keeps an absent or silent side from running the request later. It
+  // has no effect on a side that has already ended the attempt.
   const bool cancel = why.code == "side_absent" || why.code == "side_silent";
   ReleaseAttempt(it, outcome, cancel, now);
   if (ending == Ending::kAmbiguous) {
@@ -243,8 +249,8 @@
 }
 
 void RequestFlow::Refuse(Request& it, Refusal refusal, TimePoint now) {
-  // Only what is provable may be said: one earlier attempt that may have run
-  // makes the whole request unknown.
+  // Only a proven state may be reported: if any attempt may have run, the state
+  // of the request is unknown.
   if (it.may_have_run || it.head_delivered) {
     refusal.run = RunState::kUnknown;
   }
@@ -290,8 +296,9 @@
   it.caller_gone = true;
   if (it.stage == Stage::kRunning &&
       it.request->repeatability == Repeatability::kKeyed) {
-    // Its caller will ask again with the key: finishing gives that retry a
-    // whole answer, cancelling would leave it "unknown" for good.
+    // The caller is expected to retry with the same key. A finished attempt
+    // gives that retry a complete answer; a cancelled one would leave the key
+    // "unknown" for good.
     GrantCredit(it, options_.stream_window_bytes);
     return;
   }
--- a/src/core/request/request_flow_time.cc
+++ b/src/core/request/request_flow_time.cc
@@ -1,4 +1,4 @@
-// What sides that come and go, and time alone, do to requests.
+// Effects of connecting and disconnecting sides and of timeouts on requests.
 
 #include <algorithm>
 #include <utility>
@@ -9,7 +9,7 @@
 namespace indigolead {
 namespace {
 
-/// Absence after which a side without attempts is forgotten.
+/// Absence after which a side without attempts is dropped.
 constexpr Duration kForgetSideAfter = std::chrono::minutes(5);
 
 bool StatesLength(const std::vector<HeaderField>& headers) {
@@ -57,8 +57,7 @@
     if (found != attempts_.end()) {
       EndAttempt(requests_.at(found->second), Ending::kAmbiguous,
                  AttemptOutcome::kTargetFailed,
-                 Because("side_lost", "The side beside the target restarted."),
-                 now);
+                 Because("side_lost", "The target's side restarted."), now);
     }
   }
 }
@@ -118,15 +117,15 @@
 
 void RequestFlow::TickRequest(Request& it, TimePoint now) {
   if (now >= it.request->deadline) {
-    // Of a key whose home has not answered yet, an earlier request may have
-    // run, so "not-run" would be a guess.
+    // While the claim on the key is unanswered, an earlier request with the
+    // same key may have run, so "not-run" is not proven.
     const bool unasked = it.stage == Stage::kClaim &&
                          it.request->repeatability == Repeatability::kKeyed;
     it.may_have_run = it.may_have_run || unasked || MayHaveStarted(it);
     ReleaseAttempt(it, AttemptOutcome::kDeadline, true, now);
     Refuse(it,
            {504, RunState::kNotRun, "deadline",
-            "The answer was not whole before the request's deadline."},
+            "The answer was not complete before the request's deadline."},
            now);
     return;
   }
@@ -151,27 +150,27 @@
   const SideTable::Side* side = sides_.Find(attempt.instance());
   if (!side->link) {
     const Duration absent = now - side->absent_since;
-    // Waiting costs an idempotent request time and sending it elsewhere costs
-    // nothing but work, so it does not wait for the side's return.
+    // An idempotent request does not wait for the side to return: waiting adds
+    // latency, while a retry costs only duplicate work.
     const bool retry =
         absent >= options_.absence_grace &&
         MayRetry(it, Ending::kAmbiguous, AttemptReach::kTarget, now);
     if (retry || absent >= options_.resume_timeout) {
-      FinishAttempt(
-          it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
-          Because("side_absent", "The target's side is out of reach."), retry,
-          now);
+      FinishAttempt(it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
+                    Because("side_absent", "The target's side is unreachable."),
+                    retry, now);
     }
     return;
   }
-  GrantCredit(it, 0);  // Credit that a full queue refused earlier.
+  GrantCredit(it, 0);  // Resends credit that a full queue refused.
   if (now - attempt.heard_at < options_.probe_interval) {
     return;
   }
   if (now - attempt.heard_at >= options_.resume_timeout) {
-    EndAttempt(it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
-               Because("side_silent", "The side says nothing of the request."),
-               now);
+    EndAttempt(
+        it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
+        Because("side_silent", "The side stopped reporting on the request."),
+        now);
   } else if (now - attempt.asked_at >= options_.probe_interval) {
     AskAgain(it, *side->link, now);
   }
--- a/src/core/request/request_reader.cc
+++ b/src/core/request/request_reader.cc
@@ -16,11 +16,11 @@
 namespace {
 
 constexpr std::size_t kMostKeyBytes = 255;
-/// Rule of thumb for tokens of text; only an estimate for routing.
+/// Typical size of a token of text; used only to estimate tokens for routing.
 constexpr std::uint64_t kBytesPerToken = 4;
 constexpr std::uint64_t kDefaultOutputTokens = 256;
 
-/// Fields that the entry answers for itself or that hold the caller's secret.
+/// Fields that the entry handles itself or that contain the caller's secret.
 constexpr std::array<std::string_view, 6> kNotForwarded = {
     "authorization", "x-api-key", "content-length",
     "expect",        "host",      "x-request-id"};
@@ -45,7 +45,8 @@
   return headers;
 }
 
-/// Returns the deadline: the deployment's, or the caller's if it is shorter.
+/// Returns the shorter of the caller's deadline and `most`, the deployment's;
+/// nothing if the caller's is malformed.
 std::optional<Duration> ReadDeadline(const std::vector<HeaderField>& headers,
                                      Duration most) {
   const std::string_view text = FindHeader(headers, "indigolead-deadline-ms");
@@ -84,7 +85,8 @@
   return XXH64(incoming.body.data(), incoming.body.size(), path);
 }
 
-/// Fills in what an OpenAI-style body says. Returns the refusal, if any.
+/// Fills in the fields read from an OpenAI-style body and resolves its model,
+/// or returns a refusal.
 std::variant<ResolvedRequest, Refusal> ResolveCompletion(
     const IncomingRequest& incoming, const Catalogue& catalogue,
     const std::vector<AccountGrant>& grants, CallerRequest* request) {
@@ -97,7 +99,7 @@
     return BadRequest("invalid_json", "The body is not a JSON object.");
   }
   if (body->model.empty()) {
-    return BadRequest("model_missing", "The body names no model.");
+    return BadRequest("model_missing", "The body contains no model name.");
   }
   request->streamed = body->streamed;
   request->prompt_tokens = incoming.body.size() / kBytesPerToken;
@@ -146,7 +148,7 @@
   const auto deadline = ReadDeadline(incoming.headers, spec.request.deadline);
   if (!deadline) {
     return BadRequest("invalid_deadline",
-                      "Indigolead-Deadline-Ms is a number above 0.");
+                      "Indigolead-Deadline-Ms must be a whole number above 0.");
   }
   request.client_account = found.account->name;
   request.deployment = spec.name;
--- a/src/core/request/request_reader.h
+++ b/src/core/request/request_reader.h
@@ -11,10 +11,10 @@
 
 namespace indigolead {
 
-/// A caller's HTTP request as parsed, before it is known whose it is.
+/// A parsed HTTP request whose client account is not known yet.
 struct IncomingRequest {
   std::string method;
-  std::string target;  ///< Path with query.
+  std::string target;  ///< Path including the query.
   std::vector<HeaderField> headers;
   std::string body;
 
@@ -26,11 +26,11 @@
 /// or `X-Api-Key: KEY`; empty if none. Valid as long as `headers`.
 std::string_view FindApiKey(const std::vector<HeaderField>& headers);
 
-/// Returns true for the paths of the OpenAI-style interface.
+/// Returns true for the completion paths of the OpenAI-style API.
 bool IsCompletionPath(std::string_view target);
 
-/// Makes the request to forward, or the refusal to send. `grants` is what the
-/// caller's key may use and must not be empty.
+/// Returns the request to forward, or the refusal to send. `grants` are those
+/// of the caller's key and must not be empty.
 std::variant<CallerRequest, Refusal> ReadRequest(
     IncomingRequest incoming, const Catalogue& catalogue,
     const std::vector<AccountGrant>& grants, RequestId id, TimePoint now);
--- a/src/core/request/request_types.h
+++ b/src/core/request/request_types.h
@@ -15,7 +15,7 @@
 
 namespace indigolead {
 
-/// One HTTP header field, as carried from and to callers.
+/// One HTTP header field of a request or an answer.
 struct HeaderField {
   std::string name;
   std::string value;
@@ -23,7 +23,7 @@
   friend bool operator==(const HeaderField&, const HeaderField&) = default;
 };
 
-/// One part of a prompt, which other requests may begin with as well.
+/// One part of a prompt. Other requests may share it as part of their prefix.
 struct PromptPart {
   std::uint64_t id = 0;
   std::uint32_t tokens = 0;
@@ -31,7 +31,7 @@
   friend bool operator==(const PromptPart&, const PromptPart&) = default;
 };
 
-/// A caller's request, once its client account and deployment are known.
+/// A caller's request whose client account and deployment are known.
 struct CallerRequest {
   RequestId id;
   std::string client_account;
@@ -42,35 +42,36 @@
   Repeatability repeatability = Repeatability::kIdempotent;
   std::string idempotency_key;  ///< Empty unless `repeatability` is `kKeyed`.
   std::string method;
-  std::string path;  ///< With query.
+  std::string path;  ///< Including the query.
   std::vector<HeaderField> headers;
   std::string body;
   bool streamed = false;      ///< The caller asked for server-sent events.
   TimePoint deadline;         ///< The answer must be whole by then.
-  Duration answer_target{0};  ///< To its first event; 0: none is set.
+  Duration answer_target{0};  ///< To the first event; 0 if none is set.
   std::uint32_t max_attempts = 3;
   double retry_budget_share = 0.1;
   std::uint64_t fingerprint = 0;  ///< Hash of account, path and body.
   std::uint64_t prompt_tokens = 0;
   std::uint64_t max_output_tokens = 0;
   std::uint64_t config_revision = 0;
-  std::string caller_id;    ///< As the caller names the request; for logs.
-  std::string route;        ///< Route that it came by; empty if there is none.
-  bool may_resume = false;  ///< A broken stream may go on at another target.
-  std::vector<PromptPart> prompt_parts;  ///< In order; empty if not told.
+  std::string caller_id;    ///< Request id set by the caller; for logs.
+  std::string route;        ///< Name of its route; empty if there is none.
+  bool may_resume = false;  ///< A broken stream may resume elsewhere.
+  std::vector<PromptPart> prompt_parts;  ///< In order; empty if unknown.
   TimePoint received_at;
 
   friend bool operator==(const CallerRequest&, const CallerRequest&) = default;
 };
 
-/// Names one connection to one side process; a reconnect has a new one.
+/// Identifies one connection to a side, the agent process beside a target. Each
+/// reconnect gets a new value.
 struct SideLink {
   std::uint64_t value = 0;
 
   friend auto operator<=>(const SideLink&, const SideLink&) = default;
 };
 
-/// What a side says of itself and of its target.
+/// What a side reports about itself and its target.
 struct SideInfo {
   std::string instance;
   Incarnation incarnation;
@@ -79,7 +80,7 @@
   std::string deployment;
   bool is_engine = false;
   std::string role;
-  std::vector<std::string> models;  ///< Loaded, as name@version.
+  std::vector<std::string> models;  ///< Loaded models, as name@version.
   std::vector<std::string> adapters;
   bool target_up = true;
   bool leaving = false;
@@ -90,22 +91,22 @@
 /// One target to which a request may be forwarded now.
 struct Candidate {
   const SideInfo* side = nullptr;  ///< Valid during the routing call only.
-  std::uint32_t outstanding = 0;   ///< Attempts of this entry in flight there.
-  bool tried = false;              ///< An earlier attempt of this request.
+  std::uint32_t outstanding = 0;   ///< This entry's attempts in flight there.
+  bool tried = false;              ///< Used by an earlier attempt.
 };
 
-/// Why a request gets no answer from a target, told to its caller.
+/// Error sent to a caller whose request gets no answer from a target.
 struct Refusal {
   int status = 503;  ///< HTTP status.
   RunState run = RunState::kNotRun;
-  std::string code;  ///< Stable, such as "no_target"; goes into the error.
+  std::string code;  ///< Stable error code, such as "no_target".
   std::string message;
-  Duration retry_after{0};  ///< 0: the caller need not come back.
+  Duration retry_after{0};  ///< 0: no retry is suggested.
 
   friend bool operator==(const Refusal&, const Refusal&) = default;
 };
 
-/// A whole answer, as held for a keyed request.
+/// A complete answer, sent at once or stored for a keyed request.
 struct WholeAnswer {
   int status = 0;
   std::vector<HeaderField> headers;
@@ -122,48 +123,50 @@
   Duration start_within{0};
   Duration finish_within{0};
   std::uint64_t initial_credit_bytes = 0;
-  /// Grows with each start of this process: see docs/design/side.md.
+  /// Increases with each start that this process sends; see
+  /// docs/design/side.md.
   std::uint64_t start_sequence = 0;
-  /// Target that reads the prompt first; empty if the addressed one does.
+  /// Instance that runs the prefill; empty if the addressed one does.
   std::string prefill_at;
-  /// Id of the event after which a broken stream goes on; empty: from where
-  /// the caller asked for it.
+  /// Id of the event after which a broken stream resumes. If empty, the stream
+  /// starts where the caller requested.
   std::string resume_after;
 };
 
-/// Lets a side send more of an answer.
+/// Grants a side credit to send more bytes of an answer.
 struct SendCredit {
   SideLink link;
   AttemptId attempt;
   std::uint64_t bytes = 0;
 };
 
-/// Names an attempt so that a side which holds it no more can still tell
-/// whether it ever did.
+/// Identifies an attempt such that a side that no longer holds it can still
+/// tell whether it ever did.
 struct AttemptRef {
   AttemptId attempt;
-  Incarnation side_incarnation;  ///< The run that the start was sent to.
+  Incarnation side_incarnation;  ///< Incarnation that the start was sent to.
   std::uint64_t start_sequence = 0;
 
   friend bool operator==(const AttemptRef&, const AttemptRef&) = default;
 };
 
-/// Ends an attempt, or keeps it from starting.
+/// Cancels an attempt, or prevents it from starting.
 struct SendCancel {
   SideLink link;
   AttemptRef ref;
 };
 
-/// Asks for the frames from `next_sequence` on, and for what the side knows.
+/// Requests the frames from `next_sequence` on and the side's state of the
+/// attempt.
 struct SendResume {
   SideLink link;
   AttemptRef ref;
   std::uint64_t next_sequence = 0;
-  /// All bytes granted so far: makes up for credits lost with a connection.
+  /// Total bytes granted so far; restores credits lost with a connection.
   std::uint64_t granted_bytes = 0;
 };
 
-/// Starts an answer that goes on with data.
+/// Starts an answer whose body follows as `AnswerData`.
 struct AnswerHead {
   RequestId request;
   int status = 0;
@@ -176,40 +179,41 @@
   std::string data;
 };
 
-/// Ends an answer that came whole.
+/// Ends an answer that is complete.
 struct AnswerEnd {
   RequestId request;
 };
 
-/// Gives a whole answer at once.
+/// Sends a complete answer at once.
 struct AnswerWhole {
   RequestId request;
   WholeAnswer answer;
 };
 
-/// Refuses a request of which nothing was answered yet.
+/// Refuses a request before any part of an answer was sent.
 struct AnswerRefusal {
   RequestId request;
   Refusal refusal;
 };
 
-/// Breaks off an answer already begun, so that it cannot be taken as whole.
+/// Aborts an answer that has begun, so that the caller cannot take it for
+/// complete.
 struct AnswerAbort {
   RequestId request;
   Refusal refusal;
 };
 
-/// What the request flow wants done.
+/// An action that the request flow asks its owner to perform.
 using RequestAction =
     std::variant<SendStart, SendCredit, SendCancel, SendResume, AnswerHead,
                  AnswerData, AnswerEnd, AnswerWhole, AnswerRefusal,
                  AnswerAbort>;
 
-/// How a side says that an attempt ended.
+/// How an attempt ended, as reported by its side.
 enum class AttemptOutcome {
   kComplete,
-  kTargetFailed,  ///< The target broke after the request was written.
-  kTargetDied,    ///< The target's process ended meanwhile.
+  kTargetFailed,  ///< The target failed after the request was written.
+  kTargetDied,    ///< The target's process exited during the attempt.
   kCancelled,
   kDeadline,
   kNotStarted,  ///< Never written to the target.
@@ -224,30 +228,30 @@
   std::string detail;
 };
 
-/// What a side knows about an attempt that it was asked about.
+/// State of an attempt, as a side reports it on request.
 enum class AttemptKnowledge { kNotStarted, kRunning, kFinished, kLost };
 
-/// How far an attempt came that did not start its request: what a further one
-/// costs, where the targets' operator counts each arrival beyond a request's
-/// first.
+/// How far an attempt got that did not start its request. It decides what a
+/// retry costs where the targets' operator counts each arrival beyond a
+/// request's first.
 enum class AttemptReach {
-  kNothing,  ///< Nothing was written to any target; the next is the first.
-  kReader,   ///< Only an engine that reads prompts was called. One such call
-             ///< is part of a first attempt.
-  kTarget,   ///< The target that was to answer, or may have been.
+  kNothing,  ///< Nothing was written to any target.
+  kReader,   ///< Only a prefill engine was called. One such call is part of a
+             ///< first attempt.
+  kTarget,   ///< The answering target was reached, or may have been.
 };
 
 /// Why a side refused to start an attempt.
 struct SideRefusal {
   std::string code;  ///< Such as "leaving" or "overloaded".
   bool overloaded = false;
-  bool final = false;  ///< No other target would take it either.
+  bool final = false;  ///< No other target would accept it either.
   AttemptReach reach = AttemptReach::kTarget;
   Duration retry_after{0};
   std::string detail;
 };
 
-/// Returns a refusal with its code and what an operator reads of it.
+/// Returns a refusal with the given code and detail.
 inline SideRefusal Because(std::string code, std::string detail) {
   SideRefusal why;
   why.code = std::move(code);
--- a/src/core/request/route_table.cc
+++ b/src/core/request/route_table.cc
@@ -10,7 +10,7 @@
 namespace indigolead {
 namespace {
 
-/// Returns the name of the host alone, in lower case.
+/// Returns the host name without its port, in lower case.
 std::string HostKey(std::string_view host) {
   std::string key(host.substr(0, host.find(':')));
   std::transform(key.begin(), key.end(), key.begin(), [](unsigned char c) {
--- a/src/core/request/route_table.h
+++ b/src/core/request/route_table.h
@@ -24,54 +24,54 @@
                          const WeightedService&) = default;
 };
 
-/// What an operator says of the requests below one path of one host.
+/// An operator's settings for the requests below one path of one host.
 struct ServiceRoute {
   std::string name;
   std::string host;
   std::string path_prefix;  ///< Begins and ends with a slash.
   Repeatability repeatability = Repeatability::kOnce;
   bool streamed = false;
-  bool may_resume = false;     ///< A broken stream may go on at another target.
-  Duration timeout{0};         ///< Longest time a caller is kept; 0: no bound.
-  Duration answer_target{0};   ///< Within which an answer is worth most.
+  bool may_resume = false;     ///< A broken stream may resume elsewhere.
+  Duration timeout{0};         ///< Longest time of a request; 0: no limit.
+  Duration answer_target{0};   ///< Target latency of an answer; 0: none.
   std::uint32_t priority = 0;  ///< 0 is the most urgent.
   std::uint32_t max_attempts = 1;
-  bool open_to_all = false;               ///< Its requests need no API key.
+  bool open_to_all = false;               ///< Requests need no API key.
   std::vector<WeightedService> services;  ///< At least one.
 
   friend bool operator==(const ServiceRoute&, const ServiceRoute&) = default;
 };
 
-/// What is known of a service's model engines.
+/// Properties of a service's model engines.
 struct EngineTraits {
-  std::uint32_t slots = 1;  ///< Requests that run at once.
+  std::uint32_t slots = 1;  ///< Requests that run concurrently.
   std::uint64_t kv_capacity_tokens = 0;
-  Duration stage_change_time{0};  ///< A changing engine is away that long.
-  double kv_bytes_per_token = 0;  ///< Size of its KV cache; 0: not told.
-  double link_bits_per_s = 0;  ///< For KV cache, of each engine; 0: not told.
+  Duration stage_change_time{0};  ///< Downtime of an engine that changes.
+  double kv_bytes_per_token = 0;  ///< KV cache size; 0: unknown.
+  double link_bits_per_s = 0;     ///< Per engine, for KV cache; 0: unknown.
 
   friend bool operator==(const EngineTraits&, const EngineTraits&) = default;
 };
 
-/// A service that routes lead to.
+/// A service that routes refer to.
 struct ServiceTraits {
   std::string name;
-  std::uint32_t max_connections = 0;   ///< One target takes, from all callers.
+  std::uint32_t max_connections = 0;   ///< Per target, of all callers.
   std::optional<EngineTraits> engine;  ///< Absent for a plain service.
 
   friend bool operator==(const ServiceTraits&, const ServiceTraits&) = default;
 };
 
-/// A client account of one version of the routes, with what opens it.
+/// A client account of one version of the routes, with its API keys.
 struct RouteAccount {
   std::string name;
-  std::vector<KeyHash> keys;              ///< None: nobody gets in by it.
-  std::optional<std::uint32_t> priority;  ///< Goes before the route's.
+  std::vector<KeyHash> keys;              ///< Empty: admits no request.
+  std::optional<std::uint32_t> priority;  ///< Overrides the route's.
 
   friend bool operator==(const RouteAccount&, const RouteAccount&) = default;
 };
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and duration of callers' requests.
 struct CallerLimits {
   std::uint64_t max_header_bytes = 16U << 10;
   std::uint64_t max_body_bytes = 4U << 20;
@@ -81,13 +81,13 @@
   friend bool operator==(const CallerLimits&, const CallerLimits&) = default;
 };
 
-/// One version of the routes, all of it.
+/// One complete version of the routes.
 struct RouteConfiguration {
   std::uint64_t version = 0;
   std::vector<ServiceRoute> routes;
   std::vector<ServiceTraits> services;
-  /// Absent: no request needs a key. Empty: none but those of open routes is
-  /// let in.
+  /// If absent, no request needs a key. If empty, only requests of open routes
+  /// are admitted.
   std::optional<std::vector<RouteAccount>> accounts;
   CallerLimits limits;
 
@@ -95,32 +95,30 @@
                          const RouteConfiguration&) = default;
 };
 
-/// Finds the route of a request in a time that does not grow with the number
-/// of routes: one look-up for each slash of the path.
+/// Finds the route of a request with at most one lookup for each slash of the
+/// path, independent of the number of routes.
 class RouteTable {
  public:
   explicit RouteTable(RouteConfiguration configuration);
 
-  /// Returns the route of `host` with the longest prefix that begins `path`
-  /// (query included), or null. Valid as long as the table.
+  /// Returns the route of `host` with the longest prefix of `path`, or null. A
+  /// query in `path` is ignored. Valid as long as the table.
   const ServiceRoute* Find(std::string_view host, std::string_view path) const;
 
-  /// Returns the account by which a request of `route` that presents `key` is
-  /// let in: null if it needs none, or the refusal to send. A key that nobody
-  /// holds is no reason to refuse a request of an open route. Valid as long as
-  /// the table.
+  /// Returns the account that holds `key`, null if a request of `route` needs
+  /// none, or the refusal to send. A request of an open route is admitted even
+  /// with an unknown key. Valid as long as the table.
   std::variant<const RouteAccount*, Refusal> Admit(const ServiceRoute& route,
                                                    std::string_view key) const;
 
-  /// Returns true if callers' keys are this system's to read, and not the
-  /// targets'.
+  /// Returns true if this system checks callers' keys, and not the targets.
   bool reads_keys() const { return configuration_.accounts.has_value(); }
 
   /// Returns the traits of `service`, or null.
   const ServiceTraits* FindService(const std::string& service) const;
 
-  /// Returns the service for one request of `route`, by its weights.
-  /// `random_bits` is uniform.
+  /// Returns the service for one request of `route`, chosen by weight.
+  /// `random_bits` must be uniformly distributed.
   static const std::string& PickService(const ServiceRoute& route,
                                         std::uint64_t random_bits);
 
@@ -129,10 +127,10 @@
 
  private:
   RouteConfiguration configuration_;
-  /// Places in `configuration_.routes`, by host and prefix.
+  /// Indexes into `configuration_.routes`, by host and prefix.
   std::unordered_map<std::string, std::unordered_map<std::string, std::size_t>>
       places_;
-  /// Places in `configuration_.accounts`.
+  /// Indexes into `configuration_.accounts`, by key.
   KeyIndex<std::size_t> keys_;
 };
 
--- a/src/core/request/side_table.h
+++ b/src/core/request/side_table.h
@@ -18,47 +18,49 @@
 /// Sides known to an entry, connected or absent, and the attempts at each.
 ///
 /// A side outlives its connection: an attempt whose connection broke still
-/// belongs to the same run of the side and can be resumed on the next one.
+/// belongs to the same incarnation of the side and can be resumed on the next
+/// connection.
 class SideTable {
  public:
   struct Side {
     SideInfo info;
     std::optional<SideLink> link;  ///< Absent while not connected.
     TimePoint absent_since;
-    bool told_to_leave = false;  ///< By the platform.
+    bool told_to_leave = false;  ///< Requested by the platform.
     bool drained = false;        ///< By an operator.
     std::unordered_set<AttemptId> attempts;
-    /// Cancels that wait for the side to come back.
+    /// Cancels to send when the side reconnects.
     std::vector<AttemptRef> pending_cancels;
   };
 
-  /// What changed when a side said hello.
+  /// Result of recording a connected side.
   struct UpResult {
     Side* side = nullptr;  ///< Null if the table is full.
-    /// Attempts at an earlier run of the instance, which are lost.
+    /// Attempts at an earlier incarnation of the instance, which are lost.
     std::vector<AttemptId> lost;
   };
 
   explicit SideTable(std::size_t max_sides) : max_sides_(max_sides) {}
 
+  /// Records that the side described by `info` is connected by `link`.
   UpResult Up(SideLink link, SideInfo info);
-  /// Marks the side of `link` absent. Returns it, or null if the link is not
-  /// the side's newest.
+  /// Marks the side of `link` absent. Returns it, or null if the link is
+  /// unknown or was replaced by a newer one.
   Side* Down(SideLink link, TimePoint now);
   Side* FindByLink(SideLink link);
   const Side* FindByLink(SideLink link) const;
   Side* Find(const std::string& instance);
   const Side* Find(const std::string& instance) const;
 
-  /// Records whether the platform sees `instance` leaving.
+  /// Records whether the platform reports `instance` as leaving.
   void SetLeaving(const std::string& instance, bool leaving);
-  /// Records the instances that operators drain, all of them.
+  /// Replaces the set of instances that operators drain.
   void SetDrains(const std::vector<std::string>& instances);
 
   /// Returns true if new attempts may go to the side's target.
   static bool TakesWork(const Side& side);
 
-  /// Returns the connected, serving targets of `deployment`.
+  /// Returns the targets of `deployment` that accept new attempts.
   std::vector<Candidate> CandidatesFor(
       const std::string& deployment,
       const std::vector<std::string>& tried) const;
@@ -74,7 +76,8 @@
   std::size_t max_sides_;
   std::map<std::string, Side> sides_;
   std::map<SideLink, std::string> links_;
-  /// Instances told to leave before they said hello; bounded like `sides_`.
+  /// Instances that the platform reports as leaving, also those not connected
+  /// yet; bounded by `max_sides_`.
   std::unordered_set<std::string> leaving_;
   std::unordered_set<std::string> drains_;
 };
