--- a/tests/core/request/api_keys_test.cc
+++ b/tests/core/request/api_keys_test.cc
@@ -10,33 +10,33 @@
 
 using Headers = std::vector<HeaderField>;
 
-TEST_CASE("A key is read from one Authorization field") {
-  SECTION("as a bearer token, its scheme in any case") {
+TEST_CASE("A bearer key is read from a single Authorization field") {
+  SECTION("the scheme name is case-insensitive") {
     CHECK(FindBearerKey({{"Authorization", "Bearer k-1"}}) == "k-1");
     CHECK(FindBearerKey({{"authorization", "bEARER k-1"}}) == "k-1");
   }
-  SECTION("any other form is no key") {
+  SECTION("any other form yields no key") {
     CHECK(FindBearerKey(Headers{}).empty());
     CHECK(FindBearerKey({{"Authorization", "Bearer "}}).empty());
     CHECK(FindBearerKey({{"Authorization", "Bearer"}}).empty());
     CHECK(FindBearerKey({{"Authorization", "Basic k-1"}}).empty());
     CHECK(FindBearerKey({{"Authorization", "k-1"}}).empty());
   }
-  SECTION("of two keys none can be told to be the caller's") {
+  SECTION("two Authorization fields yield no key") {
     CHECK(FindBearerKey({{"Authorization", "Bearer k-1"},
                          {"authorization", "Bearer k-2"}})
               .empty());
   }
 }
 
-TEST_CASE("A key's hash is its SHA-256") {
-  // Known answer for "abc".
+TEST_CASE("HashKey returns the SHA-256 of the key") {
+  // Published test vector for "abc".
   const KeyHash hash = HashKey("abc");
   CHECK(hash.front() == 0xBA);
   CHECK(hash.back() == 0xAD);
 }
 
-TEST_CASE("Keys are found by their hash") {
+TEST_CASE("KeyIndex finds all values of a key by its hash") {
   KeyIndex<int> index;
   index.Add(HashKey("k-1"), 1);
   index.Add(HashKey("k-2"), 2);
@@ -71,31 +71,31 @@
   return account ? account->name : "nobody";
 }
 
-TEST_CASE("A request is let in by its key") {
+TEST_CASE("RouteTable admits a request by its API key") {
   const RouteTable table = TableWith(std::vector<RouteAccount>{
       {"salon", {HashKey("k-1"), HashKey("k-2")}, 1}, {"owner", {}, {}}});
 
-  SECTION("as the account that holds the key") {
+  SECTION("a known key admits as the account that holds it") {
     CHECK(AdmittedAs(table, false, "k-1") == "salon");
     CHECK(AdmittedAs(table, false, "k-2") == "salon");
   }
-  SECTION("not without one that is known") {
+  SECTION("a missing or unknown key is refused") {
     CHECK(AdmittedAs(table, false, "") == "refused with 401");
     CHECK(AdmittedAs(table, false, "k-3") == "refused with 401");
   }
-  SECTION("an open route asks for none, and knows one all the same") {
+  SECTION("an open route needs no key but recognizes a known one") {
     CHECK(AdmittedAs(table, true, "") == "nobody");
     CHECK(AdmittedAs(table, true, "k-3") == "nobody");
     CHECK(AdmittedAs(table, true, "k-1") == "salon");
   }
 }
 
-TEST_CASE("Accounts that are listed are asked for, and none if none are") {
-  SECTION("without a list nobody needs a key") {
+TEST_CASE("API keys are required only if an account list is configured") {
+  SECTION("without a list no request needs a key") {
     CHECK(AdmittedAs(TableWith(std::nullopt), false, "") == "nobody");
     CHECK(AdmittedAs(TableWith(std::nullopt), false, "k-1") == "nobody");
   }
-  SECTION("an empty list lets nobody in") {
+  SECTION("an empty list admits requests of open routes only") {
     const RouteTable table = TableWith(std::vector<RouteAccount>{});
     CHECK(AdmittedAs(table, false, "k-1") == "refused with 401");
     CHECK(AdmittedAs(table, true, "k-1") == "nobody");
--- a/tests/core/request/request_flow_direct_test.cc
+++ b/tests/core/request/request_flow_direct_test.cc
@@ -1,4 +1,4 @@
-// What the request flow does for targets that it reaches without a side.
+// Tests of the request flow for targets that it reaches without a side.
 
 #include <catch2/catch.hpp>
 
@@ -18,7 +18,7 @@
   return options;
 }
 
-/// Answers the attempt with a failure of the target's own, whole.
+/// Sends a complete answer with status 500.
 void Fail(FlowDriver* driver, const SendStart& start) {
   driver->flow().OnHead(start.link, start.attempt, 0, 500,
                         {{"Content-Length", "4"}}, driver->now());
@@ -27,12 +27,12 @@
   driver->End(start, 2, "oops");
 }
 
-TEST_CASE("A target's own failure is answered by another target") {
+TEST_CASE("A 5xx answer of a target is retried at another target") {
   FlowDriver driver(DirectOptions());
   driver.Up("oviedo-1");
   driver.Up("oviedo-2");
 
-  SECTION("if the request may run twice") {
+  SECTION("if the request is idempotent") {
     const RequestId id = driver.Ask(Repeatability::kIdempotent);
     Fail(&driver, driver.starts[0]);
     REQUIRE(driver.starts.size() == 2);
@@ -43,7 +43,7 @@
     CHECK(driver.seen(id).status == 200);
     CHECK(driver.seen(id).body == "menu");
   }
-  SECTION("else the caller gets the failure as it is") {
+  SECTION("otherwise the caller receives the 5xx answer unchanged") {
     const RequestId id = driver.Ask(Repeatability::kOnce);
     Fail(&driver, driver.starts[0]);
     CHECK(driver.starts.size() == 1);
@@ -52,10 +52,10 @@
   }
 }
 
-// Every target refuses. Each refusal is an arrival that the targets' operator
-// counts, so the tries end with the budget and the caller is told at once that
-// nothing has run.
-TEST_CASE("Refused attempts draw on the retry budget where they are counted") {
+// Every target refuses, and each refusal counts as an arrival for the targets'
+// operator. Retries must therefore end with the budget, and the caller must be
+// told at once that nothing has run.
+TEST_CASE("Refused attempts are charged to the retry budget if configured") {
   int budget = 1;
   RequestFlowHooks hooks;
   hooks.spend_retry = [&](const CallerRequest&, AttemptReach, TimePoint) {
@@ -81,9 +81,9 @@
   CHECK(driver.seen(id).refusal->status == 503);
 }
 
-// The prompt has been read by one engine; the one that was to answer has begun
-// to leave. The attempt goes on at another, and only there may it be answered.
-TEST_CASE("An attempt that has not started may be moved to another target") {
+// One engine has run the prefill, and the engine that was to answer is leaving.
+// The attempt moves to another target, and only that one may answer it.
+TEST_CASE("An attempt that has not started can be moved to another target") {
   FlowDriver driver(DirectOptions());
   driver.Up("oviedo-1");
   driver.Up("oviedo-2");
@@ -95,7 +95,7 @@
   REQUIRE(link);
   CHECK(driver.flow().FindSide(*link)->instance == other);
 
-  SECTION("frames from the new target count") {
+  SECTION("frames from the new target are accepted") {
     SendStart moved = start;
     moved.link = *link;
     driver.Head(moved);
@@ -103,31 +103,31 @@
     driver.End(moved, 2, "menu");
     CHECK(driver.seen(id).whole);
   }
-  SECTION("frames from the old one do not") {
+  SECTION("frames from the old target are dropped") {
     driver.Head(start);
     CHECK(driver.flow().counts().foreign_frames == 1);
     CHECK(driver.seen(id).finals == 0);
   }
-  SECTION("it is cancelled where it is") {
+  SECTION("a cancel goes to the new target") {
     driver.flow().OnCallerGone(id, driver.now());
     driver.Collect();
     REQUIRE(driver.cancels.size() == 1);
     CHECK(driver.cancels[0].link == *link);
   }
-  SECTION("once it has started it stays") {
+  SECTION("a started attempt cannot be moved") {
     SendStart moved = start;
     moved.link = *link;
     driver.Head(moved);
     CHECK_FALSE(driver.flow().MoveAttempt(start.attempt, first));
   }
-  SECTION("and never to one that takes no work") {
+  SECTION("a leaving or unknown target is not accepted") {
     driver.flow().OnLeaving(first, true, driver.now());
     CHECK_FALSE(driver.flow().MoveAttempt(start.attempt, first));
     CHECK_FALSE(driver.flow().MoveAttempt(start.attempt, "oviedo-9"));
   }
 }
 
-TEST_CASE("A request that no target can take is refused at once") {
+TEST_CASE("A request without any target is refused at once") {
   FlowDriver driver(DirectOptions());
   const RequestId id = driver.Ask(Repeatability::kIdempotent);
   REQUIRE(driver.seen(id).refusal);
--- a/tests/core/request/request_flow_faults_test.cc
+++ b/tests/core/request/request_flow_faults_test.cc
@@ -15,15 +15,15 @@
 constexpr const char* kSecond = "22 €";
 const std::string kWhole = std::string(kFirst) + kSecond;
 
-/// What the caller is told in the end.
+/// Outcome that the caller sees.
 enum class Outcome {
-  kAnswered,  ///< Whole, with no byte repeated or missing.
+  kAnswered,  ///< Complete, with no byte repeated or missing.
   kNotRun,
-  kUnknown,  ///< Refused before anything was answered.
-  kBroken,   ///< Broken off visibly after a part was answered.
+  kUnknown,  ///< Refused before any part was answered.
+  kBroken,   ///< Aborted visibly after a part was answered.
 };
 
-/// Kind of request: streamed ones are idempotent and get server-sent events.
+/// Kind of request. Streamed ones are idempotent and get server-sent events.
 enum class Kind { kIdempotent, kKeyed, kOnce, kStreamed };
 
 constexpr Kind kKinds[] = {Kind::kIdempotent, Kind::kKeyed, Kind::kOnce,
@@ -43,13 +43,13 @@
   return "";
 }
 
-/// Outcome and count of runs for one kind of request.
+/// Expected outcome and number of runs for one kind of request.
 struct Expected {
   Outcome outcome;
   int runs;
 };
 
-/// One request at two targets, of which the first meets the fault.
+/// Sends one request with two targets available; the first one has the fault.
 class Scene {
  public:
   explicit Scene(Kind kind) : kind_(kind) {
@@ -82,13 +82,14 @@
     driver_.Collect();
   }
 
-  // What happens to the first side.
+  // Faults of the first side.
   void LinkDown() { driver_.Down(link_); }
   void SideRestarts() {
     driver_.Down(link_);
     link_ = driver_.Up("bilbao-a-1", 2);
   }
-  /// The same run of the side comes back and sends from where it is asked to.
+  /// The same incarnation of the side reconnects; the test then sends frames
+  /// from the requested one on.
   void SideReturns() {
     link_ = driver_.Up("bilbao-a-1");
     driver_.starts[0].link = link_;
@@ -99,7 +100,7 @@
     driver_.Collect();
   }
 
-  /// Answers every further attempt in whole, then compares.
+  /// Answers every further attempt completely and checks the outcome.
   void Finish(const Expected& expected) {
     driver_.Pass(milliseconds(100));
     for (std::size_t i = 1; i < driver_.starts.size(); ++i) {
@@ -113,8 +114,9 @@
     driver_.Pass(seconds(70));
     const SeenAnswer& seen = driver_.seen(id_);
     INFO("kind of request: " << Name(kind_));
-    INFO("seen: whole " << seen.whole << ", body \"" << seen.body << "\", "
-                        << (seen.refusal ? seen.refusal->code : "no refusal"));
+    INFO("seen: complete " << seen.whole << ", body \"" << seen.body << "\", "
+                           << (seen.refusal ? seen.refusal->code
+                                            : "no refusal"));
     CHECK(seen.finals == 1);
     CHECK(runs_ == expected.runs);
     CHECK(seen.whole == (expected.outcome == Outcome::kAnswered));
@@ -188,11 +190,11 @@
 constexpr Expected kOnceUnknown{Outcome::kUnknown, 1};
 constexpr Expected kOnceBroken{Outcome::kBroken, 1};
 
-// The caller of an idempotent request sees an answer wherever another target
-// can still give one. The caller of any other request sees "unknown" as soon as
-// the run may have begun, because nobody can tell how far the dead target came,
-// and a second run would be a doubled one.
-TEST_CASE("A target fails") {
+// The caller of an idempotent request gets an answer if another target can
+// still give one. The caller of any other request gets "unknown" once the run
+// may have begun: it is not known how far the dead target got, and a second run
+// could duplicate the first.
+TEST_CASE("Target failures: outcome and runs for each kind of request") {
   PlayAll({
       {"dies before the start", [](Scene& it) { it.Refuse("target_down"); },
        kOnceAnswered, kOnceAnswered, kOnceAnswered, kOnceAnswered},
@@ -222,7 +224,7 @@
          it.EndAs(3, AttemptOutcome::kTargetDied);
        },
        kTwiceAnswered, kOnceUnknown, kOnceUnknown, kOnceBroken},
-      {"is paused for 5 s in the middle and woken",
+      {"is paused for 5 s during the answer",
        [](Scene& it) {
          it.Begin();
          it.Head();
@@ -235,7 +237,7 @@
          it.End();
        },
        kOnceAnswered, kOnceAnswered, kOnceAnswered, kOnceAnswered},
-      {"goes silent after the start, which its side finds out",
+      {"hangs after the start, and its side reports it",
        [](Scene& it) {
          it.Begin();
          it.EndAs(0, AttemptOutcome::kTargetFailed);
@@ -244,10 +246,10 @@
   });
 }
 
-// A side that restarts has lost what it knew, so the same holds as for a dead
-// target. One that comes back as the same process still holds its attempts:
-// the answer goes on from the next frame, and nothing runs twice.
-TEST_CASE("A side fails") {
+// A restarted side has lost its attempts, so the outcome is as for a dead
+// target. A side that reconnects as the same process still holds its attempts:
+// the answer resumes with the next frame, and nothing runs twice.
+TEST_CASE("Side failures: outcome and runs for each kind of request") {
   PlayAll({
       {"is gone before the start can be queued",
        [](Scene& it) {
@@ -288,7 +290,7 @@
          it.driver().Pass(seconds(1));
        },
        kTwiceAnswered, kOnceUnknown, kOnceUnknown, kOnceBroken},
-      {"is paused for 5 s in the middle and woken",
+      {"is paused for 5 s during the answer",
        [](Scene& it) {
          it.Begin();
          it.Head();
@@ -304,10 +306,10 @@
   });
 }
 
-// The connection between entry and side breaks while both live. Within the
-// grace time nothing is sent elsewhere: the side keeps the frames, and the new
-// connection asks for them from the next one on.
-TEST_CASE("The connection between entry and side falls silent") {
+// The connection between entry and side breaks while both keep running. Within
+// the grace period nothing is sent elsewhere: the side keeps the frames, and
+// the entry requests them from the next one on over the new connection.
+TEST_CASE("Connection failures: outcome and runs for each kind of request") {
   PlayAll({
       {"before the start arrives",
        [](Scene& it) {
@@ -372,11 +374,11 @@
   });
 }
 
-// The entry's process is stopped for 5 s and woken. Its connection was closed
-// by the side meanwhile; what it finds on waking is a closed connection and
-// then a new one. Its own death ends the callers' connections as well, which
-// no entry can answer: that case is in the process tests.
-TEST_CASE("An entry is paused for 5 s and woken") {
+// The entry's process is stopped for 5 s and resumed. Meanwhile the side closed
+// the connection, so the entry sees a closed connection and then a new one. The
+// death of an entry also ends its callers' connections; the process tests cover
+// that case.
+TEST_CASE("An entry paused for 5 s resumes its answers") {
   PlayAll({
       {"in the middle of the answer",
        [](Scene& it) {
@@ -393,13 +395,13 @@
   });
 }
 
-// With no target left the caller hears at once what is known, and the refusal
-// says "not run" only where no target ever got the request.
-TEST_CASE("No target is left") {
+// With no target left, the caller is told what is known about the run. The
+// refusal says "not run" only if no target ever received the request.
+TEST_CASE("Without a target a request is refused as not run or unknown") {
   FlowDriver driver;
   const SideLink link = driver.Up("bilbao-a-1");
 
-  SECTION("and none ever got the request") {
+  SECTION("not run if no target received the request") {
     driver.Down(link);
     const RequestId id = driver.Ask(Repeatability::kOnce);
     driver.Pass(seconds(2));
@@ -408,7 +410,7 @@
     CHECK(driver.starts.empty());
   }
 
-  SECTION("and one died of it") {
+  SECTION("unknown if a target died while running it") {
     const RequestId id = driver.Ask(Repeatability::kIdempotent);
     driver.End(driver.starts[0], 0, "", AttemptOutcome::kTargetDied);
     driver.Down(link);
@@ -418,7 +420,7 @@
   }
 }
 
-TEST_CASE("Retries are bounded") {
+TEST_CASE("Retries are limited") {
   RequestFlowHooks hooks;
   int allowed = 0;
   hooks.spend_retry = [&allowed](const CallerRequest&, AttemptReach,
@@ -429,7 +431,7 @@
   driver.Up("bilbao-a-3");
   driver.Up("bilbao-a-4");
 
-  SECTION("by the budget") {
+  SECTION("by the retry budget") {
     const RequestId id = driver.Ask(Repeatability::kIdempotent);
     driver.End(driver.starts[0], 0, "", AttemptOutcome::kTargetFailed);
     CHECK(driver.starts.size() == 1);
@@ -437,7 +439,7 @@
     CHECK(driver.seen(id).refusal->run == RunState::kUnknown);
   }
 
-  SECTION("by the request's most attempts") {
+  SECTION("by the request's max_attempts") {
     allowed = 100;
     const RequestId id = driver.Ask(Repeatability::kIdempotent);
     for (std::size_t i = 0; i < driver.starts.size(); ++i) {
@@ -448,10 +450,10 @@
   }
 }
 
-TEST_CASE("A deadline is kept") {
+TEST_CASE("A request is refused at its deadline") {
   FlowDriver driver;
 
-  SECTION("while the request waits: not run") {
+  SECTION("not run while it waits for a target") {
     const RequestId id =
         driver.AskUntil(Repeatability::kOnce, milliseconds(300));
     driver.Pass(milliseconds(400));
@@ -460,7 +462,7 @@
     CHECK(driver.seen(id).refusal->run == RunState::kNotRun);
   }
 
-  SECTION("while it runs: cancelled, and unknown") {
+  SECTION("cancelled and unknown while it runs") {
     driver.Up("bilbao-a-1");
     const RequestId id =
         driver.AskUntil(Repeatability::kOnce, milliseconds(300));
@@ -471,7 +473,7 @@
   }
 }
 
-TEST_CASE("A claim is settled by what is provable") {
+TEST_CASE("A claim is settled with the proven outcome") {
   std::vector<ClaimSettlement> settled;
   RequestFlowHooks hooks;
   hooks.claim = [](const CallerRequest&, TimePoint) -> GateResult {
@@ -485,7 +487,7 @@
   const RequestId id = driver.Ask(Repeatability::kKeyed);
   REQUIRE(driver.starts.size() == 1);
 
-  SECTION("finished, even if the caller has left") {
+  SECTION("finished even if the caller has left") {
     driver.flow().OnCallerGone(id, driver.now());
     driver.Head(driver.starts[0]);
     driver.End(driver.starts[0], 1, "");
@@ -498,7 +500,7 @@
     CHECK(settled == std::vector{ClaimSettlement::kUnknown});
   }
 
-  SECTION("not run if no target took it") {
+  SECTION("not run if no target received it") {
     driver.Down(link);
     driver.flow().OnStartNotSent(driver.starts[0].attempt, driver.now());
     driver.Pass(seconds(2));
--- a/tests/core/request/request_flow_random_test.cc
+++ b/tests/core/request/request_flow_random_test.cc
@@ -18,8 +18,8 @@
 
 constexpr std::size_t kSides = 3;
 
-/// Answer that a target gives to a request: depends on the request alone, so a
-/// part of another answer shows.
+/// Returns the chunks of the answer to a request. They depend on the request
+/// only, so that a chunk of another answer is detected.
 std::vector<std::string> PartsFor(const RequestId& id) {
   std::vector<std::string> parts;
   for (std::uint64_t i = 0; i < 1 + id.value.lo % 4; ++i) {
@@ -36,7 +36,7 @@
   return whole;
 }
 
-/// One frame of an answer on its way.
+/// One frame in flight from a side.
 struct Frame {
   AttemptId attempt;
   std::uint64_t sequence = 0;
@@ -47,8 +47,8 @@
   bool event_stream = false;
 };
 
-/// A side that keeps its promises over a network that keeps none: frames and
-/// orders are lost, doubled and reordered, and links and processes die.
+/// A correct side behind an unreliable network: frames and messages are lost,
+/// duplicated and reordered, connections break and processes die.
 class FakeSide {
  public:
   std::uint64_t run = 1;
@@ -98,14 +98,14 @@
     on_the_way.push_back(frame);
   }
 
-  /// Sends some more of what is produced, as a target goes on.
+  /// Sends the next frame of each attempt, as a target makes progress.
   void GoOn() {
     for (auto& [id, frames] : frames_) {
       Send(id, sent_[id], sent_[id] + 1);
     }
   }
 
-  /// The target dies: whatever is not yet produced never comes.
+  /// The target dies: frames not sent yet are replaced by an end frame.
   void TargetDies() {
     for (auto& [id, frames] : frames_) {
       if (sent_[id] >= frames.size()) {
@@ -172,7 +172,8 @@
   std::set<AttemptId> ended_;
 };
 
-/// Plays one random run and checks what callers were told against what ran.
+/// Runs one random sequence of events and compares the answers that callers got
+/// with the runs at targets.
 class World {
  public:
   explicit World(std::uint32_t seed) : random_(seed), driver_(Options()) {
@@ -186,7 +187,7 @@
       Step();
       CarryOut();
     }
-    // Calm: whatever is still open must come to an end by its deadline.
+    // Without further faults, every open request must end by its deadline.
     for (int i = 0; i < 140; ++i) {
       for (std::size_t side = 0; side < kSides; ++side) {
         if (!sides_[side].link) {
@@ -217,7 +218,7 @@
       if (seen.refusal && seen.refusal->run == RunState::kNotRun) {
         RC_ASSERT(runs_[id] == 0);
       }
-      // What came before a break is a beginning of the answer, never more.
+      // A partial answer must be a prefix of the complete one.
       RC_ASSERT(WholeFor(id).compare(0, seen.body.size(), seen.body) == 0);
     }
     RC_ASSERT(driver_.flow().open_requests() == 0U);
@@ -233,7 +234,7 @@
   std::uint32_t Dice(std::uint32_t sides) { return random_() % sides; }
 
   void Connect(std::size_t side) {
-    // Orders and frames of the old connection never arrive on the new one.
+    // Frames of the old connection never arrive on the new one.
     sides_[side].on_the_way.clear();
     sides_[side].link =
         driver_.Up("target-" + std::to_string(side), sides_[side].run);
@@ -306,7 +307,7 @@
     asked_[driver_.Ask(repeatability, Dice(2) == 0)] = repeatability;
   }
 
-  /// Delivers one frame of the side; false if there is none.
+  /// Delivers one frame of the side. Returns false if there is none.
   bool Deliver(std::size_t index, bool faulty) {
     FakeSide& side = sides_[index];
     if (!side.link || side.on_the_way.empty()) {
@@ -367,7 +368,7 @@
     return nullptr;
   }
 
-  /// Takes the flow's orders to the sides, losing some on the way.
+  /// Passes each message of the flow to its side and drops some at random.
   void CarryOut() {
     const auto starts = std::exchange(driver_.starts, {});
     for (const SendStart& it : starts) {
@@ -399,15 +400,17 @@
   std::map<RequestId, int> runs_;
 };
 
-// Frames and orders are lost, doubled and reordered, links break, sides restart
-// and targets die, at random. Whatever happens a caller gets one final answer:
-// the whole of its own, or a refusal that is true.
-TEST_CASE("Whatever is lost, an answer is whole or an honest refusal") {
-  CHECK(rc::check("whole or error, at most one run, true not-run", [] {
-    World world(*rc::gen::arbitrary<std::uint32_t>());
-    world.Play();
-    world.Check();
-  }));
+// At random, frames and messages are lost, duplicated and reordered,
+// connections break, side processes restart and targets die. In every case a
+// caller must get exactly one outcome: its own complete answer, or a refusal
+// that is true.
+TEST_CASE("Random faults lead to a complete answer or a true refusal") {
+  CHECK(
+      rc::check("complete answer or error, at most one run, true not-run", [] {
+        World world(*rc::gen::arbitrary<std::uint32_t>());
+        world.Play();
+        world.Check();
+      }));
 }
 
 }  // namespace
--- a/tests/core/request/request_flow_test.cc
+++ b/tests/core/request/request_flow_test.cc
@@ -10,14 +10,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("A request is answered once and in full") {
+TEST_CASE("A request gets exactly one complete answer") {
   FlowDriver driver;
   driver.Up("bilbao-a-1");
   const RequestId id = driver.Ask(Repeatability::kOnce);
   REQUIRE(driver.starts.size() == 1);
   const SendStart start = driver.starts[0];
 
-  SECTION("when its frames come in order") {
+  SECTION("if its frames arrive in order") {
     driver.Head(start);
     driver.Chunk(start, 1, "gel ");
     driver.Chunk(start, 2, "22 €");
@@ -28,7 +28,7 @@
     CHECK(driver.flow().open_requests() == 0);
   }
 
-  SECTION("when a frame comes twice, and again after the end") {
+  SECTION("if a frame is repeated, also after the end") {
     driver.Head(start);
     driver.Head(start);
     driver.Chunk(start, 1, "once");
@@ -41,7 +41,7 @@
     CHECK(driver.flow().counts().foreign_frames == 1);
   }
 
-  SECTION("when one is missing and is sent again on request") {
+  SECTION("if a missing frame is resent on request") {
     driver.Pass(milliseconds(200));
     driver.Head(start);
     driver.Chunk(start, 2, "b");
@@ -54,7 +54,7 @@
     CHECK(driver.seen(id).body == "ab");
   }
 
-  SECTION("or not as an answer at all if the end frame disagrees") {
+  SECTION("or a refusal if the end frame does not match") {
     driver.Head(start);
     driver.Chunk(start, 1, "abc");
     driver.End(start, 2, "abd");
@@ -65,7 +65,7 @@
   }
 }
 
-TEST_CASE("Answers of two requests never cross") {
+TEST_CASE("Answers of concurrent requests are not mixed up") {
   FlowDriver driver;
   const SideLink one = driver.Up("bilbao-a-1");
   const SideLink two = driver.Up("bilbao-a-2");
@@ -84,7 +84,8 @@
   CHECK(driver.flow().counts().foreign_frames == 2);
 }
 
-TEST_CASE("A side that refuses before starting costs nothing") {
+TEST_CASE(
+    "A refusal before the start is retried elsewhere or reported as not run") {
   FlowDriver driver;
   driver.Up("bilbao-a-1");
   const SideLink two = driver.Up("bilbao-a-2");
@@ -95,19 +96,19 @@
                           leaving, driver.now());
   driver.Collect();
 
-  SECTION("the request goes to another target, even if it may run only once") {
+  SECTION("even a request that is not idempotent goes to another target") {
     REQUIRE(driver.starts.size() == 2);
     CHECK(driver.starts[1].link == two);
     CHECK_FALSE(driver.starts[1].attempt == driver.starts[0].attempt);
   }
 
-  SECTION("and the leaving one gets no further request") {
+  SECTION("the leaving target gets no further request") {
     driver.Ask(Repeatability::kOnce);
     REQUIRE(driver.starts.size() == 3);
     CHECK(driver.starts[2].link == two);
   }
 
-  SECTION("and if no other is left the caller hears not-run") {
+  SECTION("without another target the caller is told not-run") {
     driver.flow().OnRefused(two, driver.starts[1].attempt, leaving,
                             driver.now());
     driver.Pass(seconds(2));
@@ -117,11 +118,11 @@
   }
 }
 
-TEST_CASE("A caller that leaves cancels its attempt by id") {
+TEST_CASE("A disconnected caller's attempt is cancelled by id") {
   FlowDriver driver;
   const SideLink link = driver.Up("bilbao-a-1");
 
-  SECTION("at once while the side is connected") {
+  SECTION("at once if the side is connected") {
     const RequestId id = driver.Ask(Repeatability::kIdempotent);
     driver.flow().OnCallerGone(id, driver.now());
     driver.Collect();
@@ -130,7 +131,7 @@
     CHECK(driver.flow().open_requests() == 0);
   }
 
-  SECTION("as soon as the side is back if it is absent") {
+  SECTION("on reconnect if the side is absent") {
     const RequestId id = driver.Ask(Repeatability::kIdempotent);
     driver.Down(link);
     driver.flow().OnCallerGone(id, driver.now());
@@ -141,7 +142,7 @@
     CHECK(driver.cancels[0].link == again);
   }
 
-  SECTION("but a keyed request goes on, for the caller's retry") {
+  SECTION("but a keyed request continues, for the caller's retry") {
     const RequestId id = driver.Ask(Repeatability::kKeyed);
     driver.flow().OnCallerGone(id, driver.now());
     driver.Collect();
@@ -151,7 +152,7 @@
   }
 }
 
-TEST_CASE("Credit follows what the caller took") {
+TEST_CASE("Credit is granted for the bytes that the caller consumed") {
   RequestFlowOptions options;
   options.stream_window_bytes = 400;
   FlowDriver driver(options);
@@ -166,7 +167,7 @@
   REQUIRE(driver.credits.size() == 1);
   CHECK(driver.credits[0].bytes == 100);
 
-  SECTION("and credit that could not be sent is sent with the next") {
+  SECTION("credit that could not be sent is added to the next grant") {
     driver.flow().OnCreditNotSent(driver.starts[0].attempt, 100);
     driver.flow().OnCallerTook(id, 1, driver.now());
     driver.Collect();
@@ -175,7 +176,7 @@
   }
 }
 
-TEST_CASE("A full table refuses at once, as not run") {
+TEST_CASE("A full table refuses requests at once as not run") {
   RequestFlowOptions options;
   options.max_requests = 1;
   FlowDriver driver(options);
--- a/tests/core/request/route_table_test.cc
+++ b/tests/core/request/route_table_test.cc
@@ -23,7 +23,7 @@
   return route ? route->name : "none";
 }
 
-TEST_CASE("A request takes the route with the longest prefix of its host") {
+TEST_CASE("RouteTable finds the longest matching prefix of the host") {
   RouteConfiguration configuration;
   configuration.version = 7;
   configuration.routes = {RouteAt("whole", "/menus/"),
@@ -31,26 +31,26 @@
                           RouteAt("other", "/desk/")};
   const RouteTable table(configuration);
 
-  SECTION("longest first") {
+  SECTION("a longer prefix takes precedence") {
     CHECK(NameAt(table, "menus.example", "/menus/print/2f") == "part");
     CHECK(NameAt(table, "menus.example", "/menus/2f") == "whole");
   }
-  SECTION("a prefix ends at its slash") {
+  SECTION("a prefix matches only up to its trailing slash") {
     CHECK(NameAt(table, "menus.example", "/menus/printed") == "whole");
     CHECK(NameAt(table, "menus.example", "/menu") == "none");
     CHECK(NameAt(table, "menus.example", "/menus") == "none");
   }
-  SECTION("the query is no part of the path") {
+  SECTION("the query is ignored") {
     CHECK(NameAt(table, "menus.example", "/desk?back=/menus/") == "none");
     CHECK(NameAt(table, "menus.example", "/desk/?a=1") == "other");
   }
-  SECTION("the host is taken without its port and in any case") {
+  SECTION("the host matches without its port and in any case") {
     CHECK(NameAt(table, "Menus.Example:8080", "/desk/1") == "other");
     CHECK(NameAt(table, "desk.example", "/desk/1") == "none");
   }
 }
 
-TEST_CASE("Traffic is split by weight") {
+TEST_CASE("PickService distributes requests by weight") {
   ServiceRoute route = RouteAt("split", "/");
   route.services = {{"a", 90}, {"b", 10}};
   RandomSource random = MakeSeededRandom(7);
@@ -61,7 +61,7 @@
   CHECK(picked["a"] > 1700);
   CHECK(picked["b"] > 120);
 
-  SECTION("a service of weight 0 gets nothing") {
+  SECTION("a service of weight 0 gets no requests") {
     route.services = {{"a", 0}, {"b", 1}};
     for (int n = 0; n < 100; ++n) {
       CHECK(RouteTable::PickService(route, random()) == "b");
--- a/tests/core/request/stream_resume_test.cc
+++ b/tests/core/request/stream_resume_test.cc
@@ -9,63 +9,64 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("Events are passed on whole, and the last id is kept") {
+TEST_CASE("EventCursor returns complete events and keeps the last id") {
   EventCursor cursor;
   CHECK(cursor.Take("id: 1\ndata: gel\n\nid: 2\nda") == "id: 1\ndata: gel\n\n");
   CHECK(cursor.last_id() == "1");
 
-  SECTION("a part is joined to what follows") {
+  SECTION("a partial event is completed by the following data") {
     CHECK(cursor.Take("ta: 22\n\n") == "id: 2\ndata: 22\n\n");
     CHECK(cursor.last_id() == "2");
   }
-  SECTION("or dropped when its target has broken off") {
+  SECTION("DropPartial discards a partial event") {
     cursor.DropPartial();
     CHECK(cursor.Take("id: 2\ndata: 22\n\n") == "id: 2\ndata: 22\n\n");
   }
-  SECTION("or is what no whole stream ends with") {
+  SECTION("is_inside_event reports a partial event") {
     CHECK(cursor.is_inside_event());
     CHECK(cursor.Take("ta: 22\n\n") == "id: 2\ndata: 22\n\n");
     CHECK_FALSE(cursor.is_inside_event());
   }
-  SECTION("line ends of both kinds end an event") {
+  SECTION("LF and CRLF line ends end an event") {
     CHECK(cursor.Take("ta: x\r\n\r\n") == "id: 2\ndata: x\r\n\r\n");
   }
 }
 
-/// Guards against streams that come late, all at once, or go on from a wrong
-/// event, because their line ends are not LF or CRLF throughout.
-TEST_CASE("Events are known by every line end that the format allows") {
+/// Guards against streams that arrive late and all at once, or resume from a
+/// wrong event, because their line ends are not LF or CRLF throughout.
+TEST_CASE("EventCursor recognizes every line end that the format allows") {
   EventCursor cursor;
-  SECTION("CR alone") {
+  SECTION("CR only") {
     CHECK(cursor.Take("id: 1\rdata: gel\r\rid: 2\rda") ==
           "id: 1\rdata: gel\r\r");
     CHECK(cursor.last_id() == "1");
   }
-  SECTION("mixed ones") {
+  SECTION("mixed line ends") {
     CHECK(cursor.Take("id: 1\r\ndata: gel\n\r\nid: 2") ==
           "id: 1\r\ndata: gel\n\r\n");
     CHECK(cursor.last_id() == "1");
   }
-  SECTION("cut between two bytes of one") {
+  SECTION("a CRLF split across two chunks") {
     CHECK(cursor.Take("id: 1\r\n\r") == "id: 1\r\n\r");
     CHECK(cursor.Take("\nid: 2\r\n\r\n") == "\nid: 2\r\n\r\n");
     CHECK(cursor.last_id() == "2");
   }
-  SECTION("after a byte order mark") {
+  SECTION("a stream that begins with a byte order mark") {
     CHECK(cursor.Take("\xEF\xBB\xBFid: 1\n\n") == "\xEF\xBB\xBFid: 1\n\n");
     CHECK(cursor.last_id() == "1");
   }
-  SECTION("and comments between events are passed on at once") {
+  SECTION("comments between events are passed on at once") {
     CHECK(cursor.Take(": ping\n") == ": ping\n");
     CHECK(cursor.last_id().empty());
   }
-  SECTION("and an id that no header can carry is none") {
+  SECTION("an id that a header cannot carry is ignored") {
     CHECK(cursor.Take("id: 1\n\nid: 2\x01\n\n").size() == 15);
     CHECK(cursor.last_id() == "1");
   }
 }
 
-/// One resumable stream at two targets.
+/// Starts one stream with two targets available; the first one has sent a
+/// complete event and a part of the next.
 class Scene {
  public:
   explicit Scene(bool may_resume = true) {
@@ -96,9 +97,10 @@
   const RequestId id{{5, 5}};
 };
 
-// The engine that answers crashes in the middle of an event. The caller sees
-// one stream, each event once and whole, although two engines made it.
-TEST_CASE("A broken stream goes on at another target") {
+// The answering engine crashes in the middle of an event. The caller must see
+// one stream with each event once and complete, although two engines produced
+// it.
+TEST_CASE("A broken stream resumes at another target") {
   Scene scene;
   scene.Break(0, 2);
   REQUIRE(scene.driver.starts.size() == 2);
@@ -107,7 +109,7 @@
   CHECK(scene.driver.seen(scene.id).body == "id: 1\ndata: a\n\n");
   CHECK(scene.driver.seen(scene.id).finals == 0);
 
-  SECTION("to its end") {
+  SECTION("and is completed there") {
     scene.driver.Head(next, /*event_stream=*/true);
     scene.driver.Chunk(next, 1, "id: 2\ndata: b\n\n");
     scene.driver.End(next, 2, "id: 2\ndata: b\n\n");
@@ -116,19 +118,19 @@
           "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
     CHECK(scene.driver.seen(scene.id).finals == 1);
   }
-  SECTION("or breaks off visibly if that target answers something else") {
+  SECTION("or is aborted if that target sends no event stream") {
     scene.driver.Head(next, /*event_stream=*/false);
     REQUIRE(scene.driver.seen(scene.id).refusal);
     CHECK(scene.driver.seen(scene.id).refusal->run == RunState::kUnknown);
     CHECK_FALSE(scene.driver.seen(scene.id).whole);
   }
-  SECTION("or if that one breaks too, as often as the route allows") {
+  SECTION("or is aborted if that one fails too and no attempt is left") {
     scene.driver.Head(next, /*event_stream=*/true);
     scene.Break(1, 1);
     CHECK(scene.driver.starts.size() == 2);
     CHECK(scene.driver.seen(scene.id).refusal);
   }
-  SECTION("and is not gone on with for a caller that has left") {
+  SECTION("but is cancelled once its caller has left") {
     scene.driver.flow().OnCallerGone(scene.id, scene.driver.now());
     scene.driver.Collect();
     CHECK(scene.driver.cancels.size() == 1);
@@ -136,7 +138,7 @@
   }
 }
 
-TEST_CASE("A stream that may not be resumed breaks off") {
+TEST_CASE("A broken stream that may not be resumed is aborted") {
   Scene scene(/*may_resume=*/false);
   scene.Break(0, 2);
   CHECK(scene.driver.starts.size() == 1);
@@ -144,7 +146,7 @@
   CHECK(scene.driver.seen(scene.id).refusal->run == RunState::kUnknown);
 }
 
-TEST_CASE("A whole stream is passed on byte by byte") {
+TEST_CASE("A complete stream is passed on unchanged") {
   Scene scene;
   scene.driver.Chunk(scene.driver.starts[0], 2, "ta: b\n\n: tail\n");
   scene.driver.End(scene.driver.starts[0], 3,
@@ -154,19 +156,19 @@
         "id: 1\ndata: a\n\nid: 2\ndata: b\n\n: tail\n");
 }
 
-/// Guards against events that come twice, because the target that goes on
-/// begins after an event before the last one.
-TEST_CASE("A stream is not gone on with after an event that has no id") {
+/// Guards against repeated events: without an id on the last event, the next
+/// target would resume after an earlier one.
+TEST_CASE("A stream is not resumed after an event that has no id") {
   Scene scene;
   const std::string last = GENERATE("data: c\n\n", "data: c\r\n\r\n",
                                     "id:\ndata: c\n\n", "id: \x01\n\n");
   scene.driver.Chunk(scene.driver.starts[0], 2, "ta: b\n\n" + last);
-  SECTION("where its target breaks off then") {
+  SECTION("if its target fails right after that event") {
     scene.Break(0, 3);
     CHECK(scene.driver.starts.size() == 1);
     CHECK(scene.driver.seen(scene.id).refusal);
   }
-  SECTION("but after the next one that has one") {
+  SECTION("but is resumed after a later event that has one") {
     scene.driver.Chunk(scene.driver.starts[0], 3,
                        "id: 4\r\ndata: d\r\n\r\n: ping\n");
     scene.Break(0, 4);
@@ -175,9 +177,10 @@
   }
 }
 
-/// Guards against a stream that stands still until its deadline, because its
-/// target may send no more until the caller has taken what is held back.
-TEST_CASE("An event longer than an entry holds back is passed on in parts") {
+/// Guards against a stream that stalls until its deadline: its target may send
+/// no more until the caller has consumed bytes that the entry is still
+/// buffering.
+TEST_CASE("An event larger than the buffer limit is passed on in parts") {
   Scene scene;
   const RequestFlowOptions options;
   const std::string part(options.stream_window_bytes / 2, 'x');
@@ -185,21 +188,22 @@
   const std::string begun = "id: 1\ndata: a\n\nid: 2\nda" + part;
   CHECK((scene.driver.seen(scene.id).body == begun));
 
-  SECTION("to its end") {
+  SECTION("until it is complete") {
     scene.driver.Chunk(scene.driver.starts[0], 3, "x\n\n");
     scene.driver.End(scene.driver.starts[0], 4, begun + "x\n\n");
     CHECK(scene.driver.seen(scene.id).whole);
     CHECK((scene.driver.seen(scene.id).body == begun + "x\n\n"));
   }
-  SECTION("and breaks off with its target: nobody can go on inside it") {
+  SECTION("and the stream is not resumed inside it if its target fails") {
     scene.Break(0, 3);
     CHECK(scene.driver.starts.size() == 1);
     CHECK(scene.driver.seen(scene.id).refusal);
   }
 }
 
-/// Guards against half an event reaching a caller as the end of a whole stream.
-TEST_CASE("A stream whose end comes inside an event goes on elsewhere") {
+/// Guards against a partial event that reaches the caller as the end of a
+/// complete stream.
+TEST_CASE("A stream that ends inside an event resumes at another target") {
   Scene scene;
   scene.driver.End(scene.driver.starts[0], 2, "id: 1\ndata: a\n\nid: 2\nda");
   CHECK_FALSE(scene.driver.seen(scene.id).whole);
