--- a/src/core/request/request_flow.h
+++ b/src/core/request/request_flow.h
@@ -94,7 +94,8 @@
 /// Decisions and notifications handled by other parts of the process. Each hook
 /// is optional and has a working default.
 struct RequestFlowHooks {
-  /// Refuses requests known to crash targets. Called before any other hook.
+  /// Refuses requests known to crash targets. Called before any other hook and
+  /// again before each retry.
   std::function<std::optional<Refusal>(const CallerRequest&, TimePoint)>
       check_quarantine;
   /// Claims the idempotency key of a keyed request. After `kWait`, the owner
--- a/src/core/request/request_types.h
+++ b/src/core/request/request_types.h
@@ -46,7 +46,7 @@
   std::vector<HeaderField> headers;
   std::string body;
   bool streamed = false;      ///< The caller asked for server-sent events.
-  TimePoint deadline;         ///< The answer must be whole by then.
+  TimePoint deadline;         ///< The answer must be complete by then.
   Duration answer_target{0};  ///< To the first event; 0 if none is set.
   std::uint32_t max_attempts = 3;
   double retry_budget_share = 0.1;
@@ -241,7 +241,8 @@
   kTarget,   ///< The answering target was reached, or may have been.
 };
 
-/// Why a side refused to start an attempt.
+/// Why an attempt ended without a complete answer, such as a refusal by its
+/// side.
 struct SideRefusal {
   std::string code;  ///< Such as "leaving" or "overloaded".
   bool overloaded = false;
--- a/src/core/request/route_table.h
+++ b/src/core/request/route_table.h
@@ -46,7 +46,8 @@
 struct EngineTraits {
   std::uint32_t slots = 1;  ///< Requests that run concurrently.
   std::uint64_t kv_capacity_tokens = 0;
-  Duration stage_change_time{0};  ///< Downtime of an engine that changes.
+  /// Time that an engine is unavailable while it changes its stage.
+  Duration stage_change_time{0};
   double kv_bytes_per_token = 0;  ///< KV cache size; 0: unknown.
   double link_bits_per_s = 0;     ///< Per engine, for KV cache; 0: unknown.
 
@@ -111,7 +112,8 @@
   std::variant<const RouteAccount*, Refusal> Admit(const ServiceRoute& route,
                                                    std::string_view key) const;
 
-  /// Returns true if this system checks callers' keys, and not the targets.
+  /// Returns true if callers' API keys are meant for this system rather than
+  /// for the targets.
   bool reads_keys() const { return configuration_.accounts.has_value(); }
 
   /// Returns the traits of `service`, or null.
--- a/tests/core/request/request_flow_faults_test.cc
+++ b/tests/core/request/request_flow_faults_test.cc
@@ -331,7 +331,7 @@
          it.End();
        },
        kOnceAnswered, kOnceAnswered, kOnceAnswered, kOnceAnswered},
-      {"in the middle, and frames are sent again from too early on",
+      {"during the answer, and frames already received are resent",
        [](Scene& it) {
          it.Begin();
          it.Head();
@@ -357,7 +357,7 @@
          it.End();
        },
        kOnceAnswered, kOnceAnswered, kOnceAnswered, kOnceAnswered},
-      {"and the side has dropped the frames meanwhile",
+      {"and the side has dropped frames meanwhile",
        [](Scene& it) {
          it.Begin();
          it.Head();
