--- a/src/core/request/request_flow.h
+++ b/src/core/request/request_flow.h
@@ -248,12 +248,12 @@
     bool may_have_run = false;
     bool claimed = false;
     bool caller_gone = false;
-    bool head_taken = false;      ///< Received from the current attempt.
+    bool head_taken = false;      ///< From the current attempt.
     bool head_delivered = false;  ///< To the caller; only a resume can follow.
     bool keep_answer = false;     ///< Keyed and still small enough to store.
     WholeAnswer answer;           ///< Buffered or stored part of the answer.
     TimePoint route_until;
-    TimePoint route_after;  ///< Earliest time to route to tried targets again.
+    TimePoint route_after;  ///< When tried targets may be used again.
     TimePoint held_since;   ///< When the buffered head arrived.
     /// Position in a stream that may resume at another target.
     std::optional<EventCursor> cursor;
--- a/src/core/request/side_table.h
+++ b/src/core/request/side_table.h
@@ -26,7 +26,7 @@
     SideInfo info;
     std::optional<SideLink> link;  ///< Absent while not connected.
     TimePoint absent_since;
-    bool told_to_leave = false;  ///< Requested by the platform.
+    bool told_to_leave = false;  ///< By the platform.
     bool drained = false;        ///< By an operator.
     std::unordered_set<AttemptId> attempts;
     /// Cancels to send when the side reconnects.
