--- a/src/core/admission/admission.cc
+++ b/src/core/admission/admission.cc
@@ -11,7 +11,7 @@
 
 /// Minimum time between two scans of the queue for requests that can no longer
 /// meet their deadline.
-constexpr Duration kSweepInterval = std::chrono::milliseconds(10);
+constexpr Duration kScanInterval = std::chrono::milliseconds(10);
 
 /// Maximum number of requests evicted for one new request.
 constexpr int kMaxDisplaced = 8;
@@ -58,7 +58,8 @@
       concurrency_(options.concurrency),
       accounts_(options.queue.max_accounts) {}
 
-std::optional<std::uint32_t> Admission::Find(std::string_view name) const {
+std::optional<std::uint32_t> Admission::FindAccount(
+    std::string_view name) const {
   for (std::uint32_t it = 0; it < accounts_.size(); ++it) {
     if (accounts_[it].in_use && accounts_[it].spec.name == name) {
       return it;
@@ -67,9 +68,9 @@
   return std::nullopt;
 }
 
-std::optional<std::uint32_t> Admission::PlaceFor(
+std::optional<std::uint32_t> Admission::IndexFor(
     const std::string& name) const {
-  if (const auto known = Find(name)) {
+  if (const auto known = FindAccount(name)) {
     return known;
   }
   for (std::uint32_t it = 0; it < accounts_.size(); ++it) {
@@ -87,11 +88,11 @@
     it.accepts = false;
   }
   for (const ClientAccountSpec& it : spec.client_accounts) {
-    const std::optional<std::uint32_t> place = PlaceFor(it.name);
-    if (!place) {
+    const std::optional<std::uint32_t> index = IndexFor(it.name);
+    if (!index) {
       continue;
     }
-    AccountState& state = accounts_[*place];
+    AccountState& state = accounts_[*index];
     if (!state.in_use || state.spec.name != it.name) {
       state = AccountState{};
     }
@@ -100,7 +101,7 @@
     state.accepts = true;
     state.requests.SetRate(it.requests_per_second);
     state.tokens.SetRate(it.tokens_per_second);
-    queue_.SetAccount(*place, it.priority, it.weight);
+    queue_.SetAccount(*index, it.priority, it.weight);
   }
 }
 
@@ -109,10 +110,10 @@
 }
 
 bool Admission::GateOpen() const {
-  const double most_queued =
+  const double max_queued =
       options_.max_target_backlog_s * fleet_.prefill_tokens_per_s;
   return fleet_.serving > 0 && concurrency_.HasRoom() &&
-         fleet_.queued_prefill_tokens <= most_queued &&
+         fleet_.queued_prefill_tokens <= max_queued &&
          fleet_.requests + 0.5 < fleet_.slots * options_.max_slots_share;
 }
 
@@ -131,7 +132,7 @@
                       output_work * static_cast<double>(request.output_tokens));
 }
 
-Duration Admission::WaitOf(std::uint32_t account) const {
+Duration Admission::ExpectedWait(std::uint32_t account) const {
   const double rate = ServiceRate();
   // Without a target there is no rate to estimate the wait from. The request is
   // queued, and refused once its deadline cannot be met.
@@ -166,8 +167,8 @@
 std::optional<AdmissionDecision> Admission::CheckLimits(
     const AdmissionRequest& request, std::uint32_t account, TimePoint now) {
   AccountState& state = accounts_[account];
-  const std::uint32_t held = state.running + queue_.CountOf(account);
-  if (held >= state.spec.max_concurrent) {
+  const std::uint32_t outstanding = state.running + queue_.CountOf(account);
+  if (outstanding >= state.spec.max_concurrent) {
     return Refuse(request.id, RefusalCause::kConcurrency,
                   FromSeconds(average_service_s_));
   }
@@ -198,22 +199,22 @@
 
 AdmissionDecision Admission::Offer(const AdmissionRequest& request,
                                    TimePoint now, const OnDecision& displaced) {
-  const std::optional<std::uint32_t> account = Find(request.account);
+  const std::optional<std::uint32_t> account = FindAccount(request.account);
   if (!account || !accounts_[*account].accepts) {
     return Refuse(request.id, RefusalCause::kUnknownAccount, std::nullopt);
   }
   if (auto refused = CheckLimits(request, *account, now)) {
     return *refused;
   }
-  const bool runs_now = queue_.size() == 0 && GateOpen();
-  const Duration wait = runs_now ? Duration{0} : WaitOf(*account);
+  const bool can_run_now = queue_.size() == 0 && GateOpen();
+  const Duration wait = can_run_now ? Duration{0} : ExpectedWait(*account);
   if (auto refused = CheckDeadline(request, wait, now)) {
     return *refused;
   }
   const QueuedRequest queued{request.id, *account, WorkOf(request),
                              request.deadline, request.service};
   AdmissionDecision decision =
-      runs_now ? Admit(queued, now) : Enqueue(queued, displaced);
+      can_run_now ? Admit(queued, now) : Enqueue(queued, displaced);
   if (decision.verdict != AdmissionVerdict::kRefused) {
     // Only accepted requests count towards the rate limits.
     AccountState& state = accounts_[*account];
@@ -228,16 +229,16 @@
                                      const OnDecision& displaced) {
   const double work = request.work;
   for (int it = 0; it < kMaxDisplaced && !queue_.HasRoom(work); ++it) {
-    const auto victim = queue_.MakeRoomFor(request.account, work);
-    if (!victim) {
+    const auto evicted_request = queue_.EvictFor(request.account, work);
+    if (!evicted_request) {
       break;
     }
-    displaced(
-        Refuse(victim->id, RefusalCause::kDisplaced, WaitOf(victim->account)));
+    displaced(Refuse(evicted_request->id, RefusalCause::kDisplaced,
+                     ExpectedWait(evicted_request->account)));
   }
   if (!queue_.HasRoom(work)) {
     return Refuse(request.id, RefusalCause::kQueueFull,
-                  WaitOf(request.account));
+                  ExpectedWait(request.account));
   }
   queue_.Push(request);
   AdmissionDecision decision;
@@ -246,28 +247,29 @@
   return decision;
 }
 
-void Admission::DropHopeless(TimePoint now, const OnDecision& on_decision) {
-  const bool due = now < swept_at_ || now - swept_at_ >= kSweepInterval;
+void Admission::RefuseUnmeetable(TimePoint now, const OnDecision& on_decision) {
+  const bool due = now < scanned_at_ || now - scanned_at_ >= kScanInterval;
   if (!due) {
     return;
   }
-  swept_at_ = now;
+  scanned_at_ = now;
   queue_.RemoveIf(
       [now](const QueuedRequest& it) { return now + it.service > it.deadline; },
       [&](const QueuedRequest& it) {
-        on_decision(Refuse(it.id, RefusalCause::kDeadline, WaitOf(it.account)));
+        on_decision(
+            Refuse(it.id, RefusalCause::kDeadline, ExpectedWait(it.account)));
       });
 }
 
 void Admission::Advance(TimePoint now, const std::function<FleetLoad()>& fleet,
                         const OnDecision& on_decision) {
-  DropHopeless(now, on_decision);
+  RefuseUnmeetable(now, on_decision);
   fleet_ = fleet();
   while (queue_.size() > 0 && GateOpen()) {
     const QueuedRequest next = *queue_.Pop();
     if (now + next.service > next.deadline) {
       on_decision(
-          Refuse(next.id, RefusalCause::kDeadline, WaitOf(next.account)));
+          Refuse(next.id, RefusalCause::kDeadline, ExpectedWait(next.account)));
       continue;
     }
     on_decision(Admit(next, now));
@@ -280,19 +282,19 @@
 // because of their wait in this queue were counted too, the concurrency limit
 // would drop, the wait would grow and further requests would be late: the
 // engines would idle with a full queue, even after the load peak.
-bool Admission::ShowsOverload(const AdmissionTicket& ticket, AdmissionEnd end,
-                              TimePoint now) const {
-  constexpr int kSlow = 2;
+bool Admission::IndicatesOverload(const AdmissionTicket& ticket,
+                                  AdmissionEnd end, TimePoint now) const {
+  constexpr int kMinSlowdown = 2;
   return end == AdmissionEnd::kOverloaded ||
          (end == AdmissionEnd::kLate &&
-          now - ticket.started_at > kSlow * ticket.service);
+          now - ticket.started_at > kMinSlowdown * ticket.service);
 }
 
 void Admission::OnEnded(const AdmissionTicket& ticket, AdmissionEnd end,
                         TimePoint now) {
   AccountState& state = accounts_[ticket.account];
   state.running -= state.running > 0 ? 1 : 0;
-  concurrency_.OnEnded(ShowsOverload(ticket, end, now), now);
+  concurrency_.OnEnded(IndicatesOverload(ticket, end, now), now);
   if (end != AdmissionEnd::kInTime) {
     return;
   }
--- a/src/core/admission/admission.h
+++ b/src/core/admission/admission.h
@@ -162,12 +162,12 @@
     TokenBucket tokens{0};
   };
 
-  std::optional<std::uint32_t> Find(std::string_view name) const;
-  std::optional<std::uint32_t> PlaceFor(const std::string& name) const;
+  std::optional<std::uint32_t> FindAccount(std::string_view name) const;
+  std::optional<std::uint32_t> IndexFor(const std::string& name) const;
   bool GateOpen() const;
   bool FleetIsIdle() const;
   double WorkOf(const AdmissionRequest& request) const;
-  Duration WaitOf(std::uint32_t account) const;
+  Duration ExpectedWait(std::uint32_t account) const;
   std::optional<AdmissionDecision> CheckLimits(const AdmissionRequest& request,
                                                std::uint32_t account,
                                                TimePoint now);
@@ -176,11 +176,11 @@
   AdmissionDecision Refuse(const RequestId& id, RefusalCause cause,
                            std::optional<Duration> retry_after) const;
   AdmissionDecision Admit(const QueuedRequest& request, TimePoint now);
-  bool ShowsOverload(const AdmissionTicket& ticket, AdmissionEnd end,
-                     TimePoint now) const;
+  bool IndicatesOverload(const AdmissionTicket& ticket, AdmissionEnd end,
+                         TimePoint now) const;
   AdmissionDecision Enqueue(const QueuedRequest& request,
                             const OnDecision& displaced);
-  void DropHopeless(TimePoint now, const OnDecision& on_decision);
+  void RefuseUnmeetable(TimePoint now, const OnDecision& on_decision);
   void MeasureRate(double work, TimePoint now);
 
   AdmissionOptions options_;
@@ -195,7 +195,7 @@
   TimePoint window_start_{};
   double window_work_ = 0;
   bool window_saturated_ = false;
-  TimePoint swept_at_{};
+  TimePoint scanned_at_{};
 };
 
 }  // namespace indigolead
--- a/src/core/admission/named_limits.cc
+++ b/src/core/admission/advertised_limits.cc
@@ -1,10 +1,10 @@
-#include "core/admission/named_limits.h"
+#include "core/admission/advertised_limits.h"
 
 namespace indigolead {
 
-std::optional<LimitChange> NamedLimits::OnAnswer(const std::string& target,
-                                                 const LimitNotice& notice,
-                                                 TimePoint now) {
+std::optional<LimitChange> AdvertisedLimits::OnAnswer(const std::string& target,
+                                                      const LimitNotice& notice,
+                                                      TimePoint now) {
   const std::optional<double> before = Find(target);
   if (notice.limit) {
     limits_[target] = {*notice.limit, now, 0};
@@ -17,19 +17,18 @@
   // An answer to a request sent before the limit became known may predate the
   // limit.
   if (it == limits_.end() || !notice.served ||
-      notice.sent_at < it->second.named_at) {
+      notice.sent_at < it->second.advertised_at) {
     return std::nullopt;
   }
-  if (++it->second.unnamed < max_unnamed_) {
+  if (++it->second.missing < max_missing_) {
     return std::nullopt;
   }
   limits_.erase(it);
   return LimitChange{before, std::nullopt};
 }
 
-std::optional<LimitChange> NamedLimits::OnShared(const std::string& target,
-                                                 std::optional<double> limit,
-                                                 TimePoint now) {
+std::optional<LimitChange> AdvertisedLimits::OnShared(
+    const std::string& target, std::optional<double> limit, TimePoint now) {
   const std::optional<double> before = Find(target);
   if (before.has_value() == limit.has_value()) {
     return std::nullopt;
@@ -42,7 +41,7 @@
   return LimitChange{before, limit};
 }
 
-std::optional<double> NamedLimits::Find(const std::string& target) const {
+std::optional<double> AdvertisedLimits::Find(const std::string& target) const {
   const auto it = limits_.find(target);
   return it == limits_.end() ? std::nullopt : std::optional(it->second.value);
 }
--- a/src/core/admission/named_limits.h
+++ b/src/core/admission/advertised_limits.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_CORE_ADMISSION_NAMED_LIMITS_H_
-#define INDIGOLEAD_CORE_ADMISSION_NAMED_LIMITS_H_
+#ifndef INDIGOLEAD_CORE_ADMISSION_ADVERTISED_LIMITS_H_
+#define INDIGOLEAD_CORE_ADMISSION_ADVERTISED_LIMITS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -34,12 +34,12 @@
 /// Stores the rate limits that targets advertise in their answers.
 ///
 /// Not thread-safe. Uses one record per target with a limit.
-class NamedLimits {
+class AdvertisedLimits {
  public:
-  /// A limit ends after `max_unnamed` consecutive answers without it, each to a
+  /// A limit ends after `max_missing` consecutive answers without it, each to a
   /// request that the target ran.
-  explicit NamedLimits(std::uint32_t max_unnamed = 2)
-      : max_unnamed_(max_unnamed) {}
+  explicit AdvertisedLimits(std::uint32_t max_missing = 2)
+      : max_missing_(max_missing) {}
 
   /// Processes the notice in an answer of `target`. Returns the change of the
   /// limit, if any.
@@ -66,14 +66,14 @@
  private:
   struct Limit {
     double value = 0;
-    TimePoint named_at{};       ///< Time of the latest value.
-    std::uint32_t unnamed = 0;  ///< Consecutive answers without it since then.
+    TimePoint advertised_at{};  ///< Time of the latest value.
+    std::uint32_t missing = 0;  ///< Consecutive answers without it since then.
   };
 
-  std::uint32_t max_unnamed_;
+  std::uint32_t max_missing_;
   std::map<std::string, Limit> limits_;
 };
 
 }  // namespace indigolead
 
-#endif  // INDIGOLEAD_CORE_ADMISSION_NAMED_LIMITS_H_
+#endif  // INDIGOLEAD_CORE_ADMISSION_ADVERTISED_LIMITS_H_
--- a/src/core/admission/entry_retry_budget.h
+++ b/src/core/admission/entry_retry_budget.h
@@ -40,31 +40,30 @@
     Duration window = std::chrono::seconds(10);  ///< Of that limit.
     /// Arrivals of one attempt; with a lower maximum, no attempt could ever be
     /// made.
-    double least_saved = 1;
+    double min_saved = 1;
   };
 
   explicit EntryRetryBudget(const Options& options)
       : options_(options),
         requests_(options.window),
-        budget_({options.share,
-                 std::max(options.part.saved, options.least_saved),
+        budget_({options.share, std::max(options.part.saved, options.min_saved),
                  options.initial}) {}
 
   /// Sets the entry's part of the allowance.
   void SetPart(const RetryPart& part, TimePoint now) {
     Refill(now);
     options_.part = part;
-    budget_.SetBurst(MostSaved(now));
+    budget_.SetBurst(MaxSaved(now));
   }
 
   /// Returns arrivals that were taken from the budget but not used.
-  void GiveBack(double arrivals) { budget_.Grant(arrivals); }
+  void Refund(double arrivals) { budget_.Grant(arrivals); }
 
   /// Records a request.
   void OnRequest(TimePoint now) {
     requests_.Add(now);
     Refill(now);
-    budget_.SetBurst(MostSaved(now));
+    budget_.SetBurst(MaxSaved(now));
     budget_.OnFirstAttempt();
   }
 
@@ -79,10 +78,10 @@
   double left() const { return budget_.left(); }
 
   /// Returns the maximum number of arrivals that may be accumulated now.
-  double MostSaved(TimePoint now) const {
+  double MaxSaved(TimePoint now) const {
     const auto recent = static_cast<double>(requests_.Count(now));
     return std::max(options_.part.saved + options_.saved_per_request * recent,
-                    options_.least_saved);
+                    options_.min_saved);
   }
 
  private:
--- a/src/core/admission/fair_queue.cc
+++ b/src/core/admission/fair_queue.cc
@@ -8,11 +8,11 @@
     : options_(options),
       nodes_(options.max_requests),
       accounts_(options.max_accounts) {
-  active_.reserve(options.max_accounts);
+  active_accounts_.reserve(options.max_accounts);
   classes_.reserve(options.max_accounts + 1);
   for (std::uint32_t it = options.max_requests; it > 0; --it) {
-    nodes_[it - 1].next = free_;
-    free_ = it - 1;
+    nodes_[it - 1].next = free_head_;
+    free_head_ = it - 1;
   }
 }
 
@@ -57,22 +57,22 @@
   Account& account = accounts_[request.account];
   PriorityClass& priority = ClassOf(account.priority);
   if (account.count == 0) {
-    active_.push_back(request.account);
+    active_accounts_.push_back(request.account);
     // An account that was idle starts at the virtual time of its class. Idle
     // time earns no credit with which it could starve the others.
     account.virtual_time =
         std::max(account.virtual_time, priority.virtual_time);
   }
-  const std::uint32_t place = free_;
-  Node& node = nodes_[place];
-  free_ = node.next;
+  const std::uint32_t node_index = free_head_;
+  Node& node = nodes_[node_index];
+  free_head_ = node.next;
   node = Node{request, kNone, account.tail};
   if (account.tail == kNone) {
-    account.head = place;
+    account.head = node_index;
   } else {
-    nodes_[account.tail].next = place;
+    nodes_[account.tail].next = node_index;
   }
-  account.tail = place;
+  account.tail = node_index;
   account.work += request.work;
   ++account.count;
   ++priority.count;
@@ -80,32 +80,33 @@
   work_ += request.work;
 }
 
-QueuedRequest FairQueue::Unlink(std::uint32_t place) {
-  Node& node = nodes_[place];
+QueuedRequest FairQueue::Unlink(std::uint32_t node_index) {
+  Node& node = nodes_[node_index];
   const QueuedRequest request = node.request;
   Account& account = accounts_[request.account];
   (node.previous == kNone ? account.head : nodes_[node.previous].next) =
       node.next;
   (node.next == kNone ? account.tail : nodes_[node.next].previous) =
       node.previous;
-  node.next = free_;
-  free_ = place;
+  node.next = free_head_;
+  free_head_ = node_index;
   --account.count;
   --size_;
   --ClassOf(account.priority).count;
   account.work = account.count == 0 ? 0 : account.work - request.work;
   work_ = size_ == 0 ? 0 : work_ - request.work;
   if (account.count == 0) {
-    const auto it = std::find(active_.begin(), active_.end(), request.account);
-    *it = active_.back();
-    active_.pop_back();
+    const auto it = std::find(active_accounts_.begin(), active_accounts_.end(),
+                              request.account);
+    *it = active_accounts_.back();
+    active_accounts_.pop_back();
   }
   return request;
 }
 
 std::uint32_t FairQueue::NextAccountOf(int priority) const {
   std::uint32_t best = kNone;
-  for (const std::uint32_t it : active_) {
+  for (const std::uint32_t it : active_accounts_) {
     const Account& account = accounts_[it];
     const bool before =
         best == kNone || account.virtual_time < accounts_[best].virtual_time ||
@@ -121,7 +122,7 @@
   std::uint32_t first = kNone;
   for (PriorityClass& it : classes_) {
     if (it.count == 0) {
-      it.floor_credit = 0;
+      it.min_share_credit = 0;
       continue;
     }
     const std::uint32_t account = NextAccountOf(it.priority);
@@ -130,18 +131,19 @@
       continue;
     }
     const double work = nodes_[accounts_[account].head].request.work;
-    if (it.floor_credit >= work) {
-      it.floor_credit -= work;
+    if (it.min_share_credit >= work) {
+      it.min_share_credit -= work;
       return account;
     }
   }
   return first;
 }
 
-void FairQueue::PayFloors(const PriorityClass& served, double work) {
+void FairQueue::CreditLowerPriorities(const PriorityClass& served,
+                                      double work) {
   for (PriorityClass& it : classes_) {
     if (it.priority < served.priority && it.count > 0) {
-      it.floor_credit += options_.floor_share * work;
+      it.min_share_credit += options_.min_share * work;
     }
   }
 }
@@ -156,15 +158,15 @@
   const QueuedRequest request = Unlink(account.head);
   priority.virtual_time = account.virtual_time;
   account.virtual_time += request.work / account.weight;
-  PayFloors(priority, request.work);
+  CreditLowerPriorities(priority, request.work);
   return request;
 }
 
-std::optional<QueuedRequest> FairQueue::MakeRoomFor(std::uint32_t account,
-                                                    double work) {
-  const Account& asking = accounts_[account];
+std::optional<QueuedRequest> FairQueue::EvictFor(std::uint32_t account,
+                                                 double work) {
+  const Account& requester = accounts_[account];
   std::uint32_t worst = kNone;
-  for (const std::uint32_t it : active_) {
+  for (const std::uint32_t it : active_accounts_) {
     const Account& other = accounts_[it];
     if (worst == kNone || other.priority < accounts_[worst].priority ||
         (other.priority == accounts_[worst].priority &&
@@ -177,10 +179,10 @@
     return std::nullopt;
   }
   const Account& holder = accounts_[worst];
-  const bool outranks = holder.priority < asking.priority;
+  const bool outranks = holder.priority < requester.priority;
   const bool has_less =
-      holder.priority == asking.priority &&
-      (asking.work + work) / asking.weight < holder.work / holder.weight;
+      holder.priority == requester.priority &&
+      (requester.work + work) / requester.weight < holder.work / holder.weight;
   if (!outranks && !has_less) {
     return std::nullopt;
   }
@@ -188,7 +190,7 @@
 }
 
 std::optional<QueuedRequest> FairQueue::Remove(const RequestId& id) {
-  for (const std::uint32_t account : active_) {
+  for (const std::uint32_t account : active_accounts_) {
     for (std::uint32_t it = accounts_[account].head; it != kNone;
          it = nodes_[it].next) {
       if (nodes_[it].request.id == id) {
@@ -200,13 +202,13 @@
 }
 
 void FairQueue::RemoveIf(
-    const std::function<bool(const QueuedRequest&)>& is_hopeless,
+    const std::function<bool(const QueuedRequest&)>& should_remove,
     const std::function<void(const QueuedRequest&)>& removed) {
   for (const Account& account : accounts_) {
     std::uint32_t it = account.head;
     while (it != kNone) {
       const std::uint32_t next = nodes_[it].next;
-      if (is_hopeless(nodes_[it].request)) {
+      if (should_remove(nodes_[it].request)) {
         removed(Unlink(it));
       }
       it = next;
@@ -215,23 +217,24 @@
 }
 
 double FairQueue::WorkAhead(std::uint32_t account) const {
-  const Account& asking = accounts_[account];
-  double above = 0;
-  double level = 0;
-  double weights = asking.weight;
-  for (const std::uint32_t it : active_) {
+  const Account& requester = accounts_[account];
+  double higher_work = 0;
+  double same_work = 0;
+  double weights = requester.weight;
+  for (const std::uint32_t it : active_accounts_) {
     const Account& other = accounts_[it];
-    if (other.priority > asking.priority) {
-      above += other.work;
-    } else if (other.priority == asking.priority) {
-      level += other.work;
+    if (other.priority > requester.priority) {
+      higher_work += other.work;
+    } else if (other.priority == requester.priority) {
+      same_work += other.work;
       weights += it == account ? 0 : other.weight;
     }
   }
   // The account's own queue is processed at its share of the total weight, but
   // a new request never waits for more than all the queued work of its
   // priority.
-  return above + std::min(level, asking.work * weights / asking.weight);
+  return higher_work +
+         std::min(same_work, requester.work * weights / requester.weight);
 }
 
 }  // namespace indigolead
--- a/src/core/admission/fair_queue.h
+++ b/src/core/admission/fair_queue.h
@@ -39,7 +39,7 @@
     std::uint32_t max_requests = 1024;
     double max_work = 4 << 20;
     std::uint32_t max_accounts = 256;
-    double floor_share = 0.05;
+    double min_share = 0.05;
   };
 
   explicit FairQueue(const Options& options);
@@ -62,14 +62,14 @@
   /// relative to its weight loses its newest request, provided that `account`
   /// has a higher priority, or the same priority and less queued work relative
   /// to its weight. Returns the evicted request, if any.
-  std::optional<QueuedRequest> MakeRoomFor(std::uint32_t account, double work);
+  std::optional<QueuedRequest> EvictFor(std::uint32_t account, double work);
 
   /// Removes and returns the request with `id`, if it is queued.
   std::optional<QueuedRequest> Remove(const RequestId& id);
 
-  /// Removes each request for which `is_hopeless` returns true and passes it to
-  /// `removed`.
-  void RemoveIf(const std::function<bool(const QueuedRequest&)>& is_hopeless,
+  /// Removes each request for which `should_remove` returns true and passes it
+  /// to `removed`.
+  void RemoveIf(const std::function<bool(const QueuedRequest&)>& should_remove,
                 const std::function<void(const QueuedRequest&)>& removed);
 
   /// Returns the expected work dispatched before a new request of `account`, if
@@ -104,22 +104,23 @@
   struct PriorityClass {
     int priority = 0;
     double virtual_time = 0;
-    double floor_credit = 0;
+    double min_share_credit = 0;
     std::uint32_t count = 0;  ///< Queued requests.
   };
 
   PriorityClass& ClassOf(int priority);
   std::uint32_t NextAccountOf(int priority) const;
   std::uint32_t NextAccount();
-  void PayFloors(const PriorityClass& served, double work);
-  QueuedRequest Unlink(std::uint32_t place);
+  void CreditLowerPriorities(const PriorityClass& served, double work);
+  QueuedRequest Unlink(std::uint32_t node_index);
 
   Options options_;
   std::vector<Node> nodes_;
   std::vector<Account> accounts_;
-  std::vector<std::uint32_t> active_;   ///< Accounts with queued requests.
+  std::vector<std::uint32_t>
+      active_accounts_;                 ///< Accounts with queued requests.
   std::vector<PriorityClass> classes_;  ///< Highest priority first.
-  std::uint32_t free_ = kNone;
+  std::uint32_t free_head_ = kNone;
   std::uint32_t size_ = 0;
   double work_ = 0;
 };
--- a/src/core/admission/limit_share.cc
+++ b/src/core/admission/limit_share.cc
@@ -27,26 +27,27 @@
                                 now);
 }
 
-std::size_t LimitShare::MostParticipants(double limit_rps) const {
-  constexpr double kMost = 1e6;
+std::size_t LimitShare::MaxParticipants(double limit_rps) const {
+  constexpr double kMaxCount = 1e6;
   return static_cast<std::size_t>(std::min(
-      kMost,
+      kMaxCount,
       options_.participants_base + options_.participants_per_rps * limit_rps));
 }
 
-RateShare LimitShare::Of(const std::string& target, double limit_rps,
-                         const EntryView& view, Standing standing) const {
+RateShare LimitShare::Compute(const std::string& target, double limit_rps,
+                              const EntryView& view, Standing standing) const {
   if (standing == Standing::kNotJoined) {
     return {};
   }
   const double limit =
-      std::max(limit_rps, options_.least_limit_rps) *
+      std::max(limit_rps, options_.min_limit_rps) *
       (standing == Standing::kStale ? options_.stale_factor : 1);
   const std::size_t n = std::max<std::size_t>(view.names.size(), 1);
-  const std::size_t participants = std::min(n, MostParticipants(limit_rps));
+  const std::size_t participants = std::min(n, MaxParticipants(limit_rps));
   if (participants == n || IsAmongFirst(target, view, participants)) {
-    return {options_.used_share * limit / static_cast<double>(participants),
-            std::nullopt};
+    return {
+        options_.participant_share * limit / static_cast<double>(participants),
+        std::nullopt};
   }
   return {
       options_.probing_share * limit / static_cast<double>(n - participants),
--- a/src/core/admission/limit_share.h
+++ b/src/core/admission/limit_share.h
@@ -28,7 +28,7 @@
 /// Entries do not coordinate before sending: each computes its share from the
 /// list of entries alone, such that the shares add up to less than the limit.
 ///
-/// In a fleet of at most `MostParticipants` entries, all entries have equal
+/// In a fleet of at most `MaxParticipants` entries, all entries have equal
 /// shares. In a larger fleet, that many entries are chosen by rendezvous hash
 /// of the target's name and have equal shares. The others only send occasional
 /// probes that detect the end of the limit. Probes that are not sent in time
@@ -40,7 +40,7 @@
     /// Share of a limit that is divided among the participants. The rest allows
     /// for requests that arrive in bunches, and for entries that still serve
     /// although no list contains them any more.
-    double used_share = 0.8;
+    double participant_share = 0.8;
     /// Share of a limit that is divided among the other entries, for their
     /// probes.
     double probing_share = 0.1;
@@ -53,7 +53,7 @@
     double participants_per_rps = 2;
     /// Replaces lower limits; without any requests, no entry would notice the
     /// end of a limit.
-    double least_limit_rps = 0.05;
+    double min_limit_rps = 0.05;
     /// Time from the registration of an entry until all others have listed it
     /// and reduced their shares.
     Duration join_time = std::chrono::seconds(7);
@@ -72,12 +72,12 @@
 
   /// Returns the share of the entry of `view` in the limit of `target`, which
   /// is `limit_rps` requests per second.
-  RateShare Of(const std::string& target, double limit_rps,
-               const EntryView& view, Standing standing) const;
+  RateShare Compute(const std::string& target, double limit_rps,
+                    const EntryView& view, Standing standing) const;
 
   /// Returns the maximum number of entries that divide a limit of `limit_rps`
   /// equally.
-  std::size_t MostParticipants(double limit_rps) const;
+  std::size_t MaxParticipants(double limit_rps) const;
 
  private:
   Options options_;
--- a/src/core/admission/retry_budget.cc
+++ b/src/core/admission/retry_budget.cc
@@ -30,12 +30,12 @@
 }
 
 Duration Backoff::Delay(std::uint32_t retry, std::uint64_t random_bits) const {
-  Duration most = base;
-  for (std::uint32_t it = 0; it < retry && most < cap; ++it) {
-    most *= 2;
+  Duration max_delay = base;
+  for (std::uint32_t it = 0; it < retry && max_delay < cap; ++it) {
+    max_delay *= 2;
   }
-  most = std::min(most, cap);
-  return std::chrono::duration_cast<Duration>(most *
+  max_delay = std::min(max_delay, cap);
+  return std::chrono::duration_cast<Duration>(max_delay *
                                               ToUnitInterval(random_bits));
 }
 
--- a/src/core/admission/shared_rate_limits.cc
+++ b/src/core/admission/shared_rate_limits.cc
@@ -34,9 +34,9 @@
 std::optional<LimitChange> SharedRateLimits::OnAnswer(const std::string& target,
                                                       const LimitNotice& notice,
                                                       TimePoint now) {
-  const auto change = named_.OnAnswer(target, notice, now);
+  const auto change = advertised_.OnAnswer(target, notice, now);
   if (change) {
-    Follow(target, *change, now);
+    ApplyChange(target, *change, now);
   }
   return change;
 }
@@ -49,34 +49,34 @@
     return std::nullopt;
   }
   shared_[target].limit = limit;
-  const auto change = named_.OnShared(target, limit, now);
+  const auto change = advertised_.OnShared(target, limit, now);
   if (change) {
-    Follow(target, *change, now);
+    ApplyChange(target, *change, now);
   }
   return change;
 }
 
 bool SharedRateLimits::ShouldShare(const std::string& target, TimePoint now) {
-  const std::optional<double> believed = named_.Find(target);
+  const std::optional<double> in_force = advertised_.Find(target);
   const auto it = shared_.find(target);
-  const auto known = it == shared_.end() ? std::nullopt : it->second.limit;
-  const bool shows =
-      believed && known
-          ? std::abs(*believed - *known) <= kSharedPrecision * *believed
-          : believed.has_value() == known.has_value();
-  if (shows) {
+  const auto announced = it == shared_.end() ? std::nullopt : it->second.limit;
+  const bool up_to_date =
+      in_force && announced
+          ? std::abs(*in_force - *announced) <= kSharedPrecision * *in_force
+          : in_force.has_value() == announced.has_value();
+  if (up_to_date) {
     return false;
   }
   Shared& shared = shared_[target];
-  if (shared.told_at && now - *shared.told_at < kShareInterval) {
+  if (shared.shared_at && now - *shared.shared_at < kShareInterval) {
     return false;
   }
-  shared.told_at = now;
+  shared.shared_at = now;
   return true;
 }
 
-void SharedRateLimits::Follow(const std::string& target,
-                              const LimitChange& change, TimePoint now) {
+void SharedRateLimits::ApplyChange(const std::string& target,
+                                   const LimitChange& change, TimePoint now) {
   if (change.after) {
     standing_ = shares_.StandingOf(view_, now);
     SetShare(target, &pacers_[target], now);
@@ -93,8 +93,8 @@
 
 void SharedRateLimits::SetShare(const std::string& target, SendPacer* pacer,
                                 TimePoint now) {
-  const double limit = named_.Find(target).value_or(0);
-  const RateShare share = shares_.Of(target, limit, view_, standing_);
+  const double limit = advertised_.Find(target).value_or(0);
+  const RateShare share = shares_.Compute(target, limit, view_, standing_);
   pacer->SetShare(share, ToUnitInterval(random_()),
                   DueByAverage(target, share, now), now);
 }
@@ -106,10 +106,10 @@
   if (it == sent_.end()) {
     return now;
   }
-  const double most =
+  const double max_requests =
       share.per_second * std::chrono::duration<double>(kAveragingTime).count();
   const auto before_one_more =
-      static_cast<std::uint64_t>(std::max(most - 1, 0.0));
+      static_cast<std::uint64_t>(std::max(max_requests - 1, 0.0));
   return now + it->second.UntilAtMost(before_one_more, now);
 }
 
@@ -127,7 +127,7 @@
 }
 
 void SharedRateLimits::Forget(const std::string& target) {
-  named_.Forget(target);
+  advertised_.Forget(target);
   shared_.erase(target);
   sent_.erase(target);
   pacers_.erase(target);
--- a/src/core/admission/shared_rate_limits.h
+++ b/src/core/admission/shared_rate_limits.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <unordered_map>
 
+#include "core/admission/advertised_limits.h"
 #include "core/admission/limit_share.h"
-#include "core/admission/named_limits.h"
 #include "core/admission/recent_count.h"
 #include "core/admission/send_pacer.h"
 #include "core/base/random.h"
@@ -60,7 +60,7 @@
 
   /// Returns the limit of `target` in requests per second, if any.
   std::optional<double> LimitOf(const std::string& target) const {
-    return named_.Find(target);
+    return advertised_.Find(target);
   }
 
   /// Returns the time until a request may be sent to `target`, zero if it may
@@ -98,21 +98,21 @@
   /// Limit of a target as shared among the entries.
   struct Shared {
     std::optional<double> limit;
-    std::optional<TimePoint> told_at;  ///< When this entry last shared it.
+    std::optional<TimePoint> shared_at;  ///< When this entry last shared it.
   };
 
   /// Returns when one more request to `target` keeps the average within
   /// `share`.
   TimePoint DueByAverage(const std::string& target, const RateShare& share,
                          TimePoint now) const;
-  void Follow(const std::string& target, const LimitChange& change,
-              TimePoint now);
+  void ApplyChange(const std::string& target, const LimitChange& change,
+                   TimePoint now);
   void SetShare(const std::string& target, SendPacer* pacer, TimePoint now);
   void SetShares(TimePoint now);
 
   LimitShare shares_;
   RandomSource random_;
-  NamedLimits named_;
+  AdvertisedLimits advertised_;
   EntryView view_;
   LimitShare::Standing standing_ = LimitShare::Standing::kNotJoined;
   std::map<std::string, SendPacer> pacers_;  ///< By target with a limit.
--- a/src/core/admission/target_rests.cc
+++ b/src/core/admission/target_cooldowns.cc
@@ -1,25 +1,26 @@
-#include "core/admission/target_rests.h"
+#include "core/admission/target_cooldowns.h"
 
 #include <algorithm>
 
 namespace indigolead {
 
-Duration TargetRests::OnAsked(const std::string& target, Duration length,
-                              TimePoint now) {
+Duration TargetCooldowns::OnCooldownRequested(const std::string& target,
+                                              Duration length, TimePoint now) {
   if (length > Duration{0}) {
     TimePoint& end = ends_[target];
-    end = std::max(end, now + std::min(length, kLongestRest));
+    end = std::max(end, now + std::min(length, kMaxCooldown));
   }
   return WaitFor(target, now);
 }
 
-Duration TargetRests::WaitFor(const std::string& target, TimePoint now) const {
+Duration TargetCooldowns::WaitFor(const std::string& target,
+                                  TimePoint now) const {
   const auto it = ends_.find(target);
   return it == ends_.end() ? Duration{0}
                            : std::max(Duration{0}, it->second - now);
 }
 
-std::vector<std::string> TargetRests::Tick(TimePoint now) {
+std::vector<std::string> TargetCooldowns::Tick(TimePoint now) {
   std::vector<std::string> over;
   for (auto it = ends_.begin(); it != ends_.end();) {
     if (it->second <= now) {
--- a/src/core/admission/target_rests.h
+++ b/src/core/admission/target_cooldowns.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_CORE_ADMISSION_TARGET_RESTS_H_
-#define INDIGOLEAD_CORE_ADMISSION_TARGET_RESTS_H_
+#ifndef INDIGOLEAD_CORE_ADMISSION_TARGET_COOLDOWNS_H_
+#define INDIGOLEAD_CORE_ADMISSION_TARGET_COOLDOWNS_H_
 
 #include <cstddef>
 #include <map>
@@ -20,14 +20,15 @@
 /// A cooldown applies to this entry only and ends with the target's process.
 ///
 /// Not thread-safe. Uses one record per target with a cooldown.
-class TargetRests {
+class TargetCooldowns {
  public:
   /// Maximum length of a cooldown; limits the effect of an erroneous header.
-  static constexpr Duration kLongestRest = std::chrono::hours(1);
+  static constexpr Duration kMaxCooldown = std::chrono::hours(1);
 
   /// Records that `target` requests a cooldown of `length` from `now`. Does not
   /// shorten a cooldown that ends later. Returns the remaining time.
-  Duration OnAsked(const std::string& target, Duration length, TimePoint now);
+  Duration OnCooldownRequested(const std::string& target, Duration length,
+                               TimePoint now);
 
   /// Removes the cooldown of `target`. Called when the target's process has
   /// ended.
@@ -49,4 +50,4 @@
 
 }  // namespace indigolead
 
-#endif  // INDIGOLEAD_CORE_ADMISSION_TARGET_RESTS_H_
+#endif  // INDIGOLEAD_CORE_ADMISSION_TARGET_COOLDOWNS_H_
--- a/src/core/roles/role_capacity.cc
+++ b/src/core/roles/role_capacity.cc
@@ -5,10 +5,10 @@
 namespace indigolead {
 namespace {
 
-constexpr double kMostTimes = 100;
+constexpr double kMaxRatio = 100;
 
-double Times(double engines, double demand) {
-  return demand * kMostTimes <= engines ? kMostTimes : engines / demand;
+double BoundedRatio(double engines, double demand) {
+  return demand * kMaxRatio <= engines ? kMaxRatio : engines / demand;
 }
 
 }  // namespace
@@ -31,16 +31,16 @@
       mix.output_tokens_per_s / std::max(rates.decode_tokens_per_s, 1.0)};
 }
 
-double ServedTimes(const RoleCounts& counts, const EngineDemand& demand,
-                   const EngineRates& rates) {
+double CapacityRatio(const RoleCounts& counts, const EngineDemand& demand,
+                     const EngineRates& rates) {
   const double mixed = counts.mixed * rates.mixed_efficiency;
   // Mixed engines can do either kind of work, so three constraints apply:
   // prefill with all mixed engines, decode with all mixed engines, and both
   // kinds on all engines together.
-  return std::min({Times(counts.prefill + mixed, demand.prefill),
-                   Times(counts.decode + mixed, demand.decode),
-                   Times(counts.prefill + counts.decode + mixed,
-                         demand.prefill + demand.decode)});
+  return std::min({BoundedRatio(counts.prefill + mixed, demand.prefill),
+                   BoundedRatio(counts.decode + mixed, demand.decode),
+                   BoundedRatio(counts.prefill + counts.decode + mixed,
+                                demand.prefill + demand.decode)});
 }
 
 }  // namespace indigolead
--- a/src/core/roles/role_capacity.h
+++ b/src/core/roles/role_capacity.h
@@ -44,8 +44,8 @@
 
 /// Returns the ratio of the engines' capacity to `demand`, at most 100. A value
 /// below 1 is the share of the demand that can be served.
-double ServedTimes(const RoleCounts& counts, const EngineDemand& demand,
-                   const EngineRates& rates);
+double CapacityRatio(const RoleCounts& counts, const EngineDemand& demand,
+                     const EngineRates& rates);
 
 }  // namespace indigolead
 
--- a/src/core/roles/role_planner.cc
+++ b/src/core/roles/role_planner.cc
@@ -53,16 +53,16 @@
 RolePlanner::RolePlanner(const Options& options)
     : options_(options),
       change_time_s_(Seconds(options.change_time)),
-      fast_(options.fast),
-      slow_(options.slow) {}
+      fast_demand_(options.fast_time_constant),
+      slow_demand_(options.slow_time_constant) {}
 
 void RolePlanner::OnDemand(const TokenMix& mix, Duration length) {
-  fast_.Add(mix, length);
-  slow_.Add(mix, length);
+  fast_demand_.Add(mix, length);
+  slow_demand_.Add(mix, length);
 }
 
-bool RolePlanner::ChangeInFlight(std::span<const RoleTarget> targets,
-                                 TimePoint now) {
+bool RolePlanner::UpdateChangeInFlight(std::span<const RoleTarget> targets,
+                                       TimePoint now) {
   if (pending_) {
     const RoleTarget* target = FindTarget(targets, pending_->instance);
     const bool ordered = target != nullptr && target->role == pending_->to;
@@ -98,8 +98,8 @@
   return in_flight;
 }
 
-void RolePlanner::NoteConfirmed(std::span<const RoleTarget> targets,
-                                TimePoint now) {
+void RolePlanner::RecordChangeTimes(std::span<const RoleTarget> targets,
+                                    TimePoint now) {
   std::erase_if(changed_at_, [&](const auto& it) {
     return FindTarget(targets, it.first) == nullptr;
   });
@@ -112,21 +112,20 @@
   }
 }
 
-double RolePlanner::Value(const RoleCounts& counts,
-                          const EngineDemand& demand) const {
-  const double times = ServedTimes(counts, demand, rates_);
-  const double share = std::min(1.0, times * options_.target_use);
+double RolePlanner::ServedEngines(const RoleCounts& counts,
+                                  const EngineDemand& demand) const {
+  const double capacity_ratio = CapacityRatio(counts, demand, rates_);
+  const double share = std::min(1.0, capacity_ratio * options_.target_use);
   return share * (demand.prefill + demand.decode);
 }
 
 // Considers changing several engines, because changing one alone may gain
 // nothing. The gain is counted per engine.
-RolePlanner::Move RolePlanner::BestOf(EngineRole from, EngineRole to,
-                                      const RoleSpec& spec,
-                                      const RoleCounts& counts,
-                                      const EngineDemand& demand) const {
-  Move best{from, to, -1};
-  const double value = Value(counts, demand);
+RolePlanner::Transition RolePlanner::BestTransition(
+    EngineRole from, EngineRole to, const RoleSpec& spec,
+    const RoleCounts& counts, const EngineDemand& demand) const {
+  Transition best{from, to, -1};
+  const double value = ServedEngines(counts, demand);
   RoleCounts after = counts;
   for (std::uint32_t n = 1; CountOf(&after, from) > 0; ++n) {
     --CountOf(&after, from);
@@ -134,40 +133,42 @@
     if (!IsAllowed(after, spec)) {
       break;
     }
-    best.rate = std::max(best.rate, (Value(after, demand) - value) / n);
+    best.rate = std::max(best.rate, (ServedEngines(after, demand) - value) / n);
   }
   return best;
 }
 
-bool RolePlanner::Reverses(const Move& move, const RoleSpec& spec,
-                           TimePoint now) const {
+bool RolePlanner::ReversesLastChange(const Transition& transition,
+                                     const RoleSpec& spec,
+                                     TimePoint now) const {
   const bool towards_other =
-      last_ && (move.to == last_->from || move.from == last_->to);
-  return towards_other && now - last_at_ < spec.min_dwell;
+      last_change_ && (transition.to == last_change_->from ||
+                       transition.from == last_change_->to);
+  return towards_other && now - last_change_at_ < spec.min_dwell;
 }
 
-std::optional<RoleChange> RolePlanner::Order(
-    const Move& move, RoleChangeCause cause, double loss_engine_s,
+std::optional<RoleChange> RolePlanner::OrderChange(
+    const Transition& transition, RoleChangeCause cause, double loss_engine_s,
     std::span<const RoleTarget> targets, const RoleSpec& spec, TimePoint now) {
   for (const RoleTarget& it : targets) {
     const auto changed = changed_at_.find(it.instance);
     const bool dwells = cause == RoleChangeCause::kGain &&
                         changed != changed_at_.end() &&
                         now - changed->second < spec.min_dwell;
-    if (it.role != move.from || !it.serving || it.leaving || dwells) {
+    if (it.role != transition.from || !it.serving || it.leaving || dwells) {
       continue;
     }
     RoleChange change;
     change.instance = it.instance;
-    change.from = move.from;
-    change.to = move.to;
+    change.from = transition.from;
+    change.to = transition.to;
     change.cause = cause;
     change.gain_engine_s = loss_engine_s;
     change.cost_engine_s = change_time_s_ * spec.role_change_cost;
     pending_ = change;
     pending_since_ = now;
-    last_ = change;
-    last_at_ = now;
+    last_change_ = change;
+    last_change_at_ = now;
     // The accumulated losses apply to the previous roles.
     loss_ = {};
     return change;
@@ -207,7 +208,7 @@
             : after.prefill >= std::min(spec.min_prefill, counts.prefill) &&
                   after.prefill + after.mixed > 0;
     if (keeps_other) {
-      return Order(Move{from, to, 0}, cause, 0, targets, spec, now);
+      return OrderChange(Transition{from, to, 0}, cause, 0, targets, spec, now);
     }
   }
   // No engine can be moved without leaving the other kind of work without one,
@@ -215,8 +216,8 @@
   if (cause == RoleChangeCause::kMissing) {
     const EngineRole from =
         no_prefill ? EngineRole::kDecode : EngineRole::kPrefill;
-    return Order(Move{from, EngineRole::kMixed, 0}, cause, 0, targets, spec,
-                 now);
+    return OrderChange(Transition{from, EngineRole::kMixed, 0}, cause, 0,
+                       targets, spec, now);
   }
   return std::nullopt;
 }
@@ -227,29 +228,31 @@
   const double step_s =
       std::clamp(Seconds(now - planned_at_), 0.0, Seconds(options_.max_step));
   planned_at_ = now;
-  const EngineDemand demand = DemandOf(fast_.mix(), rates_);
+  const EngineDemand demand = DemandOf(fast_demand_.mix(), rates_);
   const double cost = change_time_s_ * spec.role_change_cost;
   const double limit = cost * options_.hysteresis;
   const double noise =
       options_.min_gain_share *
       static_cast<double>(counts.prefill + counts.decode + counts.mixed);
-  Move best;
+  Transition best;
   double best_loss = limit;
   for (const EngineRole from : kRoles) {
     for (const EngineRole to : kRoles) {
       if (from == to) {
         continue;
       }
-      const Move move = BestOf(from, to, spec, counts, demand);
+      const Transition transition =
+          BestTransition(from, to, spec, counts, demand);
       double& loss =
           loss_[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)];
       // Not below zero, so that a long time without loss does not delay the
       // reaction when the mix changes. Bounded above, so that the sum falls
       // quickly when the mix changes back.
-      loss = std::clamp(loss + (move.rate - noise) * step_s, 0.0, 2 * limit);
-      if (loss > best_loss && move.rate > best.rate &&
-          !Reverses(move, spec, now)) {
-        best = move;
+      loss =
+          std::clamp(loss + (transition.rate - noise) * step_s, 0.0, 2 * limit);
+      if (loss > best_loss && transition.rate > best.rate &&
+          !ReversesLastChange(transition, spec, now)) {
+        best = transition;
         best_loss = limit;
       }
     }
@@ -257,30 +260,30 @@
   if (best.rate <= 0) {
     return std::nullopt;
   }
-  return Order(best, RoleChangeCause::kGain,
-               loss_[static_cast<std::size_t>(best.from)]
-                    [static_cast<std::size_t>(best.to)],
-               targets, spec, now);
+  return OrderChange(best, RoleChangeCause::kGain,
+                     loss_[static_cast<std::size_t>(best.from)]
+                          [static_cast<std::size_t>(best.to)],
+                     targets, spec, now);
 }
 
 std::optional<RoleChange> RolePlanner::Plan(const RoleSpec& spec,
                                             std::span<const RoleTarget> targets,
                                             std::uint32_t hour, TimePoint now) {
-  NoteConfirmed(targets, now);
+  RecordChangeTimes(targets, now);
   const RoleCounts counts = CountServing(targets);
-  if (!spec.automatic || ChangeInFlight(targets, now) ||
+  if (!spec.automatic || UpdateChangeInFlight(targets, now) ||
       counts == RoleCounts{}) {
     return std::nullopt;
   }
   if (auto change = PlanForced(spec, targets, counts, now)) {
     return change;
   }
-  if (slow_.observed() < options_.warm_up) {
+  if (slow_demand_.observed() < options_.warm_up) {
     planned_at_ = now;
     return std::nullopt;
   }
   const double served =
-      ServedTimes(counts, DemandOf(slow_.mix(), rates_), rates_);
+      CapacityRatio(counts, DemandOf(slow_demand_.mix(), rates_), rates_);
   if (IsQuietHour(spec, hour) && served >= options_.quiet_served_share) {
     return std::nullopt;
   }
--- a/src/core/roles/role_planner.h
+++ b/src/core/roles/role_planner.h
@@ -67,10 +67,11 @@
 class RolePlanner {
  public:
   struct Options {
-    /// Time constants of the averages of the demand: `fast` determines the gain
-    /// of a change, `slow` whether a change is allowed in quiet hours.
-    Duration fast = std::chrono::seconds(15);
-    Duration slow = std::chrono::seconds(60);
+    /// Time constants of the averages of the demand: `fast_time_constant`
+    /// determines the gain of a change, `slow_time_constant` whether a change
+    /// is allowed in quiet hours.
+    Duration fast_time_constant = std::chrono::seconds(15);
+    Duration slow_time_constant = std::chrono::seconds(60);
     /// Minimum observation of the demand before a change for its gain.
     Duration warm_up = std::chrono::seconds(30);
     /// Initial estimate of the time for which a change takes an engine out of
@@ -112,30 +113,34 @@
 
  private:
   /// Change of one engine from one role to another.
-  struct Move {
+  struct Transition {
     EngineRole from = EngineRole::kMixed;
     EngineRole to = EngineRole::kMixed;
     double rate = 0;  ///< Engine-seconds gained per second, per engine.
 
-    friend bool operator==(const Move&, const Move&) = default;
+    friend bool operator==(const Transition&, const Transition&) = default;
   };
 
-  bool ChangeInFlight(std::span<const RoleTarget> targets, TimePoint now);
-  void NoteConfirmed(std::span<const RoleTarget> targets, TimePoint now);
+  bool UpdateChangeInFlight(std::span<const RoleTarget> targets, TimePoint now);
+  void RecordChangeTimes(std::span<const RoleTarget> targets, TimePoint now);
   std::optional<RoleChange> PlanForced(const RoleSpec& spec,
                                        std::span<const RoleTarget> targets,
                                        const RoleCounts& counts, TimePoint now);
   std::optional<RoleChange> PlanGain(const RoleSpec& spec,
                                      std::span<const RoleTarget> targets,
                                      const RoleCounts& counts, TimePoint now);
-  double Value(const RoleCounts& counts, const EngineDemand& demand) const;
-  Move BestOf(EngineRole from, EngineRole to, const RoleSpec& spec,
-              const RoleCounts& counts, const EngineDemand& demand) const;
-  bool Reverses(const Move& move, const RoleSpec& spec, TimePoint now) const;
-  std::optional<RoleChange> Order(const Move& move, RoleChangeCause cause,
-                                  double loss_engine_s,
-                                  std::span<const RoleTarget> targets,
-                                  const RoleSpec& spec, TimePoint now);
+  double ServedEngines(const RoleCounts& counts,
+                       const EngineDemand& demand) const;
+  Transition BestTransition(EngineRole from, EngineRole to,
+                            const RoleSpec& spec, const RoleCounts& counts,
+                            const EngineDemand& demand) const;
+  bool ReversesLastChange(const Transition& transition, const RoleSpec& spec,
+                          TimePoint now) const;
+  std::optional<RoleChange> OrderChange(const Transition& transition,
+                                        RoleChangeCause cause,
+                                        double loss_engine_s,
+                                        std::span<const RoleTarget> targets,
+                                        const RoleSpec& spec, TimePoint now);
 
   Options options_;
   EngineRates rates_;
@@ -143,13 +148,13 @@
   /// Work lost without each change, in engine-seconds, by its old and new role.
   std::array<std::array<double, 3>, 3> loss_{};
   TimePoint planned_at_{};
-  DemandAverage fast_;
-  DemandAverage slow_;
+  DemandAverage fast_demand_;
+  DemandAverage slow_demand_;
   /// Change returned last, until its order is visible in the targets.
   std::optional<RoleChange> pending_;
   TimePoint pending_since_{};
-  std::optional<RoleChange> last_;
-  TimePoint last_at_{};
+  std::optional<RoleChange> last_change_;
+  TimePoint last_change_at_{};
   /// Start of the change of each changing engine; at most `max_targets`.
   std::map<std::string, TimePoint> changing_since_;
   std::map<std::string, TimePoint> changed_at_;
--- a/src/entry/direct_carrier.h
+++ b/src/entry/direct_carrier.h
@@ -13,7 +13,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/admission/named_limits.h"
+#include "core/admission/advertised_limits.h"
 #include "core/request/request_flow.h"
 #include "entry/target_dialect.h"
 #include "observe/event_log.h"
--- a/src/entry/direct_dispatcher.cc
+++ b/src/entry/direct_dispatcher.cc
@@ -158,7 +158,7 @@
     return SpendRetry(request, AttemptReach::kReader);
   };
   hooks.on_no_arrival = [this](const CallerRequest& request) {
-    BudgetOf(request.deployment).GiveBack(kArrivalsWhole);
+    BudgetOf(request.deployment).Refund(kArrivalsWhole);
     further_arrivals_unmade_.Add(static_cast<std::uint64_t>(kArrivalsWhole));
   };
   hooks.on_doubtful_end = [this](const AnswerBodyEnd& end) {
@@ -438,7 +438,7 @@
     return held->second;
   }
   EntryRetryBudget::Options options = options_.retry_budget;
-  options.least_saved = ArrivalsOfAttempt(service);
+  options.min_saved = ArrivalsOfAttempt(service);
   return budgets_.try_emplace(service, options).first->second;
 }
 
--- a/src/entry/direct_dispatcher.h
+++ b/src/entry/direct_dispatcher.h
@@ -12,7 +12,7 @@
 #include "core/admission/entry_retry_budget.h"
 #include "core/admission/retry_allowance.h"
 #include "core/admission/shared_rate_limits.h"
-#include "core/admission/target_rests.h"
+#include "core/admission/target_cooldowns.h"
 #include "core/base/random.h"
 #include "core/membership/target_addresses.h"
 #include "core/membership/target_directory.h"
@@ -239,7 +239,7 @@
   CrashDetector crashes_;
   TargetAddresses addresses_;
   SharedRateLimits limits_;  ///< By the targets' addresses.
-  TargetRests rests_;
+  TargetCooldowns rests_;
   EntryView entries_;
   std::shared_ptr<const RouteTable> routes_;
   std::map<std::string, EnginePlacement> placements_;
--- a/src/entry/direct_dispatcher_log.cc
+++ b/src/entry/direct_dispatcher_log.cc
@@ -147,7 +147,7 @@
         {"arrivals", std::to_string(static_cast<int>(arrivals))},
         {"left", std::to_string(left)},
         {"most",
-         std::to_string(BudgetOf(request.deployment).MostSaved(clock_()))},
+         std::to_string(BudgetOf(request.deployment).MaxSaved(clock_()))},
         {"entries", std::to_string(entries_.names.size())},
         {"list_age_ms", list_age},
         {"outcome", granted ? "granted" : "denied"}});
--- a/src/entry/direct_dispatcher_notices.cc
+++ b/src/entry/direct_dispatcher_notices.cc
@@ -20,7 +20,7 @@
 void DirectDispatcher::OnRestAsked(const std::string& instance,
                                    Duration length) {
   for (const std::string& it : MaySpeakFor(instance)) {
-    const Duration left = rests_.OnAsked(it, length, clock_());
+    const Duration left = rests_.OnCooldownRequested(it, length, clock_());
     log_(kTargetAskedRest, {{"target", it},
                             {"answered", instance},
                             {"asked_ms", Milliseconds(length)},
--- a/tests/core/admission/admission_test.cc
+++ b/tests/core/admission/admission_test.cc
@@ -44,9 +44,9 @@
 }
 
 /// Admission with client accounts, and a record of its decisions.
-struct Desk {
-  explicit Desk(std::vector<ClientAccountSpec> accounts,
-                AdmissionOptions options = {})
+struct AdmissionHarness {
+  explicit AdmissionHarness(std::vector<ClientAccountSpec> accounts,
+                            AdmissionOptions options = {})
       : admission(options) {
     spec.client_accounts = std::move(accounts);
     admission.Configure(spec);
@@ -97,27 +97,27 @@
 };
 
 TEST_CASE("Admission immediately refuses requests that cannot be served") {
-  Desk desk({Account("salon")});
+  AdmissionHarness harness({Account("salon")});
 
   SECTION("unknown or removed account") {
-    CHECK(desk.Offer("nobody", 1).cause == RefusalCause::kUnknownAccount);
-    desk.admission.Configure(DeploymentSpec{});
-    CHECK(desk.Offer("salon", 1).cause == RefusalCause::kUnknownAccount);
+    CHECK(harness.Offer("nobody", 1).cause == RefusalCause::kUnknownAccount);
+    harness.admission.Configure(DeploymentSpec{});
+    CHECK(harness.Offer("salon", 1).cause == RefusalCause::kUnknownAccount);
   }
   SECTION("a deadline that even an idle fleet would miss gets no retry delay") {
-    desk.admission.SetFleet(Idle());
-    const auto decision = desk.Offer("salon", 1, milliseconds(99));
+    harness.admission.SetFleet(Idle());
+    const auto decision = harness.Offer("salon", 1, milliseconds(99));
     CHECK(decision.cause == RefusalCause::kDeadlineTooShort);
     CHECK_FALSE(decision.retry_after.has_value());
-    CHECK(desk.Offer("salon", 1, milliseconds(100)).verdict ==
+    CHECK(harness.Offer("salon", 1, milliseconds(100)).verdict ==
           AdmissionVerdict::kAdmitted);
   }
   SECTION(
       "a deadline missed because of the queue gets the delay after which it "
       "can be met") {
-    REQUIRE(desk.Offer("salon", 10000).verdict == AdmissionVerdict::kQueued);
+    REQUIRE(harness.Offer("salon", 10000).verdict == AdmissionVerdict::kQueued);
     // 10 s of queued work plus 0.1 s of service is 7.1 s past the 3 s deadline.
-    const auto decision = desk.Offer("salon", 1, seconds(3));
+    const auto decision = harness.Offer("salon", 1, seconds(3));
     CHECK(decision.verdict == AdmissionVerdict::kRefused);
     CHECK(decision.cause == RefusalCause::kDeadline);
     REQUIRE(decision.retry_after.has_value());
@@ -127,18 +127,18 @@
   SECTION(
       "a queued request is refused as soon as it cannot meet its deadline, "
       "not when the deadline passes") {
-    REQUIRE(desk.Offer("salon", 1, seconds(1)).verdict ==
+    REQUIRE(harness.Offer("salon", 1, seconds(1)).verdict ==
             AdmissionVerdict::kQueued);
     const auto advance = [&](TimePoint now) {
-      desk.admission.Advance(
-          now, Busy, [&](const auto& it) { desk.refused.push_back(it); });
+      harness.admission.Advance(
+          now, Busy, [&](const auto& it) { harness.refused.push_back(it); });
     };
     advance(kStart + milliseconds(900));
-    CHECK(desk.refused.empty());
+    CHECK(harness.refused.empty());
     advance(kStart + milliseconds(911));
-    REQUIRE(desk.refused.size() == 1);
-    CHECK(desk.refused[0].cause == RefusalCause::kDeadline);
-    CHECK(desk.admission.queued() == 0);
+    REQUIRE(harness.refused.size() == 1);
+    CHECK(harness.refused[0].cause == RefusalCause::kDeadline);
+    CHECK(harness.admission.queued() == 0);
   }
 }
 
@@ -146,44 +146,45 @@
   ClientAccountSpec limited = Account("salon");
   SECTION("concurrency counts running and queued requests") {
     limited.max_concurrent = 2;
-    Desk desk({limited});
-    CHECK(desk.Offer("salon", 1).verdict == AdmissionVerdict::kQueued);
-    CHECK(desk.Offer("salon", 1).verdict == AdmissionVerdict::kQueued);
-    CHECK(desk.Offer("salon", 1).cause == RefusalCause::kConcurrency);
-    CHECK(desk.admission.Cancel(RequestId{Id128{0, 1}}));
-    CHECK_FALSE(desk.admission.Cancel(RequestId{Id128{0, 1}}));
-    CHECK(desk.Offer("salon", 1).verdict == AdmissionVerdict::kQueued);
+    AdmissionHarness harness({limited});
+    CHECK(harness.Offer("salon", 1).verdict == AdmissionVerdict::kQueued);
+    CHECK(harness.Offer("salon", 1).verdict == AdmissionVerdict::kQueued);
+    CHECK(harness.Offer("salon", 1).cause == RefusalCause::kConcurrency);
+    CHECK(harness.admission.Cancel(RequestId{Id128{0, 1}}));
+    CHECK_FALSE(harness.admission.Cancel(RequestId{Id128{0, 1}}));
+    CHECK(harness.Offer("salon", 1).verdict == AdmissionVerdict::kQueued);
   }
   SECTION(
       "requests per second, with a retry delay after which a request is "
       "accepted") {
     limited.requests_per_second = 2;
-    Desk desk({limited});
-    CHECK(desk.Offer("salon", 1).verdict == AdmissionVerdict::kQueued);
-    CHECK(desk.Offer("salon", 1).verdict == AdmissionVerdict::kQueued);
-    const auto refused = desk.Offer("salon", 1);
+    AdmissionHarness harness({limited});
+    CHECK(harness.Offer("salon", 1).verdict == AdmissionVerdict::kQueued);
+    CHECK(harness.Offer("salon", 1).verdict == AdmissionVerdict::kQueued);
+    const auto refused = harness.Offer("salon", 1);
     CHECK(refused.cause == RefusalCause::kRequestRate);
     REQUIRE(refused.retry_after.has_value());
-    CHECK(desk.Offer("salon", 1, seconds(9), kStart + *refused.retry_after)
+    CHECK(harness.Offer("salon", 1, seconds(9), kStart + *refused.retry_after)
               .verdict == AdmissionVerdict::kQueued);
   }
   SECTION(
       "tokens per second: a large request is accepted and delays the next "
       "one") {
     limited.tokens_per_second = 100;
-    Desk desk({limited});
-    CHECK(desk.Offer("salon", 1000).verdict == AdmissionVerdict::kQueued);
-    const auto refused = desk.Offer("salon", 1);
+    AdmissionHarness harness({limited});
+    CHECK(harness.Offer("salon", 1000).verdict == AdmissionVerdict::kQueued);
+    const auto refused = harness.Offer("salon", 1);
     CHECK(refused.cause == RefusalCause::kTokenRate);
     REQUIRE(refused.retry_after.has_value());
     CHECK(*refused.retry_after > seconds(8));
     SECTION("applying the same configuration again allows no new burst") {
-      desk.admission.Configure(desk.spec);
-      CHECK(desk.Offer("salon", 1).cause == RefusalCause::kTokenRate);
+      harness.admission.Configure(harness.spec);
+      CHECK(harness.Offer("salon", 1).cause == RefusalCause::kTokenRate);
     }
     SECTION("a clock that jumps back does not stop the refill") {
-      desk.Offer("salon", 1, seconds(9), kStart - std::chrono::hours(1));
-      CHECK(desk.Offer("salon", 1, std::chrono::hours(1),
+      harness.Offer("salon", 1, seconds(9), kStart - std::chrono::hours(1));
+      CHECK(harness
+                .Offer("salon", 1, std::chrono::hours(1),
                        kStart - std::chrono::hours(1) + seconds(10))
                 .verdict == AdmissionVerdict::kQueued);
     }
@@ -192,48 +193,48 @@
 
 TEST_CASE("Queued requests are ordered by priority, then by fair share") {
   SECTION("higher priority first") {
-    Desk desk({Account("menu", 0), Account("alert", 5)});
-    desk.Offer("menu", 10);
-    desk.Offer("menu", 10);
-    desk.Offer("alert", 10);
-    CHECK(desk.Dispatch(3) ==
+    AdmissionHarness harness({Account("menu", 0), Account("alert", 5)});
+    harness.Offer("menu", 10);
+    harness.Offer("menu", 10);
+    harness.Offer("alert", 10);
+    CHECK(harness.Dispatch(3) ==
           std::vector<std::string>{"alert", "menu", "menu"});
   }
   SECTION(
       "a lower priority keeps its minimum share under overload from a higher "
       "one") {
-    Desk desk({Account("menu", 0), Account("alert", 5)});
+    AdmissionHarness harness({Account("menu", 0), Account("alert", 5)});
     for (int it = 0; it < 100; ++it) {
-      desk.Offer("menu", 10);
-      desk.Offer("alert", 10);
+      harness.Offer("menu", 10);
+      harness.Offer("alert", 10);
     }
-    const auto order = desk.Dispatch(100);
+    const auto order = harness.Dispatch(100);
     // 5% of the work of the higher priority is about 1 in 21 requests.
     const auto n = std::count(order.begin(), order.end(), "menu");
     CHECK(n >= 4);
     CHECK(n <= 6);
   }
   SECTION("shares count tokens, not requests") {
-    Desk desk({Account("short"), Account("long")});
+    AdmissionHarness harness({Account("short"), Account("long")});
     for (int it = 0; it < 110; ++it) {
-      desk.Offer("short", 10);
+      harness.Offer("short", 10);
       if (it % 10 == 0) {
-        desk.Offer("long", 100);
+        harness.Offer("long", 100);
       }
     }
-    const auto order = desk.Dispatch(55);
+    const auto order = harness.Dispatch(55);
     CHECK(std::count(order.begin(), order.end(), "long") == 5);
   }
   SECTION("an idle account earns no credit") {
-    Desk desk({Account("a"), Account("b")});
+    AdmissionHarness harness({Account("a"), Account("b")});
     for (int it = 0; it < 40; ++it) {
-      desk.Offer("a", 10);
+      harness.Offer("a", 10);
     }
-    desk.Dispatch(20);
+    harness.Dispatch(20);
     for (int it = 0; it < 20; ++it) {
-      desk.Offer("b", 10);
+      harness.Offer("b", 10);
     }
-    const auto order = desk.Dispatch(10);
+    const auto order = harness.Dispatch(10);
     CHECK(std::count(order.begin(), order.end(), "b") == 5);
   }
 }
@@ -244,47 +245,47 @@
 TEST_CASE("One account cannot keep the whole queue from others") {
   AdmissionOptions options;
   options.queue.max_requests = 10;
-  Desk desk({Account("flood"), Account("quiet"), Account("urgent", 5)},
-            options);
+  AdmissionHarness harness(
+      {Account("flood"), Account("quiet"), Account("urgent", 5)}, options);
   for (int it = 0; it < 30; ++it) {
-    desk.Offer("flood", 10);
+    harness.Offer("flood", 10);
   }
-  REQUIRE(desk.admission.queued() == 10);
-  CHECK(desk.displaced.empty());
+  REQUIRE(harness.admission.queued() == 10);
+  CHECK(harness.displaced.empty());
 
   SECTION(
       "an account of equal priority with less queued work evicts a request") {
-    CHECK(desk.Offer("quiet", 10).verdict == AdmissionVerdict::kQueued);
-    REQUIRE(desk.displaced.size() == 1);
-    CHECK(desk.displaced[0].cause == RefusalCause::kDisplaced);
-    CHECK(desk.displaced[0].retry_after.has_value());
-    CHECK(desk.admission.queued() == 10);
+    CHECK(harness.Offer("quiet", 10).verdict == AdmissionVerdict::kQueued);
+    REQUIRE(harness.displaced.size() == 1);
+    CHECK(harness.displaced[0].cause == RefusalCause::kDisplaced);
+    CHECK(harness.displaced[0].retry_after.has_value());
+    CHECK(harness.admission.queued() == 10);
   }
   SECTION("the queue ends up shared evenly") {
     int queued = 0;
     for (int it = 0; it < 30; ++it) {
-      queued += desk.Offer("quiet", 10).verdict == AdmissionVerdict::kQueued;
+      queued += harness.Offer("quiet", 10).verdict == AdmissionVerdict::kQueued;
     }
     CHECK(queued >= 4);
     CHECK(queued <= 5);
   }
   SECTION("an account of higher priority evicts requests of lower ones") {
     for (int it = 0; it < 10; ++it) {
-      CHECK(desk.Offer("urgent", 10).verdict == AdmissionVerdict::kQueued);
+      CHECK(harness.Offer("urgent", 10).verdict == AdmissionVerdict::kQueued);
     }
-    CHECK(desk.Offer("flood", 10).cause == RefusalCause::kQueueFull);
+    CHECK(harness.Offer("flood", 10).cause == RefusalCause::kQueueFull);
   }
 }
 
 TEST_CASE("Targets get just enough to stay busy") {
-  Desk desk({Account("salon")});
+  AdmissionHarness harness({Account("salon")});
   for (int it = 0; it < 10; ++it) {
-    desk.Offer("salon", 10);
+    harness.Offer("salon", 10);
   }
   FleetLoad load = Idle(3);
   const auto admitted = [&] {
     int n = 0;
-    desk.admission.Advance(
+    harness.admission.Advance(
         kStart, [&load] { return load; },
         [&](const AdmissionDecision& it) {
           ++load.requests;
@@ -302,7 +303,7 @@
   SECTION("none without a target, and no refusal while deadlines can be met") {
     load = FleetLoad{};
     CHECK(admitted() == 0);
-    CHECK(desk.admission.queued() == 10);
+    CHECK(harness.admission.queued() == 10);
   }
 }
 
@@ -351,8 +352,8 @@
         options.queue.max_work = 400;
         ClientAccountSpec a = Account("a", 0, 1 + ToBelow(random(), 4));
         a.max_concurrent = 5;
-        Desk desk({a, Account("b", static_cast<int>(ToBelow(random(), 2)))},
-                  options);
+        AdmissionHarness harness(
+            {a, Account("b", static_cast<int>(ToBelow(random(), 2)))}, options);
         std::map<std::uint64_t, int> answers;
         std::vector<AdmissionTicket> running;
         std::map<std::uint32_t, std::uint32_t> held_by;
@@ -369,33 +370,34 @@
         for (int step = 0; step < 300; ++step) {
           now += milliseconds(ToBelow(random(), 50));
           if (ToBelow(random(), 2) == 0) {
-            take(desk.Offer(ToBelow(random(), 2) == 0 ? "a" : "b",
-                            ToBelow(random(), 100),
-                            milliseconds(ToBelow(random(), 2000)), now));
+            take(harness.Offer(ToBelow(random(), 2) == 0 ? "a" : "b",
+                               ToBelow(random(), 100),
+                               milliseconds(ToBelow(random(), 2000)), now));
           } else if (!running.empty()) {
-            desk.admission.OnEnded(running.back(), AdmissionEnd::kInTime, now);
+            harness.admission.OnEnded(running.back(), AdmissionEnd::kInTime,
+                                      now);
             --held_by[running.back().account];
             running.pop_back();
           }
           FleetLoad load = Idle();
           load.requests = static_cast<double>(running.size());
-          desk.admission.Advance(
+          harness.admission.Advance(
               now,
               [&] {
                 load.requests = static_cast<double>(running.size());
                 return load;
               },
               take);
-          RC_ASSERT(desk.admission.queued() <= 8U);
+          RC_ASSERT(harness.admission.queued() <= 8U);
           RC_ASSERT(running.size() <= 4U);
           RC_ASSERT(held_by[0] <= 5U);
         }
-        desk.admission.Advance(
+        harness.admission.Advance(
             now + std::chrono::hours(2), [] { return FleetLoad{}; }, take);
-        for (const auto& it : desk.displaced) {
+        for (const auto& it : harness.displaced) {
           ++answers[it.id.value.lo];
         }
-        RC_ASSERT(answers.size() == desk.last_id);
+        RC_ASSERT(answers.size() == harness.last_id);
         for (const auto& [id, n] : answers) {
           RC_ASSERT(n == 1);
         }
--- a/tests/core/admission/limit_share_test.cc
+++ b/tests/core/admission/limit_share_test.cc
@@ -31,18 +31,18 @@
   const double limit = GENERATE(0.0, 0.5, 5.0, 300.0);
   INFO(entries << " entries, limit " << limit);
   double sum = 0;
-  std::size_t saving = 0;
+  std::size_t accumulating = 0;
   for (std::size_t n = 0; n < entries; ++n) {
     const RateShare share =
-        shares.Of("e1", limit, ViewOf(entries, n), Standing::kFresh);
+        shares.Compute("e1", limit, ViewOf(entries, n), Standing::kFresh);
     CHECK(share.per_second > 0);
     sum += share.per_second;
-    saving += share.valid_for ? 0 : 1;
+    accumulating += share.valid_for ? 0 : 1;
   }
-  CHECK(sum <= std::max(limit, LimitShare::Options{}.least_limit_rps));
+  CHECK(sum <= std::max(limit, LimitShare::Options{}.min_limit_rps));
   CHECK(sum >= 0.75 * limit);
   // Each of them may have accumulated one request and send it at any time.
-  CHECK(static_cast<double>(saving) <= 2 * limit + 3);
+  CHECK(static_cast<double>(accumulating) <= 2 * limit + 3);
 }
 
 TEST_CASE("Different targets choose different entries as participants") {
@@ -51,7 +51,7 @@
   int chosen = 0;
   for (int n = 0; n < 1000; ++n) {
     const RateShare share =
-        shares.Of("e" + std::to_string(n), 5, view, Standing::kFresh);
+        shares.Compute("e" + std::to_string(n), 5, view, Standing::kFresh);
     chosen += share.valid_for ? 0 : 1;
   }
   // Each target chooses 13 of 400 entries.
@@ -75,12 +75,12 @@
     view = ViewOf(4);
     view.listed_at.reset();
     CHECK(shares.StandingOf(view, kNow) == Standing::kNotJoined);
-    CHECK(shares.Of("e1", 5, view, Standing::kNotJoined) == RateShare{});
+    CHECK(shares.Compute("e1", 5, view, Standing::kNotJoined) == RateShare{});
   }
   SECTION("half of the share while its own list is stale") {
     CHECK(shares.StandingOf(view, kNow + seconds(5)) == Standing::kStale);
-    CHECK(shares.Of("e1", 5, view, Standing::kStale).per_second ==
-          shares.Of("e1", 5, view, Standing::kFresh).per_second / 2);
+    CHECK(shares.Compute("e1", 5, view, Standing::kStale).per_second ==
+          shares.Compute("e1", 5, view, Standing::kFresh).per_second / 2);
   }
 }
 
--- a/tests/core/admission/retry_allowance_test.cc
+++ b/tests/core/admission/retry_allowance_test.cc
@@ -76,7 +76,7 @@
   Fleet(std::size_t entries, const RetryAllowance& allowance, double share) {
     options.share = share;
     options.part = allowance.PartOf(ViewOf(entries), kNow);
-    options.least_saved = kAttempt;
+    options.min_saved = kAttempt;
     budgets.assign(entries, EntryRetryBudget(options));
   }
 
@@ -119,7 +119,7 @@
     EntryRetryBudget& budget = fleet.budgets[random() % entries];
     budget.OnRequest(now);
     double arrivals = 0;
-    for (int wish = 0; failing && wish < 4; ++wish) {
+    for (int retry_index = 0; failing && retry_index < 4; ++retry_index) {
       arrivals += budget.TryTake(Fleet::kAttempt, now) ? Fleet::kAttempt : 0;
     }
     if (step > 4 * window && step % (window / 5) == 0) {  // All restart.
@@ -143,14 +143,14 @@
 
 /// Fleet whose entries have 2.3 requests per second each for one service, a
 /// third of which may be retried.
-class CalmFleet {
+class LightLoadFleet {
  public:
   static constexpr double kRatio = 0.2;
   static constexpr double kSlack = 246;
   static constexpr std::size_t kEntries = 100;
   static constexpr double kRequestsPerSecond = 230;
 
-  explicit CalmFleet(double saved_per_request) {
+  explicit LightLoadFleet(double saved_per_request) {
     RetryAllowance allowance;
     allowance.arrivals = kSlack;
     options_.share = 0.7 * kRatio;
@@ -162,8 +162,8 @@
   void Restart() { budgets_.assign(kEntries, EntryRetryBudget(options_)); }
 
   /// Simulates `length`; `failing` is the probability that a request wants
-  /// `wishes` further attempts.
-  void Run(Duration length, double failing, int wishes) {
+  /// `wanted_attempts` further attempts.
+  void Run(Duration length, double failing, int wanted_attempts) {
     const TimePoint end = now_ + length;
     while (now_ < end) {
       now_ += std::chrono::duration_cast<Duration>(
@@ -172,14 +172,14 @@
       budget.OnRequest(now_);
       requests_.push_back(now_);
       const bool fails = ToUnitInterval(random_()) < failing;
-      for (int it = 0; fails && it < wishes; ++it) {
+      for (int it = 0; fails && it < wanted_attempts; ++it) {
         ++wanted;
         if (budget.TryTake(1, now_)) {
           ++granted;
           further_.push_back(now_);
         }
       }
-      Watch();
+      UpdateWorst();
     }
   }
 
@@ -190,7 +190,7 @@
   double worst = 0;
 
  private:
-  void Watch() {
+  void UpdateWorst() {
     constexpr Duration kWindow = seconds(10);
     while (!further_.empty() && further_.front() <= now_ - kWindow) {
       further_.pop_front();
@@ -219,9 +219,9 @@
     "Entries with little traffic have a retry available when an attempt "
     "fails") {
   constexpr double kFailing = 0.14 / 3;
-  CalmFleet before(0);
-  CalmFleet now(0.15 * CalmFleet::kRatio);
-  for (CalmFleet* it : {&before, &now}) {
+  LightLoadFleet before(0);
+  LightLoadFleet now(0.15 * LightLoadFleet::kRatio);
+  for (LightLoadFleet* it : {&before, &now}) {
     it->Run(seconds(15), 0, 0);
     it->Run(seconds(60), kFailing, 1);
   }
@@ -238,7 +238,7 @@
 // request wants four further attempts, and all processes are killed and
 // restarted twice.
 TEST_CASE("Retries accumulated from traffic stay within the operator's limit") {
-  CalmFleet fleet(0.15 * CalmFleet::kRatio);
+  LightLoadFleet fleet(0.15 * LightLoadFleet::kRatio);
   fleet.Run(seconds(30), 0, 0);
   fleet.Run(seconds(4), 1, 4);
   fleet.Restart();
--- a/tests/core/admission/retry_budget_test.cc
+++ b/tests/core/admission/retry_budget_test.cc
@@ -13,7 +13,7 @@
   RetryBudget budget({.share = 0.1, .burst = 10});
   for (int it = 0; it < 10000; ++it) {
     budget.OnFirstAttempt();
-    for (int wish = 0; wish < 3; ++wish) {
+    for (int retry_index = 0; retry_index < 3; ++retry_index) {
       budget.TryTake();
     }
   }
--- a/tests/core/admission/shared_rate_limits_test.cc
+++ b/tests/core/admission/shared_rate_limits_test.cc
@@ -20,9 +20,9 @@
 
 constexpr Duration kStep = milliseconds(20);
 /// Maximum age of the state from which the store returns a list of entries.
-constexpr Duration kMostStale = seconds(3);
+constexpr Duration kMaxListAge = seconds(3);
 /// Maximum delay of a watch: the pause between two calls and the transfer.
-constexpr Duration kMostWatchLag = milliseconds(1600);
+constexpr Duration kMaxWatchLag = milliseconds(1600);
 
 /// Simulates entries that share one target. Each entry has its own list of
 /// entries with its own delay, and does not see the requests of the others.
@@ -41,48 +41,50 @@
     entry->registered_at = settled ? now_ - seconds(60) : now_;
     entry->limits = std::make_unique<SharedRateLimits>(
         LimitShare::Options{}, MakeSeededRandom(random_()));
-    entry->watch_lag = Below(kMostWatchLag / kStep) * kStep;
+    entry->watch_lag = RandomBelow(kMaxWatchLag / kStep) * kStep;
     registered_.insert(entry->name);
     entries_.push_back(std::move(entry));
   }
   /// Kills an entry; its registration remains.
-  void Kill() { entries_.erase(entries_.begin() + Below(entries_.size())); }
+  void Kill() {
+    entries_.erase(entries_.begin() + RandomBelow(entries_.size()));
+  }
   /// Stops an entry gracefully, which first removes its registration.
   void Stop() {
-    Entry& entry = *entries_[Below(entries_.size())];
+    Entry& entry = *entries_[RandomBelow(entries_.size())];
     registered_.erase(entry.name);
     entry.registered_at.reset();
-    Tell(&entry, {});
+    DeliverList(&entry, {});
   }
   /// Replaces the process of an entry by a new one with the same name.
   void Restart() {
-    Entry& entry = *entries_[Below(entries_.size())];
+    Entry& entry = *entries_[RandomBelow(entries_.size())];
     entry.limits = std::make_unique<SharedRateLimits>(
         LimitShare::Options{}, MakeSeededRandom(random_()));
     entry.registered_at = now_;
-    entry.told_at.reset();
+    entry.learned_at.reset();
     entry.answers.clear();
   }
   void Freeze(Duration length) {
-    entries_[Below(entries_.size())]->frozen_until = now_ + length;
+    entries_[RandomBelow(entries_.size())]->frozen_until = now_ + length;
   }
   /// Disconnects an entry from the store.
-  void Cut(Duration length) {
-    entries_[Below(entries_.size())]->cut_until = now_ + length;
+  void Disconnect(Duration length) {
+    entries_[RandomBelow(entries_.size())]->disconnected_until = now_ + length;
   }
   void LoseStore(Duration length) { store_lost_until_ = now_ + length; }
 
   /// Simulates `length`; each entry has `per_second` requests per second for
   /// the target.
-  void Play(Duration length, double per_second) {
+  void Run(Duration length, double per_second) {
     for (const TimePoint end = now_ + length; now_ < end; now_ += kStep) {
       history_.push_back({now_, registered_});
-      while (history_.front().at + kMostStale + kStep < now_) {
+      while (history_.front().at + kMaxListAge + kStep < now_) {
         history_.pop_front();
       }
       for (const auto& it : entries_) {
         if (now_ >= it->frozen_until) {
-          Act(it.get(), per_second);
+          Step(it.get(), per_second);
         }
       }
     }
@@ -90,30 +92,32 @@
 
   /// Returns the maximum number of arrivals that the limit rule counts in any
   /// span.
-  int Most() const {
-    return named_at_ ? testing::MostInSpan(counted_,
-                                           *named_at_ + testing::kLimitContact)
-                     : 0;
+  int MaxArrivals() const {
+    return advertised_at_
+               ? testing::MostInSpan(counted_,
+                                     *advertised_at_ + testing::kLimitContact)
+               : 0;
   }
   /// From now on, the target is overloaded and its answers contain the limit.
-  void BeginNeed() { in_need_ = true; }
-  void HaveNoNeed() { in_need_ = false; }
+  void BeginOverload() { overloaded_ = true; }
+  void StartWithoutOverload() { overloaded_ = false; }
 
   /// Returns the maximum number of arrivals in any span that ends while the
   /// limit rule applies, from entries that know the limit by then. Counts
   /// arrivals from before they knew it as well.
-  int MostFromTheStart() const {
+  int MaxArrivalsFromStart() const {
     int most = 0;
     for (const Arrival& last : arrivals_) {
-      if (!named_at_ || last.at < *named_at_ + testing::kLimitContact) {
+      if (!advertised_at_ ||
+          last.at < *advertised_at_ + testing::kLimitContact) {
         continue;
       }
       const auto n = std::count_if(
           arrivals_.begin(), arrivals_.end(), [&](const Arrival& it) {
-            const auto told = told_.find(it.entry);
+            const auto learned = learned_.find(it.entry);
             return it.at <= last.at && last.at - it.at < testing::kLimitSpan &&
-                   told != told_.end() &&
-                   last.at - told->second >= testing::kLimitTold;
+                   learned != learned_.end() &&
+                   last.at - learned->second >= testing::kLimitTold;
           });
       most = std::max(most, static_cast<int>(n));
     }
@@ -127,7 +131,7 @@
     return static_cast<double>(n) /
            std::chrono::duration<double>(length).count();
   }
-  std::uint64_t Below(std::uint64_t n) { return random_() % n; }
+  std::uint64_t RandomBelow(std::uint64_t n) { return random_() % n; }
   std::size_t size() const { return entries_.size(); }
 
  private:
@@ -137,10 +141,10 @@
     std::unique_ptr<SharedRateLimits> limits;
     TimePoint list_at{};
     TimePoint frozen_until{};
-    TimePoint cut_until{};
+    TimePoint disconnected_until{};
     Duration watch_lag{};
-    std::size_t heard = 0;  ///< Number of shared limits received.
-    std::optional<TimePoint> told_at;
+    std::size_t num_received = 0;  ///< Number of shared limits received.
+    std::optional<TimePoint> learned_at;
     std::deque<TimePoint> answers;  ///< Times at which the answers arrive.
   };
   struct Arrival {
@@ -156,7 +160,7 @@
     std::set<std::string> names;
   };
 
-  void Tell(Entry* entry, const std::set<std::string>& names) {
+  void DeliverList(Entry* entry, const std::set<std::string>& names) {
     EntryView view{
         entry->name, {names.begin(), names.end()}, now_, entry->registered_at};
     if (names.count(entry->name) == 0) {
@@ -166,33 +170,36 @@
   }
 
   /// Delivers the limits shared by others after the delay of the entry's watch.
-  void HearShared(Entry* entry, bool cut) {
-    while (!cut && entry->heard < shared_.size() &&
-           shared_[entry->heard].at + entry->watch_lag <= now_) {
-      entry->limits->OnShared("target", shared_[entry->heard++].limit, now_);
+  void DeliverSharedLimits(Entry* entry, bool disconnected) {
+    while (!disconnected && entry->num_received < shared_.size() &&
+           shared_[entry->num_received].at + entry->watch_lag <= now_) {
+      entry->limits->OnShared("target", shared_[entry->num_received++].limit,
+                              now_);
     }
   }
 
-  void Act(Entry* entry, double per_second) {
-    const bool cut = now_ < entry->cut_until || now_ < store_lost_until_;
-    if (now_ >= entry->list_at && !cut) {
-      entry->list_at = now_ + milliseconds(1000 + Below(1000));
-      Tell(entry, history_[Below(history_.size())].names);
+  void Step(Entry* entry, double per_second) {
+    const bool disconnected =
+        now_ < entry->disconnected_until || now_ < store_lost_until_;
+    if (now_ >= entry->list_at && !disconnected) {
+      entry->list_at = now_ + milliseconds(1000 + RandomBelow(1000));
+      DeliverList(entry, history_[RandomBelow(history_.size())].names);
     }
     entry->limits->Tick(now_);
-    HearShared(entry, cut);
+    DeliverSharedLimits(entry, disconnected);
     while (!entry->answers.empty() && entry->answers.front() <= now_) {
-      const LimitNotice notice{in_need_ ? std::optional(limit_) : std::nullopt,
-                               true, entry->answers.front() - answer_time_};
+      const LimitNotice notice{
+          overloaded_ ? std::optional(limit_) : std::nullopt, true,
+          entry->answers.front() - answer_time_};
       entry->answers.pop_front();
       entry->limits->OnAnswer("target", notice, now_);
-      if (entry->limits->ShouldShare("target", now_) && !cut) {
+      if (entry->limits->ShouldShare("target", now_) && !disconnected) {
         shared_.push_back({now_, notice.limit});
       }
-      if (in_need_) {
-        entry->told_at = entry->told_at.value_or(now_);
-        told_.emplace(entry->name, now_);
-        named_at_ = named_at_.value_or(now_);
+      if (overloaded_) {
+        entry->learned_at = entry->learned_at.value_or(now_);
+        learned_.emplace(entry->name, now_);
+        advertised_at_ = advertised_at_.value_or(now_);
       }
     }
     const double step_s = std::chrono::duration<double>(kStep).count();
@@ -201,7 +208,8 @@
       entry->limits->OnSent("target", now_);
       arrivals_.push_back({now_, entry->name});
       entry->answers.push_back(now_ + answer_time_);
-      if (entry->told_at && now_ - *entry->told_at >= testing::kLimitTold) {
+      if (entry->learned_at &&
+          now_ - *entry->learned_at >= testing::kLimitTold) {
         counted_.push_back(now_);
       }
     }
@@ -217,11 +225,11 @@
   std::deque<Listed> history_;
   TimePoint store_lost_until_{};
   std::vector<SharedLimit> shared_;
-  std::optional<TimePoint> named_at_;
+  std::optional<TimePoint> advertised_at_;
   std::vector<TimePoint> counted_;
   std::vector<Arrival> arrivals_;
-  std::map<std::string, TimePoint> told_;
-  bool in_need_ = true;
+  std::map<std::string, TimePoint> learned_;
+  bool overloaded_ = true;
 };
 
 /// Guards against a limit that is kept on fleets of one size only.
@@ -234,8 +242,8 @@
   for (std::size_t n = 0; n < entries; ++n) {
     fleet.Add(/*settled=*/true);
   }
-  fleet.Play(seconds(40), /*per_second=*/50);
-  CHECK(fleet.Most() <= testing::MostAllowed(limit));
+  fleet.Run(seconds(40), /*per_second=*/50);
+  CHECK(fleet.MaxArrivals() <= testing::MostAllowed(limit));
   // The limit is used, not only kept.
   CHECK(fleet.Rate(seconds(20)) >= 0.5 * limit);
 }
@@ -250,15 +258,15 @@
   INFO(entries << " entries, limit " << limit << ", load " << overload
                << ", answers after " << answer_time / milliseconds(1) << " ms");
   Fleet fleet(entries, limit, answer_time);
-  fleet.HaveNoNeed();
+  fleet.StartWithoutOverload();
   for (std::size_t n = 0; n < entries; ++n) {
     fleet.Add(/*settled=*/true);
   }
   const double load = overload * limit / static_cast<double>(entries);
-  fleet.Play(seconds(10), load);
-  fleet.BeginNeed();
-  fleet.Play(seconds(20), load);
-  CHECK(fleet.MostFromTheStart() <= testing::MostAllowed(limit));
+  fleet.Run(seconds(10), load);
+  fleet.BeginOverload();
+  fleet.Run(seconds(20), load);
+  CHECK(fleet.MaxArrivalsFromStart() <= testing::MostAllowed(limit));
 }
 
 /// Guards against an entry that continues at its share although it has just
@@ -318,19 +326,19 @@
   for (std::size_t n = 0; n < entries; ++n) {
     fleet.Add(/*settled=*/true);
   }
-  fleet.Play(seconds(5), 20);
+  fleet.Run(seconds(5), 20);
   for (int n = 0; n < 4; ++n) {
-    fleet.Play(seconds(60), 0);
-    fleet.Play(seconds(3), 50);
+    fleet.Run(seconds(60), 0);
+    fleet.Run(seconds(3), 50);
   }
-  CHECK(fleet.Most() <= testing::MostAllowed(limit));
+  CHECK(fleet.MaxArrivals() <= testing::MostAllowed(limit));
 }
 
 /// Guards against exceeding a limit because the lists of entries differ, while
 /// entries start, stop, freeze, restart and lose the store.
 TEST_CASE("A limit is kept while the fleet changes at random") {
-  int broken = 0;
-  for (std::uint64_t seed = 1; seed <= 60 && broken < 5; ++seed) {
+  int failures = 0;
+  for (std::uint64_t seed = 1; seed <= 60 && failures < 5; ++seed) {
     const RandomSource random = MakeSeededRandom(seed);
     const double limits[] = {0.2, 1, 5, 20};
     const double limit = limits[random() % 4];
@@ -340,8 +348,8 @@
       fleet.Add(/*settled=*/true);
     }
     for (int n = 0; n < 40; ++n) {
-      fleet.Play(milliseconds(500 + random() % 1500),
-                 random() % 3 == 0 ? 0 : 20);
+      fleet.Run(milliseconds(500 + random() % 1500),
+                random() % 3 == 0 ? 0 : 20);
       switch (random() % 7) {
         case 0:
           for (std::size_t add = 1 + random() % entries; add > 0; --add) {
@@ -363,7 +371,7 @@
           fleet.Restart();
           break;
         case 5:
-          fleet.Cut(milliseconds(random() % 15000));
+          fleet.Disconnect(milliseconds(random() % 15000));
           break;
         default:
           fleet.LoseStore(milliseconds(random() % 8000));
@@ -371,8 +379,8 @@
     }
     INFO("seed " << seed << ": " << entries << " entries at first, "
                  << fleet.size() << " at last, limit " << limit);
-    CHECK(fleet.Most() <= testing::MostAllowed(limit));
-    broken += fleet.Most() <= testing::MostAllowed(limit) ? 0 : 1;
+    CHECK(fleet.MaxArrivals() <= testing::MostAllowed(limit));
+    failures += fleet.MaxArrivals() <= testing::MostAllowed(limit) ? 0 : 1;
   }
 }
 
--- a/tests/core/roles/role_planner_test.cc
+++ b/tests/core/roles/role_planner_test.cc
@@ -57,10 +57,10 @@
 
 /// Plans once a second for `length` from `*now` on, advancing `*now`. Returns
 /// the first change, if any.
-std::optional<RoleChange> PlanOn(RolePlanner* planner, const RoleSpec& spec,
-                                 const std::vector<RoleTarget>& targets,
-                                 std::uint32_t hour, TimePoint* now,
-                                 seconds length) {
+std::optional<RoleChange> PlanUntilChange(
+    RolePlanner* planner, const RoleSpec& spec,
+    const std::vector<RoleTarget>& targets, std::uint32_t hour, TimePoint* now,
+    seconds length) {
   const TimePoint end = *now + length;
   for (; *now <= end; *now += seconds(1)) {
     if (auto change = planner->Plan(spec, targets, hour, *now)) {
@@ -74,7 +74,7 @@
                                   const std::vector<RoleTarget>& targets,
                                   std::uint32_t hour, TimePoint from,
                                   seconds length) {
-  return PlanOn(planner, spec, targets, hour, &from, length);
+  return PlanUntilChange(planner, spec, targets, hour, &from, length);
 }
 
 TEST_CASE("Roles follow the token mix if the gain exceeds the cost") {
@@ -188,7 +188,7 @@
   auto engines = Engines(6, 4, 0);
   TimePoint now = kStart;
   const auto first =
-      PlanOn(&planner, Automatic(), engines, kNoon, &now, seconds(60));
+      PlanUntilChange(&planner, Automatic(), engines, kNoon, &now, seconds(60));
   REQUIRE(first.has_value());
   REQUIRE(first->instance == "engine-0");
   const auto next = [&](TimePoint from, seconds length) {
@@ -232,17 +232,19 @@
   RolePlanner before = Planner(Mix(2, 8));
   auto engines = Engines(6, 4, 0);
   TimePoint now = kStart;
-  REQUIRE(PlanOn(&before, Automatic(), engines, kNoon, &now, seconds(60)));
+  REQUIRE(
+      PlanUntilChange(&before, Automatic(), engines, kNoon, &now, seconds(60)));
   engines[0].role = EngineRole::kDecode;
   engines[0].serving = false;
   engines[0].changing = true;
 
   RolePlanner after = Planner(Mix(2, 8));
-  CHECK_FALSE(PlanOn(&after, Automatic(), engines, kNoon, &now, seconds(100)));
+  CHECK_FALSE(
+      PlanUntilChange(&after, Automatic(), engines, kNoon, &now, seconds(100)));
   engines[0].serving = true;
   engines[0].changing = false;
   const auto next =
-      PlanOn(&after, Automatic(), engines, kNoon, &now, seconds(60));
+      PlanUntilChange(&after, Automatic(), engines, kNoon, &now, seconds(60));
   REQUIRE(next.has_value());
   CHECK(next->instance != "engine-0");
 }
@@ -251,14 +253,15 @@
   RolePlanner planner = Planner(Mix(2, 8));
   auto engines = Engines(6, 4, 0);
   TimePoint now = kStart;
-  REQUIRE(PlanOn(&planner, Automatic(), engines, kNoon, &now, seconds(60)));
+  REQUIRE(PlanUntilChange(&planner, Automatic(), engines, kNoon, &now,
+                          seconds(60)));
   const TimePoint changed = now;
   engines[0].role = EngineRole::kDecode;
   for (int it = 0; it < 300; ++it) {
     planner.OnDemand(Mix(8, 2), seconds(1));
   }
-  const auto back =
-      PlanOn(&planner, Automatic(), engines, kNoon, &now, seconds(300));
+  const auto back = PlanUntilChange(&planner, Automatic(), engines, kNoon, &now,
+                                    seconds(300));
   REQUIRE(back.has_value());
   CHECK(back->to == EngineRole::kPrefill);
   CHECK(now == changed + seconds(60));
--- a/tests/support/retry_fleet.cc
+++ b/tests/support/retry_fleet.cc
@@ -55,7 +55,7 @@
     budget.saved_per_request = kSavedShare * options.rule.ratio;
     budget.window = options.rule.window;
     budget.part = {};
-    budget.least_saved = options.arrivals_of_attempt;
+    budget.min_saved = options.arrivals_of_attempt;
     return budget;
   }
 
