--- a/src/core/control/audit.cc
+++ b/src/core/control/audit.cc
@@ -25,7 +25,7 @@
 }
 
 // Returns the time of the newest record in a segment, or 0 if it is empty.
-WallMicros NewestIn(const std::string& segment) {
+WallMicros NewestTimeIn(const std::string& segment) {
   WallMicros newest = 0;
   for (const AuditRecord& record : ReadAuditSegment(segment, 0).records) {
     newest = std::max(newest, record.at);
@@ -106,8 +106,8 @@
   return segment;
 }
 
-std::string AuditSegmentKey(const std::string& entry, std::size_t slot) {
-  return "audit/" + entry + "-" + std::to_string(slot);
+std::string AuditSegmentKey(const std::string& entry, std::size_t index) {
+  return "audit/" + entry + "-" + std::to_string(index);
 }
 
 AuditTrail::AuditTrail(Options options) : options_(std::move(options)) {}
@@ -119,14 +119,14 @@
   loaded_ = true;
   WallMicros newest = 0;
   for (std::size_t i = 0; i < segments.size() && i < options_.segments; ++i) {
-    const WallMicros at = NewestIn(segments[i]);
+    const WallMicros at = NewestTimeIn(segments[i]);
     if (at > newest) {
       newest = at;
-      slot_ = i;
-      text_ = segments[i];
+      segment_index_ = i;
+      segment_text_ = segments[i];
     }
   }
-  MoveWaiting();
+  MoveWaitingToSegment();
 }
 
 bool AuditTrail::Append(const AuditRecord& record) {
@@ -135,7 +135,7 @@
     return false;
   }
   waiting_.push_back(EncodeAuditRecord(record) + "\n");
-  MoveWaiting();
+  MoveWaitingToSegment();
   return true;
 }
 
@@ -148,29 +148,30 @@
   dirty_ = false;
   in_flight_ = true;
   last_write_ = now;
-  return Write{AuditSegmentKey(options_.entry, slot_), text_};
+  return Write{AuditSegmentKey(options_.entry, segment_index_), segment_text_};
 }
 
 void AuditTrail::OnWritten(bool ok) {
   in_flight_ = false;
   dirty_ = dirty_ || !ok;
-  MoveWaiting();
+  MoveWaitingToSegment();
 }
 
-void AuditTrail::MoveWaiting() {
+void AuditTrail::MoveWaitingToSegment() {
   while (loaded_ && !waiting_.empty()) {
     const std::string& line = waiting_.front();
-    const bool full = text_.size() + line.size() > options_.max_segment_bytes;
-    if (full && !text_.empty()) {
+    const bool full =
+        segment_text_.size() + line.size() > options_.max_segment_bytes;
+    if (full && !segment_text_.empty()) {
       // A full segment is kept until it has been written. Only then the oldest
       // segment of the ring is overwritten.
       if (dirty_ || in_flight_) {
         return;
       }
-      slot_ = (slot_ + 1) % options_.segments;
-      text_.clear();
+      segment_index_ = (segment_index_ + 1) % options_.segments;
+      segment_text_.clear();
     }
-    text_ += line;
+    segment_text_ += line;
     waiting_.pop_front();
     dirty_ = true;
   }
--- a/src/core/control/audit.h
+++ b/src/core/control/audit.h
@@ -63,7 +63,7 @@
 /// Returns the key of an entry's segment: "audit/ENTRY-SLOT". Each entry has a
 /// ring of segments, so that the trail is bounded and no two entries write to
 /// the same object.
-std::string AuditSegmentKey(const std::string& entry, std::size_t slot);
+std::string AuditSegmentKey(const std::string& entry, std::size_t index);
 
 /// Collects audit records into segments and schedules their writes to the
 /// store.
@@ -108,12 +108,12 @@
   std::uint64_t dropped() const { return dropped_; }
 
  private:
-  void MoveWaiting();
+  void MoveWaitingToSegment();
 
   Options options_;
   bool loaded_ = false;
-  std::size_t slot_ = 0;
-  std::string text_;
+  std::size_t segment_index_ = 0;
+  std::string segment_text_;
   std::deque<std::string> waiting_;
   bool dirty_ = false;
   bool in_flight_ = false;
--- a/src/core/control/lease.cc
+++ b/src/core/control/lease.cc
@@ -118,8 +118,8 @@
 
 Lease::Actions Lease::Tick(TimePoint now) {
   Actions actions;
-  NoticePause(now, &actions);
-  NoticeEnd(now, &actions);
+  DetectPause(now, &actions);
+  CheckExpiry(now, &actions);
   if (write_ && now - write_->last_sent_at > options_.call_timeout) {
     write_->effect_unknown = true;
   }
@@ -140,15 +140,15 @@
 
 Lease::Actions Lease::OnRead(const Result<LeaseView>& answer, TimePoint now) {
   Actions actions;
-  NoticePause(now, &actions);
+  DetectPause(now, &actions);
   read_sent_at_.reset();
-  next_read_ = now + Spread(ReadInterval());
+  next_read_ = now + WithJitter(ReadInterval());
   if (!IsOk(answer)) {
-    NoticeEnd(now, &actions);
+    CheckExpiry(now, &actions);
     return actions;
   }
   const LeaseView& view = ValueOf(answer);
-  if (!SettledByNonce(view, now, &actions) && write_ &&
+  if (!ResolveByNonce(view, now, &actions) && write_ &&
       write_->effect_unknown) {
     if (view.version > write_->expected) {
       // Another write used up the expected version, so ours can no longer take
@@ -159,7 +159,7 @@
     }
   }
   Observe(view, now, &actions);
-  NoticeEnd(now, &actions);
+  CheckExpiry(now, &actions);
   if (suspended_ && view.version >= seen_.version) {
     suspended_ = false;
     next_renewal_ = now;
@@ -171,36 +171,36 @@
                                 const Result<std::uint64_t>& answer,
                                 TimePoint now) {
   Actions actions;
-  NoticePause(now, &actions);
+  DetectPause(now, &actions);
   if (!write_ || write_->record.nonce != nonce) {
     return actions;
   }
   if (IsOk(answer)) {
     const PendingWrite write = *std::exchange(write_, std::nullopt);
-    Won(write, ValueOf(answer), now, &actions);
-    NoticeEnd(now, &actions);
+    OnWriteSucceeded(write, ValueOf(answer), now, &actions);
+    CheckExpiry(now, &actions);
     return actions;
   }
   const bool first_copy = write_->first_sent_at == write_->last_sent_at;
   if (first_copy && HadNoEffect(ErrorOf(answer).code)) {
     write_.reset();
-    next_renewal_ = now + Spread(options_.guard);
+    next_renewal_ = now + WithJitter(options_.guard);
   } else {
     // This copy or an earlier one may have taken effect; even a conflict may be
     // with an earlier copy. The nonce in the object shows which write won.
     write_->effect_unknown = true;
     StartRead(now, &actions);
   }
-  NoticeEnd(now, &actions);
+  CheckExpiry(now, &actions);
   return actions;
 }
 
 Lease::Actions Lease::OnWatched(const LeaseView& view, TimePoint now) {
   Actions actions;
-  NoticePause(now, &actions);
-  SettledByNonce(view, now, &actions);
+  DetectPause(now, &actions);
+  ResolveByNonce(view, now, &actions);
   Observe(view, now, &actions);
-  NoticeEnd(now, &actions);
+  CheckExpiry(now, &actions);
   return actions;
 }
 
@@ -211,7 +211,7 @@
     next_take_ = now;
   }
   if (held_) {
-    Drop(LeaseLoss::kResigned, &actions);
+    EndAuthority(LeaseLoss::kResigned, &actions);
   }
   MaybeWrite(now, &actions);
   return actions;
@@ -241,11 +241,11 @@
   seen_at_ = now;
   const bool ours = view.record && IsOurs(*view.record);
   if (held_ && !ours) {
-    Drop(LeaseLoss::kTaken, actions);
+    EndAuthority(LeaseLoss::kTaken, actions);
   }
 }
 
-void Lease::NoticePause(TimePoint now, Actions* actions) {
+void Lease::DetectPause(TimePoint now, Actions* actions) {
   const bool paused = last_event_ && now - *last_event_ > options_.pause_limit;
   last_event_ = now;
   if (!paused) {
@@ -255,32 +255,32 @@
   // taken the lease. The known state is not used until the store has been read.
   read_sent_at_.reset();
   suspended_ = true;
-  NoticeEnd(now, actions);
+  CheckExpiry(now, actions);
 }
 
-void Lease::NoticeEnd(TimePoint now, Actions* actions) {
+void Lease::CheckExpiry(TimePoint now, Actions* actions) {
   if (held_ && now >= held_until_) {
-    Drop(suspended_ ? LeaseLoss::kPaused : LeaseLoss::kLapsed, actions);
+    EndAuthority(suspended_ ? LeaseLoss::kPaused : LeaseLoss::kLapsed, actions);
   }
 }
 
-void Lease::Drop(LeaseLoss reason, Actions* actions) {
+void Lease::EndAuthority(LeaseLoss reason, Actions* actions) {
   Append(actions, Lost{*held_, reason});
   held_.reset();
 }
 
-bool Lease::SettledByNonce(const LeaseView& view, TimePoint now,
+bool Lease::ResolveByNonce(const LeaseView& view, TimePoint now,
                            Actions* actions) {
   if (!write_ || !view.record || view.record->nonce != write_->record.nonce) {
     return false;
   }
   const PendingWrite write = *std::exchange(write_, std::nullopt);
-  Won(write, view.version, now, actions);
+  OnWriteSucceeded(write, view.version, now, actions);
   return true;
 }
 
-void Lease::Won(const PendingWrite& write, std::uint64_t version, TimePoint now,
-                Actions* actions) {
+void Lease::OnWriteSucceeded(const PendingWrite& write, std::uint64_t version,
+                             TimePoint now, Actions* actions) {
   LeaseRecord record = write.record;
   if (record.fencing_number == 0) {
     record.fencing_number = version;
@@ -297,7 +297,7 @@
     return;
   }
   held_until_ = until;
-  next_renewal_ = write.first_sent_at + Spread(options_.renew_interval);
+  next_renewal_ = write.first_sent_at + WithJitter(options_.renew_interval);
   suspended_ = false;
   if (held_ != record.fencing_number) {
     held_ = record.fencing_number;
@@ -361,22 +361,23 @@
 }
 
 void Lease::MaybeTake(TimePoint now, Actions* actions) {
-  const bool free = !seen_.record || seen_.record->holder.empty();
-  const Duration patience = reserve_ ? options_.reserve_patience : Duration{0};
+  const bool is_free = !seen_.record || seen_.record->holder.empty();
+  const Duration extra_wait =
+      reserve_ ? options_.reserve_extra_wait : Duration{0};
   const Duration lapse =
-      free ? Duration{0} : seen_.record->duration + options_.guard;
-  const Duration wait = lapse + take_delay_ + patience;
+      is_free ? Duration{0} : seen_.record->duration + options_.guard;
+  const Duration wait = lapse + take_delay_ + extra_wait;
   // When the store is unavailable for long, the holder's lease lapses. Without
   // this case nobody could act for another full duration after the store
   // returns. The lapsed lease is this process's own, and the process knows that
   // it no longer acts under that number.
   if (IsOwnLapsed() && now >= next_take_) {
-    next_take_ = now + Spread(options_.take_interval);
+    next_take_ = now + WithJitter(options_.take_interval);
     StartWrite(options_.holder, 0, now, actions);
     return;
   }
   if (now - changed_at_ >= wait && now >= next_take_) {
-    next_take_ = now + Spread(options_.take_interval);
+    next_take_ = now + WithJitter(options_.take_interval);
     StartWrite(options_.holder, 0, now, actions);
   }
 }
@@ -392,7 +393,7 @@
   }
 }
 
-Duration Lease::Spread(Duration interval) {
+Duration Lease::WithJitter(Duration interval) {
   const double factor = 0.75 + 0.25 * jitter_();
   return duration_cast<Duration>(interval * factor);
 }
--- a/src/core/control/lease.h
+++ b/src/core/control/lease.h
@@ -100,7 +100,7 @@
     /// Without it, each reserve takes every lease for lapsed between two reads
     /// and sends one conflicting write per second.
     Duration reserve_read_interval = std::chrono::seconds(15);
-    Duration reserve_patience = std::chrono::seconds(32);
+    Duration reserve_extra_wait = std::chrono::seconds(32);
     /// Contenders delay their attempts randomly within this time, so that one
     /// wins and the others see it before they try.
     Duration take_spread = std::chrono::seconds(1);
@@ -197,12 +197,12 @@
   };
 
   void Observe(const LeaseView& view, TimePoint now, Actions* actions);
-  void NoticePause(TimePoint now, Actions* actions);
-  void NoticeEnd(TimePoint now, Actions* actions);
-  void Drop(LeaseLoss reason, Actions* actions);
-  bool SettledByNonce(const LeaseView& view, TimePoint now, Actions* actions);
-  void Won(const PendingWrite& write, std::uint64_t version, TimePoint now,
-           Actions* actions);
+  void DetectPause(TimePoint now, Actions* actions);
+  void CheckExpiry(TimePoint now, Actions* actions);
+  void EndAuthority(LeaseLoss reason, Actions* actions);
+  bool ResolveByNonce(const LeaseView& view, TimePoint now, Actions* actions);
+  void OnWriteSucceeded(const PendingWrite& write, std::uint64_t version,
+                        TimePoint now, Actions* actions);
   void StartRead(TimePoint now, Actions* actions);
   void StartWrite(std::string holder, FencingNumber number, TimePoint now,
                   Actions* actions);
@@ -212,7 +212,7 @@
   bool IsOwnLapsed() const;
   void MaybeRenew(TimePoint now, Actions* actions);
   Duration ReadInterval() const;
-  Duration Spread(Duration interval);
+  Duration WithJitter(Duration interval);
   bool IsOurs(const LeaseRecord& record) const;
 
   Options options_;
--- a/src/core/control/order_executor.cc
+++ b/src/core/control/order_executor.cc
@@ -19,14 +19,15 @@
   return in_force ? report_->generation : 0;
 }
 
-void OrderExecutor::OnNumber(FencingNumber number, TimePoint now) {
+void OrderExecutor::OnFencingNumber(FencingNumber number, TimePoint now) {
   number_known_ = true;
-  newest_ = std::max(newest_, number);
+  newest_number_ = std::max(newest_number_, number);
   // An order that has not been written ends with its fencing number. One that
   // may have been written is followed to its end, because the engine cannot
   // cancel it.
-  const bool stale = current_ && current_->fencing_number < newest_;
-  if (stale && step_ != Step::kIdle && !WriteMayBeUnderWay()) {
+  const bool stale =
+      current_order_ && current_order_->fencing_number < newest_number_;
+  if (stale && step_ != Step::kIdle && !WriteMayBeInProgress()) {
     Finish(OrderPhase::kRefusedStale, "a newer fencing number is in force",
            now);
   }
@@ -39,21 +40,22 @@
     // again.
     return;
   }
-  if (order.fencing_number < newest_) {
-    hooks_.report({target_, order.fencing_number, order.generation,
-                   OrderPhase::kRefusedStale,
-                   "the newest fencing number is " + std::to_string(newest_)});
+  if (order.fencing_number < newest_number_) {
+    hooks_.report(
+        {target_, order.fencing_number, order.generation,
+         OrderPhase::kRefusedStale,
+         "the newest fencing number is " + std::to_string(newest_number_)});
     return;
   }
-  newest_ = order.fencing_number;
-  std::optional<SideOrder>& latest = next_ ? next_ : current_;
+  newest_number_ = order.fencing_number;
+  std::optional<SideOrder>& latest = next_order_ ? next_order_ : current_order_;
   if (latest && latest->generation == order.generation &&
       SameSetup(latest->setup, order.setup) &&
       latest->out_of_service == order.out_of_service) {
     // Only the fencing number is new. A write in progress keeps its own number,
     // which the engine already has.
     latest->fencing_number = order.fencing_number;
-    if (!next_ && report_) {
+    if (!next_order_ && report_) {
       Report(report_->phase, report_->detail);
     }
     return;
@@ -62,21 +64,21 @@
       order.fencing_number == latest->fencing_number) {
     return;  // A late copy of a superseded order.
   }
-  if (WriteMayBeUnderWay()) {
-    next_ = order;
+  if (WriteMayBeInProgress()) {
+    next_order_ = order;
     return;
   }
-  Begin(order, now);
+  StartOrder(order, now);
 }
 
-bool OrderExecutor::WriteMayBeUnderWay() const {
+bool OrderExecutor::WriteMayBeInProgress() const {
   return step_ == Step::kWrite || step_ == Step::kWatch ||
-         step_ == Step::kSettle;
+         step_ == Step::kResolveWrite;
 }
 
-void OrderExecutor::Begin(const SideOrder& order, TimePoint now) {
-  current_ = order;
-  writes_ = 0;
+void OrderExecutor::StartOrder(const SideOrder& order, TimePoint now) {
+  current_order_ = order;
+  write_count_ = 0;
   write_not_before_ = {};
   Report(OrderPhase::kAccepted, "");
   const bool in_force = reading_ && reading_->reachable &&
@@ -86,19 +88,19 @@
     Finish(OrderPhase::kInForce, "", now);
     return;
   }
-  AskConfirm(Step::kConfirm, now);
+  RequestConfirmation(Step::kConfirm, now);
 }
 
-void OrderExecutor::BeginNext(TimePoint now) {
-  if (next_) {
-    const SideOrder order = *std::exchange(next_, std::nullopt);
-    Begin(order, now);
+void OrderExecutor::StartNextOrder(TimePoint now) {
+  if (next_order_) {
+    const SideOrder order = *std::exchange(next_order_, std::nullopt);
+    StartOrder(order, now);
   }
 }
 
-void OrderExecutor::AskConfirm(Step step, TimePoint now) {
+void OrderExecutor::RequestConfirmation(Step step, TimePoint now) {
   EnterStep(step, now);
-  confirm_sent_ = now;
+  confirm_sent_at_ = now;
   hooks_.confirm(++ticket_);
 }
 
@@ -106,24 +108,24 @@
                                 std::optional<FencingNumber> number,
                                 TimePoint asked_at, TimePoint now) {
   const bool waiting = step_ == Step::kConfirm || step_ == Step::kReconfirm;
-  if (ticket != ticket_ || !confirm_sent_ || !waiting) {
+  if (ticket != ticket_ || !confirm_sent_at_ || !waiting) {
     return;
   }
-  confirm_sent_.reset();
+  confirm_sent_at_.reset();
   // An answer below the known number comes from a stale read.
-  if (!number || *number < newest_ ||
+  if (!number || *number < newest_number_ ||
       now - asked_at >= options_.authority_window) {
     Postpone(now);
     return;
   }
   confirmed_at_ = asked_at;
-  OnNumber(*number, now);
+  OnFencingNumber(*number, now);
   if (step_ != Step::kIdle) {
-    AfterConfirm(now);
+    ContinueAfterConfirmation(now);
   }
 }
 
-void OrderExecutor::AfterConfirm(TimePoint now) {
+void OrderExecutor::ContinueAfterConfirmation(TimePoint now) {
   if (step_ == Step::kConfirm) {
     StartDrain(now);
     return;
@@ -134,7 +136,7 @@
 // While the store is unavailable no order is applied, but the target keeps
 // serving, so the gate opens again.
 void OrderExecutor::Postpone(TimePoint now) {
-  confirm_sent_.reset();
+  confirm_sent_at_.reset();
   SetGate(true);
   EnterStep(Step::kConfirm, now);
   confirm_not_before_ = now + options_.confirm_retry;
@@ -153,7 +155,7 @@
   const bool engine_ready =
       reading_ && reading_->reachable && !reading_->changing;
   if (hooks_.running() > 0 || now < write_not_before_ ||
-      (!engine_ready && !current_->out_of_service)) {
+      (!engine_ready && !current_order_->out_of_service)) {
     if (now - step_since_ >= options_.drain_timeout) {
       Finish(OrderPhase::kFailed,
              engine_ready
@@ -163,7 +165,7 @@
     }
     return;
   }
-  if (current_->out_of_service) {
+  if (current_order_->out_of_service) {
     Finish(OrderPhase::kInForce, "out of service", now);
     return;
   }
@@ -173,15 +175,16 @@
     Write(now);
     return;
   }
-  AskConfirm(Step::kReconfirm, now);
+  RequestConfirmation(Step::kReconfirm, now);
 }
 
 void OrderExecutor::Write(TimePoint now) {
-  ++writes_;
-  boot_at_write_ = reading_ ? reading_->boot_id : "";
+  ++write_count_;
+  boot_id_at_write_ = reading_ ? reading_->boot_id : "";
   EnterStep(Step::kWrite, now);
   Report(OrderPhase::kApplying, "");
-  hooks_.write(++ticket_, *current_, confirmed_at_ + options_.authority_window);
+  hooks_.write(++ticket_, *current_order_,
+               confirmed_at_ + options_.authority_window);
 }
 
 void OrderExecutor::OnWritten(std::uint64_t ticket, OrderWriteResult result,
@@ -203,11 +206,11 @@
       return;
     case OrderWriteResult::kBusy:
     case OrderWriteResult::kNotWritten:
-      --writes_;  // No effect, so it does not count as a try.
-      TryAgain(detail, now);
+      --write_count_;  // No effect, so it does not count as a try.
+      RetryWrite(detail, now);
       return;
     case OrderWriteResult::kUnknown:
-      EnterStep(Step::kSettle, now);
+      EnterStep(Step::kResolveWrite, now);
       hooks_.read_state();
       return;
   }
@@ -215,27 +218,28 @@
 
 void OrderExecutor::OnReading(const EngineReading& reading, TimePoint now) {
   reading_ = reading;
-  const bool watching = step_ == Step::kWatch || step_ == Step::kSettle;
+  const bool watching = step_ == Step::kWatch || step_ == Step::kResolveWrite;
   // A reading requested before the write does not show its effect.
   if (watching && reading.asked_at > written_at_) {
-    JudgeReading(reading, now);
+    EvaluateReading(reading, now);
   }
 }
 
-void OrderExecutor::JudgeReading(const EngineReading& reading, TimePoint now) {
+void OrderExecutor::EvaluateReading(const EngineReading& reading,
+                                    TimePoint now) {
   if (!reading.reachable || reading.changing) {
     return;
   }
-  if (SameSetup(reading.setup, current_->setup)) {
+  if (SameSetup(reading.setup, current_order_->setup)) {
     Finish(OrderPhase::kInForce, "", now);
     return;
   }
-  if (reading.boot_id != boot_at_write_) {
-    TryAgain("the engine restarted during the change", now);
+  if (reading.boot_id != boot_id_at_write_) {
+    RetryWrite("the engine restarted during the change", now);
     return;
   }
   if (step_ == Step::kWatch) {
-    TryAgain(
+    RetryWrite(
         "the engine ended the change in a state other than the ordered one",
         now);
     return;
@@ -243,16 +247,16 @@
   // The write broke off and shows no effect. Nothing else is written until it
   // can no longer arrive, because it could land after a newer order.
   if (now - step_since_ >= options_.settle_time) {
-    TryAgain("the write did not reach the engine", now);
+    RetryWrite("the write did not reach the engine", now);
   }
 }
 
-void OrderExecutor::TryAgain(const std::string& why, TimePoint now) {
-  if (next_) {
-    BeginNext(now);
+void OrderExecutor::RetryWrite(const std::string& why, TimePoint now) {
+  if (next_order_) {
+    StartNextOrder(now);
     return;
   }
-  if (writes_ >= options_.max_writes) {
+  if (write_count_ >= options_.max_writes) {
     Finish(OrderPhase::kFailed, why, now);
     return;
   }
@@ -270,8 +274,8 @@
   Report(phase, detail);
   // An engine whose change failed still serves what it has loaded. The entries
   // see its model and role and route accordingly.
-  SetGate(!(current_->out_of_service && phase == OrderPhase::kInForce));
-  BeginNext(now);
+  SetGate(!(current_order_->out_of_service && phase == OrderPhase::kInForce));
+  StartNextOrder(now);
 }
 
 void OrderExecutor::Tick(TimePoint now) {
@@ -280,10 +284,11 @@
       return;
     case Step::kConfirm:
     case Step::kReconfirm:
-      if (confirm_sent_ && now - *confirm_sent_ >= options_.confirm_timeout) {
+      if (confirm_sent_at_ &&
+          now - *confirm_sent_at_ >= options_.confirm_timeout) {
         Postpone(now);
-      } else if (!confirm_sent_ && now >= confirm_not_before_) {
-        AskConfirm(step_, now);
+      } else if (!confirm_sent_at_ && now >= confirm_not_before_) {
+        RequestConfirmation(step_, now);
       }
       return;
     case Step::kDrain:
@@ -292,7 +297,7 @@
     case Step::kWrite:
       return;
     case Step::kWatch:
-    case Step::kSettle:
+    case Step::kResolveWrite:
       if (now - step_since_ >= options_.change_timeout) {
         Finish(OrderPhase::kFailed,
                "the engine did not finish the change in time", now);
@@ -310,8 +315,8 @@
 }
 
 void OrderExecutor::Report(OrderPhase phase, const std::string& detail) {
-  report_ = OrderReport{target_, current_->fencing_number, current_->generation,
-                        phase, detail};
+  report_ = OrderReport{target_, current_order_->fencing_number,
+                        current_order_->generation, phase, detail};
   hooks_.report(*report_);
 }
 
--- a/src/core/control/order_executor.h
+++ b/src/core/control/order_executor.h
@@ -109,7 +109,7 @@
   OrderExecutor(std::string target, Options options, Hooks hooks);
 
   /// Handles the newest fencing number seen from a peer or the store.
-  void OnNumber(FencingNumber number, TimePoint now);
+  void OnFencingNumber(FencingNumber number, TimePoint now);
   void OnOrder(const SideOrder& order, TimePoint now);
   /// Answers `confirm`; `number` is empty if the store could not be read.
   void OnConfirmed(std::uint64_t ticket, std::optional<FencingNumber> number,
@@ -121,7 +121,7 @@
 
   /// Returns the last report, which is sent to an entry that connects.
   const std::optional<OrderReport>& last_report() const { return report_; }
-  FencingNumber newest_number() const { return newest_; }
+  FencingNumber newest_number() const { return newest_number_; }
   /// Returns the generation of the order in force, or 0 if there is none.
   std::uint64_t generation_in_force() const;
   bool gate_open() const { return gate_open_; }
@@ -133,20 +133,20 @@
     kDrain,
     kReconfirm,  ///< Right before the write.
     kWrite,
-    kWatch,   ///< The engine is changing.
-    kSettle,  ///< The write broke off; it may have arrived.
+    kWatch,         ///< The engine is changing.
+    kResolveWrite,  ///< The write broke off; it may have arrived.
   };
 
-  bool WriteMayBeUnderWay() const;
-  void Begin(const SideOrder& order, TimePoint now);
-  void BeginNext(TimePoint now);
-  void AskConfirm(Step step, TimePoint now);
-  void AfterConfirm(TimePoint now);
+  bool WriteMayBeInProgress() const;
+  void StartOrder(const SideOrder& order, TimePoint now);
+  void StartNextOrder(TimePoint now);
+  void RequestConfirmation(Step step, TimePoint now);
+  void ContinueAfterConfirmation(TimePoint now);
   void StartDrain(TimePoint now);
   void TickDrain(TimePoint now);
   void Write(TimePoint now);
-  void JudgeReading(const EngineReading& reading, TimePoint now);
-  void TryAgain(const std::string& why, TimePoint now);
+  void EvaluateReading(const EngineReading& reading, TimePoint now);
+  void RetryWrite(const std::string& why, TimePoint now);
   void Postpone(TimePoint now);
   void Finish(OrderPhase phase, const std::string& detail, TimePoint now);
   void EnterStep(Step step, TimePoint now);
@@ -158,18 +158,18 @@
   Hooks hooks_;
   Step step_ = Step::kIdle;
   TimePoint step_since_;
-  std::optional<SideOrder> current_;
-  std::optional<SideOrder> next_;  ///< Starts when `current_` ends.
+  std::optional<SideOrder> current_order_;
+  std::optional<SideOrder> next_order_;  ///< Starts when `current_order_` ends.
   bool number_known_ = false;
-  FencingNumber newest_ = 0;
+  FencingNumber newest_number_ = 0;
   TimePoint confirmed_at_;
   std::uint64_t ticket_ = 0;
-  std::optional<TimePoint> confirm_sent_;
+  std::optional<TimePoint> confirm_sent_at_;
   TimePoint confirm_not_before_;
-  int writes_ = 0;
+  int write_count_ = 0;
   TimePoint written_at_;
   TimePoint write_not_before_;
-  std::string boot_at_write_;
+  std::string boot_id_at_write_;
   std::optional<EngineReading> reading_;
   TimePoint next_read_;
   bool gate_open_ = true;
--- a/src/core/control/placement.cc
+++ b/src/core/control/placement.cc
@@ -13,7 +13,7 @@
 
 // Returns true if `target` serves `model` in any version. A new version of a
 // model goes to the engines that have the old one.
-bool Serves(const TargetObservation& target, const ModelSpec& model) {
+bool ServesModel(const TargetObservation& target, const ModelSpec& model) {
   const std::string start = model.name + "@";
   return std::any_of(
       target.models.begin(), target.models.end(),
@@ -21,14 +21,15 @@
 }
 
 // Returns how many of `targets` targets serve model `i` of `models`.
-std::size_t Share(std::size_t targets, std::size_t models, std::size_t i) {
+std::size_t TargetsForModel(std::size_t targets, std::size_t models,
+                            std::size_t i) {
   return targets / models + (i < targets % models ? 1 : 0);
 }
 
 // Assigns `role` to up to `wanted` targets, first to those that have it
 // already.
-void Assign(EngineRole role, std::size_t wanted,
-            const std::vector<TargetObservation>& targets, Roles* roles) {
+void AssignRole(EngineRole role, std::size_t wanted,
+                const std::vector<TargetObservation>& targets, Roles* roles) {
   for (const bool keep : {true, false}) {
     for (const TargetObservation& target : targets) {
       const bool fits = !keep || target.role == role;
@@ -52,9 +53,9 @@
 Roles StaticRoles(const DeploymentSpec& spec,
                   const std::vector<TargetObservation>& targets) {
   Roles roles;
-  Assign(EngineRole::kPrefill, spec.roles.min_prefill, targets, &roles);
-  Assign(EngineRole::kDecode, spec.roles.min_decode, targets, &roles);
-  Assign(EngineRole::kMixed, targets.size(), targets, &roles);
+  AssignRole(EngineRole::kPrefill, spec.roles.min_prefill, targets, &roles);
+  AssignRole(EngineRole::kDecode, spec.roles.min_decode, targets, &roles);
+  AssignRole(EngineRole::kMixed, targets.size(), targets, &roles);
   return roles;
 }
 
@@ -65,16 +66,16 @@
   if (spec.models.empty()) {
     return placed;
   }
-  std::vector<std::size_t> open(spec.models.size());
-  for (std::size_t i = 0; i < open.size(); ++i) {
-    open[i] = Share(targets.size(), open.size(), i);
+  std::vector<std::size_t> remaining(spec.models.size());
+  for (std::size_t i = 0; i < remaining.size(); ++i) {
+    remaining[i] = TargetsForModel(targets.size(), remaining.size(), i);
   }
   for (const bool keep : {true, false}) {
     for (const TargetObservation& target : targets) {
-      for (std::size_t i = 0; i < open.size(); ++i) {
+      for (std::size_t i = 0; i < remaining.size(); ++i) {
         const ModelSpec& model = spec.models[i];
-        const bool fits = !keep || Serves(target, model);
-        if (open[i] == 0 || !fits || placed.contains(target.name)) {
+        const bool fits = !keep || ServesModel(target, model);
+        if (remaining[i] == 0 || !fits || placed.contains(target.name)) {
           continue;
         }
         const auto role = roles.find(target.name);
@@ -82,7 +83,7 @@
             target.name,
             DesiredState{role == roles.end() ? target.role : role->second,
                          model.name, model.version, model.adapters, false});
-        --open[i];
+        --remaining[i];
       }
     }
   }
--- a/src/core/control/reconciler.cc
+++ b/src/core/control/reconciler.cc
@@ -14,7 +14,7 @@
   return std::max<std::size_t>(1, static_cast<std::size_t>(std::floor(share)));
 }
 
-DesiredState InService(DesiredState desired) {
+DesiredState AsInService(DesiredState desired) {
   desired.out_of_service = false;
   return desired;
 }
@@ -43,38 +43,38 @@
 }
 
 void Reconciler::OnTarget(const TargetObservation& seen, TimePoint now) {
-  if (Slot* slot = FindOrAdd(seen.name)) {
-    slot->seen = seen;
-    Confirm(slot, now);
+  if (TrackedTarget* tracked = FindOrAdd(seen.name)) {
+    tracked->seen = seen;
+    MarkIfInForce(tracked, now);
   }
 }
 
 void Reconciler::OnTargetGone(const std::string& target) {
-  slots_.erase(target);
+  targets_.erase(target);
 }
 
 void Reconciler::OnDrain(const std::string& target, bool drained) {
-  if (Slot* slot = FindOrAdd(target)) {
-    slot->drained = drained;
+  if (TrackedTarget* tracked = FindOrAdd(target)) {
+    tracked->drained = drained;
   }
 }
 
 void Reconciler::OnReport(const OrderReport& report, TimePoint now) {
-  const auto it = slots_.find(report.target);
-  if (it == slots_.end() || !it->second.stored.order) {
+  const auto it = targets_.find(report.target);
+  if (it == targets_.end() || !it->second.stored.order) {
     return;
   }
-  Slot& slot = it->second;
+  TrackedTarget& tracked = it->second;
   // Generations are never reused, so the generation alone identifies a report
   // on an earlier order.
-  if (report.generation != slot.stored.order->generation) {
+  if (report.generation != tracked.stored.order->generation) {
     return;
   }
-  if (slot.phase != report.phase) {
-    slot.phase_at = now;
+  if (tracked.phase != report.phase) {
+    tracked.phase_at = now;
   }
-  slot.phase = report.phase;
-  slot.detail = report.detail;
+  tracked.phase = report.phase;
+  tracked.detail = report.detail;
 }
 
 Reconciler::Actions Reconciler::Tick(std::optional<FencingNumber> authority,
@@ -87,10 +87,10 @@
     number_.reset();
     return actions;
   }
-  if (!Begin(*authority, now, &actions)) {
+  if (!EnsureOrdersRead(*authority, now, &actions)) {
     return actions;
   }
-  SettleWrites(now, &actions);
+  ResolveWrites(now, &actions);
   for (const auto& [name, revision] : revisions_) {
     if (revision.spec.kind == DeploymentKind::kModel) {
       Reconcile(revision, now, &actions);
@@ -101,13 +101,14 @@
 
 // A new holder reads its predecessor's orders first. Otherwise it could issue
 // the same desired state again as a different order.
-bool Reconciler::Begin(FencingNumber number, TimePoint now, Actions* actions) {
+bool Reconciler::EnsureOrdersRead(FencingNumber number, TimePoint now,
+                                  Actions* actions) {
   if (number_ != number) {
     number_ = number;
     orders_read_ = false;
     list_sent_at_.reset();
-    for (auto& [name, slot] : slots_) {
-      slot.write.reset();
+    for (auto& [name, tracked] : targets_) {
+      tracked.write.reset();
     }
   }
   if (orders_read_) {
@@ -126,167 +127,179 @@
   const Roles roles = role_plan_(revision.spec, members, now);
   const auto desired = PlaceTargets(revision.spec, members, roles);
   const std::size_t limit = ChangeLimit(revision.spec, members.size());
-  const std::size_t in_change = CountInChange(revision.spec.name);
-  Pass pass{revision, limit - std::min(limit, in_change), now, actions};
+  const std::size_t changing = CountChanging(revision.spec.name);
+  ReconcilePass pass{revision, limit - std::min(limit, changing), now, actions};
   for (const auto& [target, state] : desired) {
-    Slot& slot = slots_.at(target);
-    if (!slot.write && now >= slot.next_write &&
+    TrackedTarget& tracked = targets_.at(target);
+    if (!tracked.write && now >= tracked.next_write &&
         CountWrites() < options_.max_writes_in_flight) {
-      Step(target, state, &slot, &pass);
+      ReconcileTarget(target, state, &tracked, &pass);
     }
   }
 }
 
-void Reconciler::Step(const std::string& target, const DesiredState& desired,
-                      Slot* slot, Pass* pass) {
-  const auto& order = slot->stored.order;
-  if (!order || slot->void_order) {
-    First(target, desired, slot, pass);
+void Reconciler::ReconcileTarget(const std::string& target,
+                                 const DesiredState& desired,
+                                 TrackedTarget* tracked, ReconcilePass* pass) {
+  const auto& order = tracked->stored.order;
+  if (!order || tracked->void_order) {
+    WriteFirstOrder(target, desired, tracked, pass);
     return;
   }
   if (order->fencing_number != *number_) {
-    Seal(slot, pass);
+    RewriteUnderOwnNumber(tracked, pass);
     return;
   }
-  if (slot->phase == OrderPhase::kFailed) {
-    Retry(desired, slot, pass);
+  if (tracked->phase == OrderPhase::kFailed) {
+    RetryFailedOrder(desired, tracked, pass);
     return;
   }
-  if (slot->phase != OrderPhase::kInForce) {
+  if (tracked->phase != OrderPhase::kInForce) {
     return;
   }
-  if (InService(order->desired) != desired) {
-    Change(desired, slot, pass);
+  if (AsInService(order->desired) != desired) {
+    WriteChangedOrder(desired, tracked, pass);
     return;
   }
   if (!order->desired.out_of_service) {
-    MendDrift(slot, pass);
-  } else if (pass->now - slot->phase_at >= options_.out_of_service_time) {
-    Change(desired, slot, pass);
+    RepairDrift(tracked, pass);
+  } else if (pass->now - tracked->phase_at >= options_.out_of_service_time) {
+    WriteChangedOrder(desired, tracked, pass);
   }
 }
 
 // Writes the first order of a target that has no valid one. If the engine
 // already matches, recording its state changes nothing and does not count
 // against the change limit.
-void Reconciler::First(const std::string& target, const DesiredState& desired,
-                       Slot* slot, Pass* pass) {
-  if (slot->seen->health != ObservedHealth::kUp) {
+void Reconciler::WriteFirstOrder(const std::string& target,
+                                 const DesiredState& desired,
+                                 TrackedTarget* tracked, ReconcilePass* pass) {
+  if (tracked->seen->health != ObservedHealth::kUp) {
     return;
   }
-  const bool fits = !slot->stored.order && Matches(*slot->seen, desired);
-  if (!fits && !MayChange(desired, *slot, *pass)) {
+  const bool matches_desired =
+      !tracked->stored.order && Matches(*tracked->seen, desired);
+  if (!matches_desired && !MayChange(desired, *tracked, *pass)) {
     return;
   }
-  TargetOrder order = Following(*slot, desired, pass->revision.number,
-                                RevisionCause(pass->revision.number));
+  TargetOrder order = MakeNextOrder(*tracked, desired, pass->revision.number,
+                                    RevisionCause(pass->revision.number));
   order.target = target;
   order.deployment = pass->revision.spec.name;
-  Write(std::move(order), slot, pass);
+  Write(std::move(order), tracked, pass);
 }
 
-void Reconciler::Change(const DesiredState& desired, Slot* slot, Pass* pass) {
+void Reconciler::WriteChangedOrder(const DesiredState& desired,
+                                   TrackedTarget* tracked,
+                                   ReconcilePass* pass) {
   // An engine that is down would occupy the change limit until it returns, so
   // it gets its new order once it is up again.
-  if (slot->seen->health == ObservedHealth::kUp &&
-      MayChange(desired, *slot, *pass)) {
-    Write(Following(*slot, desired, pass->revision.number,
-                    RevisionCause(pass->revision.number)),
-          slot, pass);
+  if (tracked->seen->health == ObservedHealth::kUp &&
+      MayChange(desired, *tracked, *pass)) {
+    Write(MakeNextOrder(*tracked, desired, pass->revision.number,
+                        RevisionCause(pass->revision.number)),
+          tracked, pass);
   }
 }
 
-void Reconciler::Retry(const DesiredState& desired, Slot* slot, Pass* pass) {
-  const TargetOrder& failed = *slot->stored.order;
-  const bool other = InService(failed.desired) != desired;
-  const bool due = pass->now - slot->phase_at >= options_.retry_interval;
-  if ((!other && !due) || failed.desired.out_of_service) {
+void Reconciler::RetryFailedOrder(const DesiredState& desired,
+                                  TrackedTarget* tracked, ReconcilePass* pass) {
+  const TargetOrder& failed = *tracked->stored.order;
+  const bool desired_changed = AsInService(failed.desired) != desired;
+  const bool due = pass->now - tracked->phase_at >= options_.retry_interval;
+  if ((!desired_changed && !due) || failed.desired.out_of_service) {
     return;
   }
-  TargetOrder next = Following(
-      *slot, desired, pass->revision.number,
-      other ? RevisionCause(pass->revision.number) : "retry: " + slot->detail);
-  next.tries = other ? 0 : failed.tries + 1;
+  TargetOrder next =
+      MakeNextOrder(*tracked, desired, pass->revision.number,
+                    desired_changed ? RevisionCause(pass->revision.number)
+                                    : "retry: " + tracked->detail);
+  next.tries = desired_changed ? 0 : failed.tries + 1;
   if (next.tries >= options_.max_tries) {
     next.desired.out_of_service = true;
-    next.cause = "taken out of service: " + slot->detail;
+    next.cause = "taken out of service: " + tracked->detail;
   }
-  if (next.desired.out_of_service || MayChange(desired, *slot, *pass)) {
-    Write(std::move(next), slot, pass);
+  if (next.desired.out_of_service || MayChange(desired, *tracked, *pass)) {
+    Write(std::move(next), tracked, pass);
   }
 }
 
-void Reconciler::MendDrift(Slot* slot, Pass* pass) {
-  const bool differs = slot->seen->health == ObservedHealth::kUp &&
-                       !Matches(*slot->seen, slot->stored.order->desired);
+void Reconciler::RepairDrift(TrackedTarget* tracked, ReconcilePass* pass) {
+  const bool differs = tracked->seen->health == ObservedHealth::kUp &&
+                       !Matches(*tracked->seen, tracked->stored.order->desired);
   if (!differs) {
-    slot->drift_since.reset();
+    tracked->drift_since.reset();
     return;
   }
-  if (!slot->drift_since) {
-    slot->drift_since = pass->now;
+  if (!tracked->drift_since) {
+    tracked->drift_since = pass->now;
   }
-  const DesiredState& desired = slot->stored.order->desired;
-  if (pass->now - *slot->drift_since >= options_.drift_grace &&
-      MayChange(desired, *slot, *pass)) {
-    Write(Following(*slot, desired, pass->revision.number, "drift"), slot,
-          pass);
+  const DesiredState& desired = tracked->stored.order->desired;
+  if (pass->now - *tracked->drift_since >= options_.drift_grace &&
+      MayChange(desired, *tracked, *pass)) {
+    Write(MakeNextOrder(*tracked, desired, pass->revision.number, "drift"),
+          tracked, pass);
   }
 }
 
 // Rewrites the order unchanged except for the new fencing number. A late write
 // by the previous holder then fails on the object version.
-void Reconciler::Seal(Slot* slot, Pass* pass) {
-  if (slot->stored.order->fencing_number > *number_) {
+void Reconciler::RewriteUnderOwnNumber(TrackedTarget* tracked,
+                                       ReconcilePass* pass) {
+  if (tracked->stored.order->fencing_number > *number_) {
     return;  // A newer holder wrote it; this one has lost the lease.
   }
-  TargetOrder order = *slot->stored.order;
+  TargetOrder order = *tracked->stored.order;
   order.fencing_number = *number_;
-  Write(std::move(order), slot, pass);
+  Write(std::move(order), tracked, pass);
 }
 
-bool Reconciler::MayChange(const DesiredState& desired, const Slot& slot,
-                           const Pass& pass) const {
-  if (pass.changes_left == 0 && !InChange(slot)) {
+bool Reconciler::MayChange(const DesiredState& desired,
+                           const TrackedTarget& tracked,
+                           const ReconcilePass& pass) const {
+  if (pass.changes_left == 0 && !IsChanging(tracked)) {
     return false;
   }
-  if (!LoadsWeights(slot, desired)) {
+  if (!LoadsWeights(tracked, desired)) {
     return true;
   }
-  const bool spaced = !last_weight_load_ || pass.now - *last_weight_load_ >=
-                                                options_.weight_load_interval;
-  return spaced && CountWeightLoads() < options_.max_weight_loads;
+  const bool interval_passed =
+      !last_weight_load_ ||
+      pass.now - *last_weight_load_ >= options_.weight_load_interval;
+  return interval_passed && CountWeightLoads() < options_.max_weight_loads;
 }
 
-void Reconciler::Write(TargetOrder order, Slot* slot, Pass* pass) {
-  const auto& last = slot->stored.order;
+void Reconciler::Write(TargetOrder order, TrackedTarget* tracked,
+                       ReconcilePass* pass) {
+  const auto& last = tracked->stored.order;
   const bool differs = !last || last->generation != order.generation;
-  if (differs && !InChange(*slot)) {
+  if (differs && !IsChanging(*tracked)) {
     pass->changes_left -= std::min<std::size_t>(1, pass->changes_left);
   }
-  slot->loads_weights =
-      differs ? LoadsWeights(*slot, order.desired) : slot->loads_weights;
-  if (differs && slot->loads_weights) {
+  tracked->loads_weights =
+      differs ? LoadsWeights(*tracked, order.desired) : tracked->loads_weights;
+  if (differs && tracked->loads_weights) {
     last_weight_load_ = pass->now;
   }
   order.nonce = ids_();
-  slot->drift_since.reset();
+  tracked->drift_since.reset();
   PendingWrite write;
-  write.expected = slot->stored.version;
+  write.expected = tracked->stored.version;
   write.sent_at = pass->now;
   if (differs) {
-    write.record = Describe(*slot, order);
+    write.record = MakeAuditRecord(*tracked, order);
   }
   write.order = std::move(order);
   pass->actions->emplace_back(WriteOrder{write.order, write.expected});
-  slot->write = std::move(write);
+  tracked->write = std::move(write);
 }
 
-TargetOrder Reconciler::Following(const Slot& slot, const DesiredState& desired,
-                                  std::uint64_t revision,
-                                  std::string cause) const {
-  TargetOrder order = slot.stored.order.value_or(TargetOrder{});
-  const std::uint64_t seen = slot.seen ? slot.seen->order_generation : 0;
+TargetOrder Reconciler::MakeNextOrder(const TrackedTarget& tracked,
+                                      const DesiredState& desired,
+                                      std::uint64_t revision,
+                                      std::string cause) const {
+  TargetOrder order = tracked.stored.order.value_or(TargetOrder{});
+  const std::uint64_t seen = tracked.seen ? tracked.seen->order_generation : 0;
   order.generation = std::max(order.generation, seen) + 1;
   order.fencing_number = *number_;
   order.desired = desired;
--- a/src/core/control/reconciler.h
+++ b/src/core/control/reconciler.h
@@ -127,13 +127,13 @@
     TargetOrder order;
     std::uint64_t expected = 0;
     TimePoint sent_at;
-    bool settle = false;  ///< Read the order back first.
+    bool outcome_unknown = false;  ///< Read the order back first.
     bool read_sent = false;
     bool may_repeat = false;
     /// Audit record to emit once the write is known to have taken effect.
     std::optional<AuditRecord> record;
   };
-  struct Slot {
+  struct TrackedTarget {
     std::optional<TargetObservation> seen;
     StoredOrder stored;
     bool void_order = false;  ///< Written after its number ended.
@@ -149,50 +149,55 @@
     bool drained = false;
   };
   /// State of one pass over a deployment.
-  struct Pass {
+  struct ReconcilePass {
     const Revision& revision;
     std::size_t changes_left = 0;
     TimePoint now;
     Actions* actions;
   };
 
-  bool Begin(FencingNumber number, TimePoint now, Actions* actions);
+  bool EnsureOrdersRead(FencingNumber number, TimePoint now, Actions* actions);
   void Reconcile(const Revision& revision, TimePoint now, Actions* actions);
-  void Step(const std::string& target, const DesiredState& desired, Slot* slot,
-            Pass* pass);
-  void First(const std::string& target, const DesiredState& desired, Slot* slot,
-             Pass* pass);
-  void Change(const DesiredState& desired, Slot* slot, Pass* pass);
-  void Retry(const DesiredState& desired, Slot* slot, Pass* pass);
-  void MendDrift(Slot* slot, Pass* pass);
-  void Seal(Slot* slot, Pass* pass);
-  bool MayChange(const DesiredState& desired, const Slot& slot,
-                 const Pass& pass) const;
-  void Write(TargetOrder order, Slot* slot, Pass* pass);
-  TargetOrder Following(const Slot& slot, const DesiredState& desired,
-                        std::uint64_t revision, std::string cause) const;
-
-  void SettleWrites(TimePoint now, Actions* actions);
-  void Settle(Slot* slot, const StoredOrder& stored);
-  void Accept(Slot* slot);
-  void Store(Slot* slot, const StoredOrder& stored, const LeaseRecord& lease,
-             TimePoint now);
-  Slot* FindOrAdd(const std::string& target);
-  static void Confirm(Slot* slot, TimePoint now);
+  void ReconcileTarget(const std::string& target, const DesiredState& desired,
+                       TrackedTarget* tracked, ReconcilePass* pass);
+  void WriteFirstOrder(const std::string& target, const DesiredState& desired,
+                       TrackedTarget* tracked, ReconcilePass* pass);
+  void WriteChangedOrder(const DesiredState& desired, TrackedTarget* tracked,
+                         ReconcilePass* pass);
+  void RetryFailedOrder(const DesiredState& desired, TrackedTarget* tracked,
+                        ReconcilePass* pass);
+  void RepairDrift(TrackedTarget* tracked, ReconcilePass* pass);
+  void RewriteUnderOwnNumber(TrackedTarget* tracked, ReconcilePass* pass);
+  bool MayChange(const DesiredState& desired, const TrackedTarget& tracked,
+                 const ReconcilePass& pass) const;
+  void Write(TargetOrder order, TrackedTarget* tracked, ReconcilePass* pass);
+  TargetOrder MakeNextOrder(const TrackedTarget& tracked,
+                            const DesiredState& desired, std::uint64_t revision,
+                            std::string cause) const;
+
+  void ResolveWrites(TimePoint now, Actions* actions);
+  void ResolveWrite(TrackedTarget* tracked, const StoredOrder& stored);
+  void AcceptWrite(TrackedTarget* tracked);
+  void StoreOrder(TrackedTarget* tracked, const StoredOrder& stored,
+                  const LeaseRecord& lease, TimePoint now);
+  TrackedTarget* FindOrAdd(const std::string& target);
+  static void MarkIfInForce(TrackedTarget* tracked, TimePoint now);
 
   std::vector<TargetObservation> Members(const std::string& deployment) const;
-  std::size_t CountInChange(const std::string& deployment) const;
+  std::size_t CountChanging(const std::string& deployment) const;
   std::size_t CountWeightLoads() const;
   std::size_t CountWrites() const;
-  static bool InChange(const Slot& slot);
-  static bool LoadsWeights(const Slot& slot, const DesiredState& desired);
-  AuditRecord Describe(const Slot& slot, const TargetOrder& order) const;
+  static bool IsChanging(const TrackedTarget& tracked);
+  static bool LoadsWeights(const TrackedTarget& tracked,
+                           const DesiredState& desired);
+  AuditRecord MakeAuditRecord(const TrackedTarget& tracked,
+                              const TargetOrder& order) const;
 
   Options options_;
   RolePlan role_plan_;
   IdSource ids_;
   std::map<std::string, Revision> revisions_;
-  std::map<std::string, Slot> slots_;
+  std::map<std::string, TrackedTarget> targets_;
   std::optional<FencingNumber> number_;
   bool orders_read_ = false;
   std::optional<TimePoint> list_sent_at_;
--- a/src/core/control/reconciler_state.cc
+++ b/src/core/control/reconciler_state.cc
@@ -10,7 +10,7 @@
 namespace indigolead {
 namespace {
 
-std::string Text(const DesiredState& desired) {
+std::string DescribeState(const DesiredState& desired) {
   std::string text = std::string(EngineRoleName(desired.role)) + " " +
                      desired.model + "@" + desired.version;
   for (const std::string& adapter : desired.adapters) {
@@ -44,51 +44,51 @@
 
 void Reconciler::OnOrder(const std::string& target, const StoredOrder& stored,
                          const LeaseRecord& lease, TimePoint now) {
-  Slot* slot = FindOrAdd(target);
-  if (!slot) {
+  TrackedTarget* tracked = FindOrAdd(target);
+  if (!tracked) {
     return;
   }
-  Settle(slot, stored);
-  Store(slot, stored, lease, now);
+  ResolveWrite(tracked, stored);
+  StoreOrder(tracked, stored, lease, now);
 }
 
 void Reconciler::OnWritten(const std::string& target, const Id128& nonce,
                            const Result<std::uint64_t>& answer, TimePoint now) {
-  const auto it = slots_.find(target);
-  if (it == slots_.end() || !it->second.write ||
+  const auto it = targets_.find(target);
+  if (it == targets_.end() || !it->second.write ||
       it->second.write->order.nonce != nonce) {
     return;
   }
-  Slot& slot = it->second;
+  TrackedTarget& tracked = it->second;
   if (IsOk(answer)) {
     LeaseRecord own;
-    own.fencing_number = slot.write->order.fencing_number;
-    const StoredOrder stored{slot.write->order, ValueOf(answer)};
-    Accept(&slot);
-    Store(&slot, stored, own, now);
+    own.fencing_number = tracked.write->order.fencing_number;
+    const StoredOrder stored{tracked.write->order, ValueOf(answer)};
+    AcceptWrite(&tracked);
+    StoreOrder(&tracked, stored, own, now);
     return;
   }
   const ErrorCode code = ErrorOf(answer).code;
-  const bool unsent = code == ErrorCode::kStaleAuthority ||
-                      code == ErrorCode::kOverloaded ||
-                      code == ErrorCode::kUnavailable;
-  slot.next_write = now + options_.write_backoff;
-  if (unsent && !slot.write->settle) {
-    slot.write.reset();
+  const bool had_no_effect = code == ErrorCode::kStaleAuthority ||
+                             code == ErrorCode::kOverloaded ||
+                             code == ErrorCode::kUnavailable;
+  tracked.next_write = now + options_.write_backoff;
+  if (had_no_effect && !tracked.write->outcome_unknown) {
+    tracked.write.reset();
   } else {
-    slot.write->settle = true;
+    tracked.write->outcome_unknown = true;
   }
 }
 
-void Reconciler::SettleWrites(TimePoint now, Actions* actions) {
-  for (auto& [target, slot] : slots_) {
-    if (!slot.write) {
+void Reconciler::ResolveWrites(TimePoint now, Actions* actions) {
+  for (auto& [target, tracked] : targets_) {
+    if (!tracked.write) {
       continue;
     }
-    PendingWrite& write = *slot.write;
+    PendingWrite& write = *tracked.write;
     const bool late = now - write.sent_at > options_.call_timeout;
     if (late) {
-      write.settle = true;
+      write.outcome_unknown = true;
       write.read_sent = false;
       write.sent_at = now;
     }
@@ -99,7 +99,7 @@
       write.read_sent = false;
       write.sent_at = now;
       actions->emplace_back(WriteOrder{write.order, write.expected});
-    } else if (write.settle && !write.read_sent) {
+    } else if (write.outcome_unknown && !write.read_sent) {
       write.read_sent = true;
       write.sent_at = now;
       actions->emplace_back(ReadOrder{target});
@@ -107,86 +107,88 @@
   }
 }
 
-void Reconciler::Settle(Slot* slot, const StoredOrder& stored) {
-  if (!slot->write) {
+void Reconciler::ResolveWrite(TrackedTarget* tracked,
+                              const StoredOrder& stored) {
+  if (!tracked->write) {
     return;
   }
   const bool ours =
-      stored.order && stored.order->nonce == slot->write->order.nonce;
+      stored.order && stored.order->nonce == tracked->write->order.nonce;
   if (ours) {
-    Accept(slot);
-  } else if (stored.version > slot->write->expected) {
-    slot->write.reset();
-  } else if (slot->write->settle) {
-    slot->write->may_repeat = true;
+    AcceptWrite(tracked);
+  } else if (stored.version > tracked->write->expected) {
+    tracked->write.reset();
+  } else if (tracked->write->outcome_unknown) {
+    tracked->write->may_repeat = true;
   }
 }
 
-void Reconciler::Accept(Slot* slot) {
-  if (slot->write->record) {
-    accepted_.push_back(*slot->write->record);
+void Reconciler::AcceptWrite(TrackedTarget* tracked) {
+  if (tracked->write->record) {
+    accepted_.push_back(*tracked->write->record);
   }
-  slot->write.reset();
+  tracked->write.reset();
 }
 
-void Reconciler::Store(Slot* slot, const StoredOrder& stored,
-                       const LeaseRecord& lease, TimePoint now) {
-  if (stored.version < slot->stored.version) {
+void Reconciler::StoreOrder(TrackedTarget* tracked, const StoredOrder& stored,
+                            const LeaseRecord& lease, TimePoint now) {
+  if (stored.version < tracked->stored.version) {
     return;  // A stale read.
   }
   // Checked again even for the same version: a newer lease may show that the
   // order was written after its fencing number was superseded.
-  slot->void_order = stored.order && !WrittenUnderAuthority(stored, lease);
-  if (stored.version == slot->stored.version) {
+  tracked->void_order = stored.order && !WrittenUnderAuthority(stored, lease);
+  if (stored.version == tracked->stored.version) {
     return;
   }
-  const bool same = slot->stored.order && stored.order &&
-                    slot->stored.order->generation == stored.order->generation;
+  const bool same =
+      tracked->stored.order && stored.order &&
+      tracked->stored.order->generation == stored.order->generation;
   if (!same) {
-    slot->phase.reset();
-    slot->detail.clear();
-    slot->ordered_at = now;
+    tracked->phase.reset();
+    tracked->detail.clear();
+    tracked->ordered_at = now;
   }
-  slot->stored = stored;
-  Confirm(slot, now);
+  tracked->stored = stored;
+  MarkIfInForce(tracked, now);
 }
 
-void Reconciler::Confirm(Slot* slot, TimePoint now) {
-  if (!slot->seen || !slot->stored.order || slot->void_order) {
+void Reconciler::MarkIfInForce(TrackedTarget* tracked, TimePoint now) {
+  if (!tracked->seen || !tracked->stored.order || tracked->void_order) {
     return;
   }
   const bool in_force =
-      slot->seen->order_generation == slot->stored.order->generation &&
-      slot->seen->health == ObservedHealth::kUp;
-  if (in_force && slot->phase != OrderPhase::kInForce) {
-    slot->phase = OrderPhase::kInForce;
-    slot->phase_at = now;
-    slot->detail.clear();
+      tracked->seen->order_generation == tracked->stored.order->generation &&
+      tracked->seen->health == ObservedHealth::kUp;
+  if (in_force && tracked->phase != OrderPhase::kInForce) {
+    tracked->phase = OrderPhase::kInForce;
+    tracked->phase_at = now;
+    tracked->detail.clear();
   }
 }
 
-Reconciler::Slot* Reconciler::FindOrAdd(const std::string& target) {
-  const auto it = slots_.find(target);
-  if (it != slots_.end()) {
+Reconciler::TrackedTarget* Reconciler::FindOrAdd(const std::string& target) {
+  const auto it = targets_.find(target);
+  if (it != targets_.end()) {
     return &it->second;
   }
-  if (slots_.size() >= options_.max_targets) {
+  if (targets_.size() >= options_.max_targets) {
     return nullptr;
   }
-  return &slots_[target];
+  return &targets_[target];
 }
 
 std::vector<TargetObservation> Reconciler::Members(
     const std::string& deployment) const {
   std::vector<TargetObservation> members;
-  for (const auto& [name, slot] : slots_) {
-    const bool ours = slot.seen && slot.seen->deployment == deployment;
-    if (!ours || slot.seen->leaving || slot.drained) {
+  for (const auto& [name, tracked] : targets_) {
+    const bool ours = tracked.seen && tracked.seen->deployment == deployment;
+    if (!ours || tracked.seen->leaving || tracked.drained) {
       continue;
     }
-    members.push_back(*slot.seen);
-    if (slot.stored.order && !slot.void_order) {
-      const DesiredState& ordered = slot.stored.order->desired;
+    members.push_back(*tracked.seen);
+    if (tracked.stored.order && !tracked.void_order) {
+      const DesiredState& ordered = tracked.stored.order->desired;
       members.back().role = ordered.role;
       members.back().models = {ordered.model + "@" + ordered.version};
       members.back().adapters = ordered.adapters;
@@ -195,52 +197,54 @@
   return members;
 }
 
-std::size_t Reconciler::CountInChange(const std::string& deployment) const {
+std::size_t Reconciler::CountChanging(const std::string& deployment) const {
   return static_cast<std::size_t>(
-      std::count_if(slots_.begin(), slots_.end(), [&](const auto& entry) {
-        const Slot& slot = entry.second;
-        return slot.seen && slot.seen->deployment == deployment &&
-               !slot.seen->leaving && !slot.drained && InChange(slot);
+      std::count_if(targets_.begin(), targets_.end(), [&](const auto& entry) {
+        const TrackedTarget& tracked = entry.second;
+        return tracked.seen && tracked.seen->deployment == deployment &&
+               !tracked.seen->leaving && !tracked.drained &&
+               IsChanging(tracked);
       }));
 }
 
 std::size_t Reconciler::CountWeightLoads() const {
   return static_cast<std::size_t>(
-      std::count_if(slots_.begin(), slots_.end(), [](const auto& entry) {
-        return entry.second.loads_weights && InChange(entry.second) &&
+      std::count_if(targets_.begin(), targets_.end(), [](const auto& entry) {
+        return entry.second.loads_weights && IsChanging(entry.second) &&
                entry.second.phase != OrderPhase::kFailed;
       }));
 }
 
 std::size_t Reconciler::CountWrites() const {
   return static_cast<std::size_t>(std::count_if(
-      slots_.begin(), slots_.end(),
+      targets_.begin(), targets_.end(),
       [](const auto& entry) { return entry.second.write.has_value(); }));
 }
 
-bool Reconciler::InChange(const Slot& slot) {
-  if (slot.write) {
+bool Reconciler::IsChanging(const TrackedTarget& tracked) {
+  if (tracked.write) {
     return true;
   }
-  return slot.stored.order && !slot.void_order &&
-         (slot.phase != OrderPhase::kInForce ||
-          slot.stored.order->desired.out_of_service);
+  return tracked.stored.order && !tracked.void_order &&
+         (tracked.phase != OrderPhase::kInForce ||
+          tracked.stored.order->desired.out_of_service);
 }
 
-bool Reconciler::LoadsWeights(const Slot& slot, const DesiredState& desired) {
-  if (slot.stored.order && !slot.void_order &&
-      SameWeights(slot.stored.order->desired, desired) &&
-      slot.phase == OrderPhase::kInForce) {
+bool Reconciler::LoadsWeights(const TrackedTarget& tracked,
+                              const DesiredState& desired) {
+  if (tracked.stored.order && !tracked.void_order &&
+      SameWeights(tracked.stored.order->desired, desired) &&
+      tracked.phase == OrderPhase::kInForce) {
     return false;
   }
-  TargetObservation seen = slot.seen.value_or(TargetObservation{});
+  TargetObservation seen = tracked.seen.value_or(TargetObservation{});
   seen.role = desired.role;
   return !Matches(seen, desired);
 }
 
-AuditRecord Reconciler::Describe(const Slot& slot,
-                                 const TargetOrder& order) const {
-  const auto& before = slot.stored.order;
+AuditRecord Reconciler::MakeAuditRecord(const TrackedTarget& tracked,
+                                        const TargetOrder& order) const {
+  const auto& before = tracked.stored.order;
   const bool role_only = before && before->desired.role != order.desired.role &&
                          SameWeights(before->desired, order.desired);
   AuditRecord record;
@@ -249,27 +253,27 @@
   record.cause = order.cause;
   record.actor = options_.actor;
   record.fencing_number = order.fencing_number;
-  record.before = before ? Text(before->desired) : "";
-  record.after = Text(order.desired);
+  record.before = before ? DescribeState(before->desired) : "";
+  record.after = DescribeState(order.desired);
   return record;
 }
 
 std::optional<Reconciler::TargetView> Reconciler::View(
     const std::string& target, TimePoint now) const {
-  const auto it = slots_.find(target);
-  if (it == slots_.end()) {
+  const auto it = targets_.find(target);
+  if (it == targets_.end()) {
     return std::nullopt;
   }
-  const Slot& slot = it->second;
+  const TrackedTarget& tracked = it->second;
   TargetView view;
-  view.deployment = slot.seen ? slot.seen->deployment : "";
-  view.stored = slot.stored;
-  view.phase = slot.phase;
-  view.detail = slot.detail;
-  view.drifted = slot.drift_since.has_value();
-  view.stuck = slot.stored.order && slot.phase != OrderPhase::kInForce &&
-               slot.phase != OrderPhase::kFailed &&
-               now - slot.ordered_at >= options_.stuck_after;
+  view.deployment = tracked.seen ? tracked.seen->deployment : "";
+  view.stored = tracked.stored;
+  view.phase = tracked.phase;
+  view.detail = tracked.detail;
+  view.drifted = tracked.drift_since.has_value();
+  view.stuck = tracked.stored.order && tracked.phase != OrderPhase::kInForce &&
+               tracked.phase != OrderPhase::kFailed &&
+               now - tracked.ordered_at >= options_.stuck_after;
   return view;
 }
 
--- a/src/core/control/revision_book.cc
+++ b/src/core/control/revision_table.cc
@@ -1,17 +1,17 @@
-#include "core/control/revision_book.h"
+#include "core/control/revision_table.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace indigolead {
 
-RevisionBook::RevisionBook(Options options) : options_(options) {}
+RevisionTable::RevisionTable(Options options) : options_(options) {}
 
-RevisionOutcome RevisionBook::Offer(RevisionRecord record) {
+RevisionOutcome RevisionTable::Offer(RevisionRecord record) {
   const auto it = newest_.find(record.deployment);
   if (it == newest_.end()) {
     if (newest_.size() >= options_.max_deployments) {
-      return RevisionOutcome::kNoRoom;
+      return RevisionOutcome::kLimitReached;
     }
     std::string deployment = record.deployment;
     newest_.emplace(std::move(deployment), std::move(record));
@@ -29,12 +29,12 @@
   return RevisionOutcome::kNewer;
 }
 
-const RevisionRecord* RevisionBook::Find(const std::string& deployment) const {
+const RevisionRecord* RevisionTable::Find(const std::string& deployment) const {
   const auto it = newest_.find(deployment);
   return it == newest_.end() ? nullptr : &it->second;
 }
 
-KnownRevisions RevisionBook::Known() const {
+KnownRevisions RevisionTable::Known() const {
   KnownRevisions known;
   for (const auto& [deployment, record] : newest_) {
     known.emplace(deployment, record.number);
@@ -42,7 +42,7 @@
   return known;
 }
 
-std::vector<RevisionRecord> RevisionBook::NewerThan(
+std::vector<RevisionRecord> RevisionTable::NewerThan(
     const KnownRevisions& known, const std::string& deployment) const {
   std::vector<RevisionRecord> newer;
   for (const auto& [name, record] : newest_) {
@@ -55,7 +55,7 @@
   return newer;
 }
 
-bool RevisionBook::OnPeerUp(const RevisionPeer& peer, TimePoint now) {
+bool RevisionTable::OnPeerUp(const RevisionPeer& peer, TimePoint now) {
   Tick(now);
   const auto it = peers_.find(peer.instance);
   if (it == peers_.end()) {
@@ -75,10 +75,10 @@
   return true;
 }
 
-void RevisionBook::OnApplied(const std::string& instance,
-                             const Incarnation& incarnation,
-                             const std::string& deployment,
-                             std::uint64_t number) {
+void RevisionTable::OnApplied(const std::string& instance,
+                              const Incarnation& incarnation,
+                              const std::string& deployment,
+                              std::uint64_t number) {
   const auto it = peers_.find(instance);
   if (it == peers_.end() || it->second.identity.incarnation != incarnation) {
     return;
@@ -92,8 +92,8 @@
   newest = std::max(newest, number);
 }
 
-void RevisionBook::OnPeerDown(const std::string& instance,
-                              const Incarnation& incarnation, TimePoint now) {
+void RevisionTable::OnPeerDown(const std::string& instance,
+                               const Incarnation& incarnation, TimePoint now) {
   const auto it = peers_.find(instance);
   if (it != peers_.end() && it->second.identity.incarnation == incarnation &&
       !it->second.silent_since) {
@@ -101,24 +101,24 @@
   }
 }
 
-void RevisionBook::ForgetPeer(const std::string& instance) {
+void RevisionTable::ForgetPeer(const std::string& instance) {
   peers_.erase(instance);
 }
 
-void RevisionBook::Tick(TimePoint now) {
+void RevisionTable::Tick(TimePoint now) {
   std::erase_if(peers_, [&](const auto& entry) {
     const auto& since = entry.second.silent_since;
     return since && now - *since > options_.forget_peer_after;
   });
 }
 
-InForce RevisionBook::InForceOf(const std::string& deployment) const {
-  InForce result;
+RevisionRollout RevisionTable::RolloutOf(const std::string& deployment) const {
+  RevisionRollout result;
   const RevisionRecord* newest = Find(deployment);
   result.number = newest ? newest->number : 0;
   for (const auto& [name, peer] : peers_) {
-    const std::string& only = peer.identity.deployment;
-    if (!only.empty() && only != deployment) {
+    const std::string& peer_deployment = peer.identity.deployment;
+    if (!peer_deployment.empty() && peer_deployment != deployment) {
       continue;
     }
     const auto it = peer.applied.find(deployment);
@@ -133,12 +133,12 @@
   return result;
 }
 
-KnownRevisions RevisionBook::AppliedBy(const std::string& instance) const {
+KnownRevisions RevisionTable::AppliedBy(const std::string& instance) const {
   const auto it = peers_.find(instance);
   return it == peers_.end() ? KnownRevisions{} : it->second.applied;
 }
 
-std::vector<RevisionPeer> RevisionBook::Peers() const {
+std::vector<RevisionPeer> RevisionTable::Peers() const {
   std::vector<RevisionPeer> peers;
   for (const auto& [name, peer] : peers_) {
     peers.push_back(peer.identity);
--- a/src/core/control/revision_book.h
+++ b/src/core/control/revision_table.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_CORE_CONTROL_REVISION_BOOK_H_
-#define INDIGOLEAD_CORE_CONTROL_REVISION_BOOK_H_
+#ifndef INDIGOLEAD_CORE_CONTROL_REVISION_TABLE_H_
+#define INDIGOLEAD_CORE_CONTROL_REVISION_TABLE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -30,7 +30,7 @@
   kSame,      ///< Already held.
   kOlder,     ///< Ignored: from a stale read or a peer that is behind.
   kMismatch,  ///< Same number, different content: an error; the first is kept.
-  kNoRoom,    ///< The limit on deployments was reached.
+  kLimitReached,  ///< The limit on deployments was reached.
 };
 
 /// Newest revision number held, per deployment.
@@ -47,7 +47,7 @@
 };
 
 /// Rollout state of a deployment's newest revision.
-struct InForce {
+struct RevisionRollout {
   std::uint64_t number = 0;  ///< 0: no revision is known.
   std::vector<std::string> applied;
   std::vector<std::string> waiting_for;  ///< Connected and known to be behind.
@@ -57,7 +57,8 @@
   bool everywhere() const {
     return number != 0 && waiting_for.empty() && unknown_since.empty();
   }
-  friend bool operator==(const InForce&, const InForce&) = default;
+  friend bool operator==(const RevisionRollout&,
+                         const RevisionRollout&) = default;
 };
 
 /// Stores the newest revision of each deployment, whatever its source.
@@ -66,7 +67,7 @@
 /// repeated messages all offer old revisions, so revisions are ordered by
 /// number and not by arrival. The class also records which revisions each peer
 /// has applied.
-class RevisionBook {
+class RevisionTable {
  public:
   struct Options {
     std::size_t max_deployments = 256;
@@ -75,7 +76,7 @@
     Duration forget_peer_after = std::chrono::minutes(10);
   };
 
-  explicit RevisionBook(Options options);
+  explicit RevisionTable(Options options);
 
   /// Stores `record` if it is newer than the current revision.
   RevisionOutcome Offer(RevisionRecord record);
@@ -112,7 +113,7 @@
   void Tick(TimePoint now);
 
   /// Returns the rollout state of the newest revision of `deployment`.
-  InForce InForceOf(const std::string& deployment) const;
+  RevisionRollout RolloutOf(const std::string& deployment) const;
 
   /// Returns the revisions that `instance` applies; empty if it is unknown.
   KnownRevisions AppliedBy(const std::string& instance) const;
@@ -134,4 +135,4 @@
 
 }  // namespace indigolead
 
-#endif  // INDIGOLEAD_CORE_CONTROL_REVISION_BOOK_H_
+#endif  // INDIGOLEAD_CORE_CONTROL_REVISION_TABLE_H_
--- a/src/core/control/stage_control.cc
+++ b/src/core/control/stage_control.cc
@@ -21,21 +21,23 @@
 class DomainQueue {
  public:
   void Add(const StagedEngine* engine) {
-    (engine->role == EngineRole::kPrefill ? readers_ : others_)
+    (engine->role == EngineRole::kPrefill ? prefill_engines_ : other_engines_)
         .push_back(engine);
   }
 
-  bool empty() const { return taken_ == others_.size() + readers_.size(); }
+  bool empty() const {
+    return taken_ == other_engines_.size() + prefill_engines_.size();
+  }
 
   /// Returns true if this domain's next engine is planned before that of
   /// `other`. Neither queue may be empty.
-  bool GoesBefore(const DomainQueue& other) const {
-    const StagedEngine* mine = next();
-    const StagedEngine* its = other.next();
-    const bool mine_reads = mine->role == EngineRole::kPrefill;
-    const bool its_reads = its->role == EngineRole::kPrefill;
-    return std::tie(taken_, mine_reads, mine->instance) <
-           std::tie(other.taken_, its_reads, its->instance);
+  bool PrecedesInPlan(const DomainQueue& other) const {
+    const StagedEngine* own_next = next();
+    const StagedEngine* other_next = other.next();
+    const bool own_is_prefill = own_next->role == EngineRole::kPrefill;
+    const bool other_is_prefill = other_next->role == EngineRole::kPrefill;
+    return std::tie(taken_, own_is_prefill, own_next->instance) <
+           std::tie(other.taken_, other_is_prefill, other_next->instance);
   }
 
   const StagedEngine* Take() {
@@ -46,12 +48,13 @@
 
  private:
   const StagedEngine* next() const {
-    return taken_ < others_.size() ? others_[taken_]
-                                   : readers_[taken_ - others_.size()];
+    return taken_ < other_engines_.size()
+               ? other_engines_[taken_]
+               : prefill_engines_[taken_ - other_engines_.size()];
   }
 
-  std::vector<const StagedEngine*> others_;   ///< Decode already.
-  std::vector<const StagedEngine*> readers_;  ///< Would have to change.
+  std::vector<const StagedEngine*> other_engines_;    ///< Decode already.
+  std::vector<const StagedEngine*> prefill_engines_;  ///< Would have to change.
   std::size_t taken_ = 0;
 };
 
@@ -79,7 +82,7 @@
   }
 }
 
-std::size_t StageControl::Usable() const {
+std::size_t StageControl::CountUsable() const {
   return static_cast<std::size_t>(
       std::count_if(engines_.begin(), engines_.end(),
                     [](const auto& it) { return !it.leaving; }));
@@ -88,14 +91,14 @@
 std::optional<double> StageControl::OnLoad(const RoleLoad& load,
                                            TimePoint now) {
   const double wanted = AnsweringShare(load);
-  if (!share_) {
-    share_ = wanted;
-    return share_;
-  }
-  const auto engines = static_cast<double>(Usable());
-  const double least = std::max(options_.least_shift_engines,
-                                options_.least_shift_share * engines);
-  if (std::abs(wanted - *share_) * engines < least) {
+  if (!decode_share_) {
+    decode_share_ = wanted;
+    return decode_share_;
+  }
+  const auto engines = static_cast<double>(CountUsable());
+  const double min_shift =
+      std::max(options_.min_shift_engines, options_.min_shift_share * engines);
+  if (std::abs(wanted - *decode_share_) * engines < min_shift) {
     shift_since_.reset();
     return std::nullopt;
   }
@@ -105,36 +108,36 @@
   if (now - *shift_since_ < options_.shift_after) {
     return std::nullopt;
   }
-  share_ = wanted;
+  decode_share_ = wanted;
   shift_since_.reset();
-  return share_;
+  return decode_share_;
 }
 
 void StageControl::AdoptRoles() {
-  const std::size_t usable = Usable();
+  const std::size_t usable = CountUsable();
   if (usable == 0) {
     return;
   }
-  const auto answering =
+  const auto decoding =
       std::count_if(engines_.begin(), engines_.end(), [](const auto& it) {
         return !it.leaving && it.role == EngineRole::kDecode;
       });
-  share_ = static_cast<double>(answering) / static_cast<double>(usable);
+  decode_share_ = static_cast<double>(decoding) / static_cast<double>(usable);
 }
 
-std::size_t StageControl::Wanted(const std::vector<const StagedEngine*>& usable,
-                                 std::size_t domains) const {
+std::size_t StageControl::CountWantedDecode(
+    const std::vector<const StagedEngine*>& usable, std::size_t domains) const {
   const std::size_t engines = usable.size();
   // With two or three engines, all stay able to do both kinds of work.
   if (engines <= options_.min_decode + 1) {
     return engines;
   }
   const auto by_load = static_cast<std::size_t>(
-      std::lround(share_.value_or(0) * static_cast<double>(engines)));
+      std::lround(decode_share_.value_or(0) * static_cast<double>(engines)));
   // One decode engine per domain only if most engines remain for prefill.
-  const std::size_t one_each = 3 * domains <= engines ? domains : 0;
+  const std::size_t one_per_domain = 3 * domains <= engines ? domains : 0;
   const std::size_t wanted =
-      std::max({by_load, std::size_t{options_.min_decode}, one_each});
+      std::max({by_load, std::size_t{options_.min_decode}, one_per_domain});
   return std::min(wanted, engines - options_.min_prefill);
 }
 
@@ -153,13 +156,13 @@
       domains[it.failure_domain].Add(&it);
     }
   }
-  const std::size_t wanted = Wanted(usable, domains.size());
+  const std::size_t wanted = CountWantedDecode(usable, domains.size());
   std::vector<std::string> planned;
   planned.reserve(wanted);
   while (planned.size() < wanted) {
     DomainQueue* best = nullptr;
     for (auto& [name, queue] : domains) {
-      if (!queue.empty() && (!best || queue.GoesBefore(*best))) {
+      if (!queue.empty() && (!best || queue.PrecedesInPlan(*best))) {
         best = &queue;
       }
     }
@@ -177,10 +180,10 @@
   });
 }
 
-std::uint32_t StageControl::Changing(TimePoint now) const {
+std::uint32_t StageControl::CountChanging(TimePoint now) const {
   return static_cast<std::uint32_t>(
       std::count_if(sent_.begin(), sent_.end(), [&](const auto& it) {
-        return it.second.waiting && now < it.second.quiet_until;
+        return it.second.waiting && now < it.second.no_order_before;
       }));
 }
 
@@ -190,25 +193,26 @@
     return false;
   }
   const auto sent = sent_.find(engine.instance);
-  return sent == sent_.end() || now >= sent->second.quiet_until;
+  return sent == sent_.end() || now >= sent->second.no_order_before;
 }
 
 std::vector<StageOrder> StageControl::Tick(std::optional<FencingNumber> number,
                                            TimePoint now) {
   std::vector<StageOrder> orders;
-  const bool settled = reached_ || now - changed_at_ >= options_.settle_time;
-  if (!number || engines_.empty() || !settled || !share_) {
+  const bool settled =
+      plan_reached_ || now - changed_at_ >= options_.settle_time;
+  if (!number || engines_.empty() || !settled || !decode_share_) {
     return orders;
   }
   const std::vector<std::string> planned = PlanDecode();
   const std::set<std::string> decode(planned.begin(), planned.end());
-  reached_ = reached_ || Matches(decode);
-  std::uint32_t changing = Changing(now);
+  plan_reached_ = plan_reached_ || Matches(decode);
+  std::uint32_t changing = CountChanging(now);
   for (const StagedEngine& it : engines_) {
     const EngineRole role = decode.count(it.instance) > 0
                                 ? EngineRole::kDecode
                                 : EngineRole::kPrefill;
-    const bool room = !reached_ || changing < options_.max_changing;
+    const bool room = !plan_reached_ || changing < options_.max_changing;
     if (!room || !MayOrder(it, role, now)) {
       continue;
     }
@@ -227,14 +231,14 @@
   }
   switch (outcome) {
     case StageOrderOutcome::kAccepted:
-      it->second.quiet_until = now + options_.confirm_timeout;
+      it->second.no_order_before = now + options_.confirm_timeout;
       return;
     case StageOrderOutcome::kRefused:
-      it->second.quiet_until = now + options_.retry_interval;
+      it->second.no_order_before = now + options_.retry_interval;
       it->second.waiting = false;
       return;
     case StageOrderOutcome::kUnknown:
-      it->second.quiet_until = now + options_.unknown_timeout;
+      it->second.no_order_before = now + options_.unknown_timeout;
       return;
   }
 }
--- a/src/core/control/stage_control.h
+++ b/src/core/control/stage_control.h
@@ -57,8 +57,8 @@
     /// engines; a plan that is off by less is kept. An entry that sees a
     /// twentieth of the traffic knows the load to within a tenth, and each
     /// change makes an engine unavailable for seconds.
-    double least_shift_share = 0.1;
-    double least_shift_engines = 1;
+    double min_shift_share = 0.1;
+    double min_shift_engines = 1;
     /// Time for which the load must ask for another plan. Longer than the
     /// bursts of one kind of work, which placement absorbs.
     Duration shift_after = std::chrono::seconds(3);
@@ -121,25 +121,25 @@
  private:
   struct Sent {
     EngineRole role = EngineRole::kDecode;
-    TimePoint quiet_until{};  ///< No order may be sent before this time.
-    bool waiting = true;      ///< The change or its answer is outstanding.
+    TimePoint no_order_before{};  ///< No order may be sent before this time.
+    bool waiting = true;          ///< The change or its answer is outstanding.
   };
 
-  std::size_t Wanted(const std::vector<const StagedEngine*>& usable,
-                     std::size_t domains) const;
+  std::size_t CountWantedDecode(const std::vector<const StagedEngine*>& usable,
+                                std::size_t domains) const;
   std::vector<std::string> PlanDecode() const;
   bool MayOrder(const StagedEngine& engine, EngineRole role, TimePoint now);
   bool Matches(const std::set<std::string>& decode) const;
-  std::uint32_t Changing(TimePoint now) const;
+  std::uint32_t CountChanging(TimePoint now) const;
 
-  std::size_t Usable() const;
+  std::size_t CountUsable() const;
 
   Options options_;
-  std::optional<double> share_;  ///< Planned share of decode engines.
+  std::optional<double> decode_share_;  ///< Planned share of decode engines.
   std::optional<TimePoint> shift_since_;
   std::vector<StagedEngine> engines_;  ///< By name.
   TimePoint changed_at_{};
-  bool reached_ = false;  ///< The engines have matched the plan once.
+  bool plan_reached_ = false;  ///< The engines have matched the plan once.
   std::map<std::string, Sent> sent_;
 };
 
--- a/src/core/control/status.cc
+++ b/src/core/control/status.cc
@@ -14,7 +14,7 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-void to_json(Json& json, const TargetLoadFigures& load) {
+void to_json(Json& json, const TargetLoadStatus& load) {
   json = Json{{"running", load.running},
               {"waiting", load.waiting},
               {"queued_prefill_tokens", load.queued_prefill_tokens},
@@ -23,11 +23,12 @@
 }
 
 // Converts values to JSON, with ages relative to the time of the request.
-class Writer {
+class StatusWriter {
  public:
-  Writer(TimePoint now, WallMicros wall_now) : now_(now), wall_now_(wall_now) {}
+  StatusWriter(TimePoint now, WallMicros wall_now)
+      : now_(now), wall_now_(wall_now) {}
 
-  Json Unknown(TimePoint since) const {
+  Json UnknownSince(TimePoint since) const {
     const auto age =
         std::chrono::duration_cast<std::chrono::microseconds>(now_ - since);
     return Json{{"unknown_since", wall_now_ - age.count()},
@@ -35,27 +36,27 @@
   }
 
   template <typename T>
-  Json Figure(const Aged<T>& figure) const {
-    if (figure.unknown_since) {
-      return Unknown(*figure.unknown_since);
+  Json WriteTimestamped(const Timestamped<T>& timestamped) const {
+    if (timestamped.unknown_since) {
+      return UnknownSince(*timestamped.unknown_since);
     }
-    if (!figure.value) {
+    if (!timestamped.value) {
       return nullptr;
     }
     Json value;
-    if constexpr (std::is_same_v<T, TargetLoadFigures>) {
-      to_json(value, *figure.value);
+    if constexpr (std::is_same_v<T, TargetLoadStatus>) {
+      to_json(value, *timestamped.value);
     } else {
-      value = *figure.value;
+      value = *timestamped.value;
     }
     return Json{{"value", std::move(value)},
-                {"age_s", Seconds(now_ - figure.seen_at)}};
+                {"age_s", Seconds(now_ - timestamped.seen_at)}};
   }
 
   Json Write(const DeploymentStatus& deployment) const {
     Json unknown = Json::object();
     for (const auto& [name, since] : deployment.unknown_since) {
-      unknown[name] = Unknown(since);
+      unknown[name] = UnknownSince(since);
     }
     return Json{{"name", deployment.name},
                 {"revision", deployment.revision},
@@ -71,24 +72,24 @@
     return Json{{"name", target.name},
                 {"deployment", target.deployment},
                 {"failure_domain", target.failure_domain},
-                {"health", Figure(target.health)},
-                {"role", Figure(target.role)},
-                {"models", Figure(target.models)},
+                {"health", WriteTimestamped(target.health)},
+                {"role", WriteTimestamped(target.role)},
+                {"models", WriteTimestamped(target.models)},
                 {"desired_role", target.desired_role},
                 {"desired_model", target.desired_model},
                 {"order_generation", target.order_generation},
                 {"order_phase", target.order_phase},
                 {"order_detail", target.order_detail},
                 {"out_of_service", target.out_of_service},
-                {"revision", Figure(target.revision)},
-                {"load", Figure(target.load)},
+                {"revision", WriteTimestamped(target.revision)},
+                {"load", WriteTimestamped(target.load)},
                 {"drain_cause", target.drain_cause}};
   }
 
   Json Write(const EntryStatus& entry) const {
     return Json{{"name", entry.name},
                 {"failure_domain", entry.failure_domain},
-                {"up", Figure(entry.up)},
+                {"up", WriteTimestamped(entry.up)},
                 {"revisions", entry.revisions}};
   }
 
@@ -119,11 +120,11 @@
 
 std::string EncodeStatus(const SystemStatus& status, TimePoint now,
                          WallMicros wall_now) {
-  const Writer writer(now, wall_now);
+  const StatusWriter writer(now, wall_now);
   return Json{{"entry", status.entry},
               {"at", wall_now},
-              {"store_answers", writer.Figure(status.store_answers)},
-              {"lease_holder", writer.Figure(status.lease_holder)},
+              {"store_answers", writer.WriteTimestamped(status.store_answers)},
+              {"lease_holder", writer.WriteTimestamped(status.lease_holder)},
               {"fencing_number", status.fencing_number},
               {"controller_here", status.controller_here},
               {"deployments", writer.WriteAll(status.deployments)},
--- a/src/core/control/status.h
+++ b/src/core/control/status.h
@@ -18,45 +18,45 @@
 /// is no longer updated, it is printed as "unknown since" a time, without the
 /// value.
 template <typename T>
-struct Aged {
+struct Timestamped {
   std::optional<T> value;
   TimePoint seen_at;
   /// Set while nothing updates the value.
   std::optional<TimePoint> unknown_since;
 
-  static Aged Seen(T value, TimePoint at) {
-    return Aged{std::move(value), at, std::nullopt};
+  static Timestamped Seen(T value, TimePoint at) {
+    return Timestamped{std::move(value), at, std::nullopt};
   }
-  friend bool operator==(const Aged&, const Aged&) = default;
+  friend bool operator==(const Timestamped&, const Timestamped&) = default;
 };
 
 /// Load of one target, as its side reported it.
-struct TargetLoadFigures {
+struct TargetLoadStatus {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint64_t queued_prefill_tokens = 0;
   std::uint64_t kv_used_bytes = 0;
   std::uint64_t kv_capacity_bytes = 0;
 
-  friend bool operator==(const TargetLoadFigures&,
-                         const TargetLoadFigures&) = default;
+  friend bool operator==(const TargetLoadStatus&,
+                         const TargetLoadStatus&) = default;
 };
 
 struct TargetStatus {
   std::string name;
   std::string deployment;
   std::string failure_domain;
-  Aged<std::string> health;  ///< up, down, changing
-  Aged<std::string> role;
-  Aged<std::vector<std::string>> models;  ///< name@version
-  std::string desired_role;               ///< Empty: no order.
-  std::string desired_model;              ///< name@version
+  Timestamped<std::string> health;  ///< up, down, changing
+  Timestamped<std::string> role;
+  Timestamped<std::vector<std::string>> models;  ///< name@version
+  std::string desired_role;                      ///< Empty: no order.
+  std::string desired_model;                     ///< name@version
   std::uint64_t order_generation = 0;
   std::string order_phase;
   std::string order_detail;
   bool out_of_service = false;
-  Aged<std::uint64_t> revision;
-  Aged<TargetLoadFigures> load;
+  Timestamped<std::uint64_t> revision;
+  Timestamped<TargetLoadStatus> load;
   std::string drain_cause;  ///< Empty: not drained.
 
   friend bool operator==(const TargetStatus&, const TargetStatus&) = default;
@@ -65,7 +65,7 @@
 struct EntryStatus {
   std::string name;
   std::string failure_domain;
-  Aged<bool> up;
+  Timestamped<bool> up;
   std::map<std::string, std::uint64_t> revisions;
 
   friend bool operator==(const EntryStatus&, const EntryStatus&) = default;
@@ -101,8 +101,8 @@
 /// Content of `GET /admin/status`, as seen by one entry.
 struct SystemStatus {
   std::string entry;  ///< Entry that answers the request.
-  Aged<bool> store_answers;
-  Aged<std::string> lease_holder;
+  Timestamped<bool> store_answers;
+  Timestamped<std::string> lease_holder;
   FencingNumber fencing_number = 0;
   bool controller_here = false;
   std::vector<DeploymentStatus> deployments;
@@ -116,7 +116,7 @@
 /// Returns `status` as JSON. `now` and `wall_now` must be read together; ages
 /// and "unknown_since" are computed from them.
 ///
-/// Each `Aged` value is written as `{"value":V,"age_s":N}`, as
+/// Each `Timestamped` value is written as `{"value":V,"age_s":N}`, as
 /// `{"unknown_since":WALL_MICROS,"unknown_for_s":N}`, or as `null` if it was
 /// never observed.
 std::string EncodeStatus(const SystemStatus& status, TimePoint now,
--- a/src/entry/control_duty.cc
+++ b/src/entry/control_duty.cc
@@ -37,7 +37,7 @@
 
 ControlDuty::ControlDuty(boost::asio::io_context* platform_io,
                          boost::asio::io_context* dispatch_io,
-                         ObjectStore* store, const RevisionBook* book,
+                         ObjectStore* store, const RevisionTable* book,
                          const Settings& settings,
                          const Incarnation& incarnation, Hooks hooks,
                          EventLog log)
@@ -160,7 +160,7 @@
   next_snapshot_ = now + kSnapshotInterval;
   ConfigSnapshot snapshot;
   for (const auto& [deployment, number] : book_->Known()) {
-    snapshot.in_force.emplace(deployment, book_->InForceOf(deployment));
+    snapshot.in_force.emplace(deployment, book_->RolloutOf(deployment));
   }
   for (const RevisionPeer& peer : book_->Peers()) {
     snapshot.by_peer.emplace(peer.instance, book_->AppliedBy(peer.instance));
--- a/src/entry/control_duty.h
+++ b/src/entry/control_duty.h
@@ -37,7 +37,7 @@
   /// read on the dispatch thread.
   ControlDuty(boost::asio::io_context* platform_io,
               boost::asio::io_context* dispatch_io, ObjectStore* store,
-              const RevisionBook* book, const Settings& settings,
+              const RevisionTable* book, const Settings& settings,
               const Incarnation& incarnation, Hooks hooks, EventLog log);
   ControlDuty(const ControlDuty&) = delete;
   ControlDuty& operator=(const ControlDuty&) = delete;
@@ -98,7 +98,7 @@
   void PublishStatus(TimePoint now);
   void ArmTick();
 
-  const RevisionBook* book_;
+  const RevisionTable* book_;
   Hooks hooks_;
   EventLog log_;
   Mailbox<ToPlatform> to_platform_;
--- a/src/entry/control_records.cc
+++ b/src/entry/control_records.cc
@@ -140,16 +140,16 @@
   status.entry = options_.instance;
   const bool following = watcher_.following();
   if (following) {
-    status.store_answers = Aged<bool>::Seen(true, now);
+    status.store_answers = Timestamped<bool>::Seen(true, now);
   } else if (watcher_.version() != 0) {
-    status.store_answers = Aged<bool>::Seen(false, watcher_.fresh_at());
+    status.store_answers = Timestamped<bool>::Seen(false, watcher_.fresh_at());
   } else {
-    status.store_answers = Aged<bool>::Seen(false, now);
+    status.store_answers = Timestamped<bool>::Seen(false, now);
   }
   const LeaseView& lease = controller_.lease().newest();
   if (lease.record) {
     status.fencing_number = lease.record->fencing_number;
-    status.lease_holder = Aged<std::string>::Seen(
+    status.lease_holder = Timestamped<std::string>::Seen(
         lease.record->holder, following ? now : watcher_.fresh_at());
     if (!following) {
       status.lease_holder.unknown_since = watcher_.fresh_at();
@@ -162,7 +162,7 @@
   EntryStatus own;
   own.name = options_.instance;
   own.failure_domain = options_.failure_domain;
-  own.up = Aged<bool>::Seen(true, now);
+  own.up = Timestamped<bool>::Seen(true, now);
   for (const auto& [name, revision] : revisions_) {
     own.revisions.emplace(name, revision.number);
   }
@@ -204,7 +204,7 @@
   EntryStatus status;
   status.name = name;
   status.failure_domain = peer.failure_domain;
-  status.up = Aged<bool>::Seen(true, peer.target_at);
+  status.up = Timestamped<bool>::Seen(true, peer.target_at);
   status.up.unknown_since = peer.down_since;
   if (const auto it = config_.by_peer.find(name); it != config_.by_peer.end()) {
     status.revisions = it->second;
@@ -219,7 +219,7 @@
   status.deployment = peer.target.deployment();
   status.failure_domain = peer.failure_domain;
   const auto aged = [&peer](auto value, TimePoint at) {
-    auto figure = Aged<decltype(value)>::Seen(std::move(value), at);
+    auto figure = Timestamped<decltype(value)>::Seen(std::move(value), at);
     figure.unknown_since = peer.down_since;
     return figure;
   };
@@ -233,9 +233,9 @@
     const TimePoint measured =
         peer.load_at - std::chrono::microseconds(load.measured_ago_us());
     status.load =
-        aged(TargetLoadFigures{load.running(), load.waiting(),
-                               load.queued_prefill_tokens(),
-                               load.kv_used_bytes(), load.kv_capacity_bytes()},
+        aged(TargetLoadStatus{load.running(), load.waiting(),
+                              load.queued_prefill_tokens(),
+                              load.kv_used_bytes(), load.kv_capacity_bytes()},
              measured);
   }
   const auto applied = config_.by_peer.find(name);
--- a/src/entry/control_service.h
+++ b/src/entry/control_service.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "core/control/audit.h"
-#include "core/control/revision_book.h"
+#include "core/control/revision_table.h"
 #include "core/control/status.h"
 #include "entry/controller.h"
 #include "entry/order_forwarder.h"
@@ -23,8 +23,8 @@
 
 /// What the dispatch thread knows of revisions in force, copied for others.
 struct ConfigSnapshot {
-  std::map<std::string, InForce> in_force;        ///< By deployment.
-  std::map<std::string, KnownRevisions> by_peer;  ///< By instance.
+  std::map<std::string, RevisionRollout> in_force;  ///< By deployment.
+  std::map<std::string, KnownRevisions> by_peer;    ///< By instance.
 
   friend bool operator==(const ConfigSnapshot&,
                          const ConfigSnapshot&) = default;
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -43,7 +43,7 @@
     Links::Options links;
     Membership::Options membership;
     RequestFlowOptions flow;
-    RevisionBook::Options revisions;
+    RevisionTable::Options revisions;
   };
   struct Hooks {
     std::function<void(ToCallers&&)> to_callers;
--- a/src/side/order_service.cc
+++ b/src/side/order_service.cc
@@ -82,7 +82,7 @@
 bool OrderService::HandleMessage(LinkId, const wire::Envelope& message) {
   switch (message.body_case()) {
     case wire::Envelope::kFencing:
-      executor_.OnNumber(message.fencing().fencing_number(), clock_());
+      executor_.OnFencingNumber(message.fencing().fencing_number(), clock_());
       return true;
     case wire::Envelope::kOrder:
       if (message.order().target() == instance_) {
--- a/src/wire/revision_exchange.cc
+++ b/src/wire/revision_exchange.cc
@@ -126,7 +126,7 @@
                               {"source", source}};
   if (outcome == RevisionOutcome::kMismatch) {
     log_(kRevisionMismatch, fields);
-  } else if (outcome == RevisionOutcome::kNoRoom) {
+  } else if (outcome == RevisionOutcome::kLimitReached) {
     log_(kRevisionNoRoom, fields);
   } else if (outcome == RevisionOutcome::kNewer) {
     log_(kRevisionApplied, fields);
--- a/src/wire/revision_exchange.h
+++ b/src/wire/revision_exchange.h
@@ -8,7 +8,7 @@
 #include "core/base/ids.h"
 #include "core/base/time.h"
 #include "core/config/deployment.h"
-#include "core/control/revision_book.h"
+#include "core/control/revision_table.h"
 #include "observe/event_log.h"
 #include "wire/links.h"
 
@@ -29,7 +29,7 @@
     Incarnation incarnation;
     /// Sides: the one deployment to keep; empty: every deployment.
     std::string deployment;
-    RevisionBook::Options book;
+    RevisionTable::Options book;
     /// An offer is repeated to a peer that still lacks it after this.
     Duration offer_interval = std::chrono::seconds(1);
   };
@@ -60,8 +60,8 @@
   void FillKnown(
       google::protobuf::RepeatedPtrField<wire::KnownRevision>* known) const;
 
-  const RevisionBook& book() const { return book_; }
-  RevisionBook& book() { return book_; }
+  const RevisionTable& book() const { return book_; }
+  RevisionTable& book() { return book_; }
 
  private:
   struct Peer {
@@ -83,7 +83,7 @@
   Options options_;
   Hooks hooks_;
   EventLog log_;
-  RevisionBook book_;
+  RevisionTable book_;
   std::map<LinkId, Peer> peers_;
 };
 
--- a/tests/core/control/authority_test.cc
+++ b/tests/core/control/authority_test.cc
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-ControlWorld::Options Calm(bool engines_check) {
+ControlWorld::Options FaultFreeOptions(bool engines_check) {
   ControlWorld::Options options;
   options.engines_check_fencing = engines_check;
   return options;
@@ -30,7 +30,7 @@
 }
 
 /// Injects one fault, chosen by `choice`.
-void Harm(ControlWorld* world, std::uint64_t choice) {
+void InjectFault(ControlWorld* world, std::uint64_t choice) {
   const int which = static_cast<int>(choice / 16 % 4);
   switch (choice % 8) {
     case 0:
@@ -77,15 +77,15 @@
     options.faults = {0.1, 0.1, 0.1, 0.2, 0.2};
     ControlWorld world(options);
     std::uint64_t revision = 1;
-    const auto harms = *rc::gen::container<std::vector<std::uint64_t>>(
+    const auto fault_choices = *rc::gen::container<std::vector<std::uint64_t>>(
         12, rc::gen::arbitrary<std::uint64_t>());
-    for (const std::uint64_t choice : harms) {
+    for (const std::uint64_t choice : fault_choices) {
       world.Run(seconds(1 + choice / 1024 % 8));
       if (choice % 3 == 0) {
         ++revision;
         world.Accept(revision, std::to_string(revision));
       }
-      Harm(&world, choice);
+      InjectFault(&world, choice);
     }
     world.SetStoreDown(false);
     world.CutEntry(0, false);
@@ -113,7 +113,7 @@
 TEST_CASE("A holder paused between decision and send has no effect") {
   const bool engines_check = GENERATE(true, false);
   CAPTURE(engines_check);
-  ControlWorld world(Calm(engines_check));
+  ControlWorld world(FaultFreeOptions(engines_check));
   world.Run(seconds(20));
   REQUIRE(world.Holders().size() == 1);
   const int holder = world.Holders()[0];
@@ -159,7 +159,7 @@
 TEST_CASE("An entry with an outdated order does not send it to a new side") {
   const bool engines_check = GENERATE(true, false);
   CAPTURE(engines_check);
-  ControlWorld world(Calm(engines_check));
+  ControlWorld world(FaultFreeOptions(engines_check));
   world.Run(seconds(20));
   REQUIRE(world.Holders().size() == 1);
   const int other = 1 - world.Holders()[0];
@@ -232,7 +232,7 @@
     for (const Fault& fault : faults) {
       for (const Moment& moment : moments) {
         CAPTURE(fault.name, moment.name, check);
-        ControlWorld world(Calm(check));
+        ControlWorld world(FaultFreeOptions(check));
         world.Run(seconds(20));
         REQUIRE(world.Holders().size() == 1);
         const int holder = world.Holders()[0];
@@ -284,7 +284,7 @@
   for (const StoreFault& fault : faults) {
     for (const std::string when : {"lease renewal", "order", "start"}) {
       CAPTURE(fault.name, when);
-      ControlWorld world(Calm(true));
+      ControlWorld world(FaultFreeOptions(true));
       if (when != "start") {
         world.Run(seconds(20));
         REQUIRE(world.Holders().size() == 1);
@@ -307,7 +307,7 @@
 // While the store is unavailable for long, no order may be written and no
 // engine may change. When it returns, exactly one controller must act.
 TEST_CASE("The store is down for long") {
-  ControlWorld world(Calm(true));
+  ControlWorld world(FaultFreeOptions(true));
   world.Run(seconds(20));
   const auto effects = world.effects().size();
   world.SetStoreDown(true);
--- a/tests/core/control/lease_fleet_test.cc
+++ b/tests/core/control/lease_fleet_test.cc
@@ -37,7 +37,7 @@
       std::size_t holders = 0;
       for (auto& it : entries_) {
         if (it) {
-          Carry(it.get(), it->Tick(now_));
+          Execute(it.get(), it->Tick(now_));
           holders += it->Authority(now_) ? 1 : 0;
         }
       }
@@ -84,14 +84,14 @@
     return draw_;
   }
 
-  void Carry(Lease* lease, const Lease::Actions& actions) {
+  void Execute(Lease* lease, const Lease::Actions& actions) {
     for (const Lease::Action& it : actions) {
       if (std::holds_alternative<Lease::Read>(it)) {
         ++reads;
-        Carry(lease, lease->OnRead(lease_, now_));
+        Execute(lease, lease->OnRead(lease_, now_));
       } else if (const auto* write = std::get_if<Lease::Write>(&it)) {
-        Carry(lease,
-              lease->OnWritten(write->record.nonce, Write(*write), now_));
+        Execute(lease,
+                lease->OnWritten(write->record.nonce, Write(*write), now_));
       }
     }
   }
--- a/tests/core/control/order_executor_test.cc
+++ b/tests/core/control/order_executor_test.cc
@@ -68,14 +68,14 @@
     executor_.OnReading(reading_, now_);
   }
 
-  void Pass(Duration time) {
+  void Advance(Duration time) {
     now_ += time;
     executor_.Tick(now_);
   }
 
   /// Advances an order of generation 1 up to its write.
   void OrderAndWrite() {
-    executor_.OnNumber(5, now_);
+    executor_.OnFencingNumber(5, now_);
     Order(5, 1, kDecode);
     Confirm(5);
     REQUIRE(writes_.size() == 1);
@@ -105,7 +105,7 @@
 
 TEST_CASE("OrderExecutor drains, writes and reads back") {
   OrderFixture f;
-  f.executor_.OnNumber(5, f.now_);
+  f.executor_.OnFencingNumber(5, f.now_);
   f.running_ = 2;
   f.Order(5, 1, kDecode);
   CHECK(f.phase() == OrderPhase::kAccepted);
@@ -113,11 +113,11 @@
   f.Confirm(5);
   CHECK(f.phase() == OrderPhase::kDraining);
   CHECK_FALSE(f.gate_open_);
-  f.Pass(seconds(3));
+  f.Advance(seconds(3));
   CHECK(f.writes_.empty());
 
   f.running_ = 0;
-  f.Pass(milliseconds(20));
+  f.Advance(milliseconds(20));
   // The first confirmation is three seconds old and has expired.
   REQUIRE(f.confirms_.size() == 2);
   f.Confirm(5);
@@ -140,7 +140,7 @@
 TEST_CASE(
     "OrderExecutor does not write to an engine that is already as ordered") {
   OrderFixture f;
-  f.executor_.OnNumber(5, f.now_);
+  f.executor_.OnFencingNumber(5, f.now_);
   f.Order(5, 1, {"mixed", "tarifa-llm", "1", {"b", "a"}});
   CHECK(f.phase() == OrderPhase::kInForce);
   CHECK(f.confirms_.empty());
@@ -157,33 +157,33 @@
     f.Order(5, 1, kDecode);
     CHECK(f.reports_.empty());
     CHECK(f.confirms_.empty());
-    f.executor_.OnNumber(6, f.now_);
+    f.executor_.OnFencingNumber(6, f.now_);
     f.Order(5, 1, kDecode);
     CHECK(f.phase() == OrderPhase::kRefusedStale);
   }
   SECTION("the store shows a newer number before the drain") {
-    f.executor_.OnNumber(5, f.now_);
+    f.executor_.OnFencingNumber(5, f.now_);
     f.Order(5, 1, kDecode);
     f.Confirm(6);
     CHECK(f.phase() == OrderPhase::kRefusedStale);
   }
   SECTION("a notice of a newer number arrives during the drain") {
-    f.executor_.OnNumber(5, f.now_);
+    f.executor_.OnFencingNumber(5, f.now_);
     f.running_ = 1;
     f.Order(5, 1, kDecode);
     f.Confirm(5);
-    f.executor_.OnNumber(6, f.now_);
+    f.executor_.OnFencingNumber(6, f.now_);
     CHECK(f.phase() == OrderPhase::kRefusedStale);
     f.running_ = 0;
-    f.Pass(seconds(1));
+    f.Advance(seconds(1));
   }
   SECTION("the store shows a newer number right before the write") {
-    f.executor_.OnNumber(5, f.now_);
+    f.executor_.OnFencingNumber(5, f.now_);
     f.running_ = 1;
     f.Order(5, 1, kDecode);
     f.Confirm(5);
     f.running_ = 0;
-    f.Pass(seconds(5));
+    f.Advance(seconds(5));
     f.Confirm(6);
     CHECK(f.phase() == OrderPhase::kRefusedStale);
   }
@@ -197,13 +197,13 @@
 TEST_CASE(
     "OrderExecutor does not use a confirmation that expired during a pause") {
   OrderFixture f;
-  f.executor_.OnNumber(5, f.now_);
+  f.executor_.OnFencingNumber(5, f.now_);
   f.Order(5, 1, kDecode);
   const TimePoint asked_at = f.now_;
   f.now_ += seconds(30);
   f.executor_.OnConfirmed(f.confirms_.back(), 5, asked_at, f.now_);
   CHECK(f.writes_.empty());
-  f.Pass(seconds(3));
+  f.Advance(seconds(3));
   CHECK(f.confirms_.size() == 2);
 }
 
@@ -211,18 +211,18 @@
 // serving. The order continues once the store answers.
 TEST_CASE("OrderExecutor waits for the store with the gate open") {
   OrderFixture f;
-  f.executor_.OnNumber(5, f.now_);
+  f.executor_.OnFencingNumber(5, f.now_);
   f.Order(5, 1, kDecode);
   f.Confirm(std::nullopt);
   CHECK(f.gate_open_);
   CHECK(f.phase() == OrderPhase::kAccepted);
-  f.Pass(seconds(3));
-  f.Pass(seconds(6));  // This request is never answered.
+  f.Advance(seconds(3));
+  f.Advance(seconds(6));  // This request is never answered.
   CHECK(f.gate_open_);
-  f.Pass(seconds(3));
+  f.Advance(seconds(3));
   f.Confirm(4);  // A stale read does not confirm the number.
   CHECK(f.writes_.empty());
-  f.Pass(seconds(3));
+  f.Advance(seconds(3));
   f.Confirm(5);
   CHECK(f.writes_.size() == 1);
 }
@@ -243,7 +243,7 @@
   }
   SECTION("the engine is busy: the order is written again once it is free") {
     f.Written(OrderWriteResult::kBusy);
-    f.Pass(seconds(2));
+    f.Advance(seconds(2));
     f.Confirm(5);
     CHECK(f.writes_.size() == 2);
   }
@@ -251,11 +251,11 @@
     f.reading_.reachable = false;
     f.Read();
     f.Written(OrderWriteResult::kNotWritten);
-    f.Pass(seconds(60));
+    f.Advance(seconds(60));
     CHECK(f.writes_.size() == 1);
     f.reading_.reachable = true;
     f.Read();
-    f.Pass(milliseconds(20));
+    f.Advance(milliseconds(20));
     f.Confirm(5);
     CHECK(f.writes_.size() == 2);
   }
@@ -310,7 +310,7 @@
         "boot-" + std::to_string(crash), kMixed, 0, false, true, TimePoint{}};
     f.Read();
     CHECK_FALSE(f.gate_open_);
-    f.Pass(seconds(1));
+    f.Advance(seconds(1));
     f.Confirm(5);
     REQUIRE(f.writes_.size() == static_cast<std::size_t>(crash));
   }
@@ -348,12 +348,12 @@
 
 TEST_CASE("OrderExecutor takes a target out of service and back") {
   OrderFixture f;
-  f.executor_.OnNumber(5, f.now_);
+  f.executor_.OnFencingNumber(5, f.now_);
   f.running_ = 1;
   f.executor_.OnOrder({5, 1, kMixed, true}, f.now_);
   f.Confirm(5);
   f.running_ = 0;
-  f.Pass(milliseconds(20));
+  f.Advance(milliseconds(20));
   CHECK(f.phase() == OrderPhase::kInForce);
   CHECK_FALSE(f.gate_open_);
   CHECK(f.writes_.empty());
@@ -377,7 +377,7 @@
 
 /// Simulates an engine that ignores fencing numbers and a store whose lease
 /// holder changes.
-class OrderWorld {
+class RandomOrderFixture {
  public:
   void Step() {
     f_.now_ += milliseconds(*rc::gen::inRange(1, 300));
@@ -390,7 +390,7 @@
         SendOrder();
         break;
       case 3:
-        f_.executor_.OnNumber(number_, f_.now_);
+        f_.executor_.OnFencingNumber(number_, f_.now_);
         break;
       case 4:
         f_.running_ = *rc::gen::inRange<std::size_t>(0, 2);
@@ -417,7 +417,7 @@
   }
 
   void Settle() {
-    f_.executor_.OnNumber(number_, f_.now_);
+    f_.executor_.OnFencingNumber(number_, f_.now_);
     f_.Order(number_, 1000, kDecode);
     for (int i = 0; i < 400; ++i) {
       f_.running_ = 0;
@@ -500,12 +500,12 @@
 // executor can keep old and concurrent orders from it.
 TEST_CASE("OrderExecutor protects an engine that ignores fencing numbers") {
   CHECK(rc::check("one order at a time, under the newest number", [] {
-    OrderWorld world;
+    RandomOrderFixture fixture;
     const int steps = *rc::gen::inRange(20, 200);
     for (int i = 0; i < steps; ++i) {
-      world.Step();
+      fixture.Step();
     }
-    world.Settle();
+    fixture.Settle();
   }));
 }
 
--- a/tests/core/control/orders_test.cc
+++ b/tests/core/control/orders_test.cc
@@ -56,7 +56,7 @@
   SystemStatus status;
   status.entry = "entry-a";
   status.lease_holder =
-      Aged<std::string>::Seen("entry-b", TimePoint{seconds(4)});
+      Timestamped<std::string>::Seen("entry-b", TimePoint{seconds(4)});
 
   SECTION("a value that is kept up to date has its age") {
     const std::string json = EncodeStatus(status, TimePoint{seconds(10)}, 1000);
--- a/tests/core/control/reconciler_test.cc
+++ b/tests/core/control/reconciler_test.cc
@@ -35,22 +35,22 @@
 
 /// Runs a reconciler with a simulated store and engines that obey at once or
 /// not at all.
-class World {
+class ReconcilerFixture {
  public:
-  explicit World(int engines)
+  explicit ReconcilerFixture(int engines)
       : reconciler_(MakeOptions(), KeepStaticRoles, [this] {
           return Id128{1, ++ids_};
         }) {
     lease_.fencing_number = 10;
     for (int i = 0; i < engines; ++i) {
-      See("engine-" + std::to_string(i), "1", 0);
+      Observe("engine-" + std::to_string(i), "1", 0);
     }
     reconciler_.OnRevision(MakeRevision(1, "1"));
   }
 
-  void See(const std::string& name, const std::string& version,
-           std::uint64_t generation,
-           ObservedHealth health = ObservedHealth::kUp) {
+  void Observe(const std::string& name, const std::string& version,
+               std::uint64_t generation,
+               ObservedHealth health = ObservedHealth::kUp) {
     TargetObservation seen;
     seen.name = name;
     seen.deployment = "brief-llm";
@@ -66,13 +66,13 @@
     now_ += step;
     std::vector<TargetOrder> differing;
     for (auto& action : reconciler_.Tick(lease_.fencing_number, now_)) {
-      Carry(action, &differing);
+      Execute(action, &differing);
     }
     return differing;
   }
 
-  void Carry(const Reconciler::Action& action,
-             std::vector<TargetOrder>* differing) {
+  void Execute(const Reconciler::Action& action,
+               std::vector<TargetOrder>* differing) {
     if (std::holds_alternative<Reconciler::ReadOrders>(action)) {
       std::vector<StoredOrder> all;
       for (const auto& [name, stored] : store_) {
@@ -120,7 +120,7 @@
     for (int i = 0; i < 100; ++i) {
       Tick();
       for (const auto& [name, stored] : store_) {
-        See(name, stored.order->desired.version, stored.order->generation);
+        Observe(name, stored.order->desired.version, stored.order->generation);
       }
     }
   }
@@ -145,57 +145,57 @@
 };
 
 TEST_CASE("Reconciler rolls out a revision") {
-  World world(8);
-  world.Converge();
-  REQUIRE(world.store().size() == 8);
-  world.reconciler().OnRevision(MakeRevision(2, "2"));
+  ReconcilerFixture fixture(8);
+  fixture.Converge();
+  REQUIRE(fixture.store().size() == 8);
+  fixture.reconciler().OnRevision(MakeRevision(2, "2"));
 
   SECTION("at most the maximum share of engines changes at once") {
     std::size_t in_change = 0;
     for (int i = 0; i < 10; ++i) {
-      in_change += world.Tick().size();
+      in_change += fixture.Tick().size();
     }
     CHECK(in_change == 2);
   }
   SECTION("weights are loaded no faster than the limit") {
-    CHECK(world.Tick().size() == 1);
-    CHECK(world.Tick(seconds(1)).empty());
-    CHECK(world.Tick(seconds(1)).size() == 1);
+    CHECK(fixture.Tick().size() == 1);
+    CHECK(fixture.Tick(seconds(1)).empty());
+    CHECK(fixture.Tick(seconds(1)).size() == 1);
   }
   SECTION("every engine reaches the new state") {
-    world.Converge();
-    for (const auto& [name, stored] : world.store()) {
+    fixture.Converge();
+    for (const auto& [name, stored] : fixture.store()) {
       CHECK(stored.order->desired.version == "2");
       CHECK(stored.order->generation == 2);
     }
   }
   SECTION("a changing target gets no other order before it has answered") {
-    const auto first = world.Tick();
+    const auto first = fixture.Tick();
     REQUIRE(first.size() == 1);
-    world.reconciler().OnRevision(MakeRevision(3, "3"));
+    fixture.reconciler().OnRevision(MakeRevision(3, "3"));
     for (int i = 0; i < 5; ++i) {
-      for (const TargetOrder& order : world.Tick()) {
+      for (const TargetOrder& order : fixture.Tick()) {
         CHECK(order.target != first[0].target);
       }
     }
-    world.Report(first[0], OrderPhase::kFailed);
-    const auto next = world.Tick();
+    fixture.Report(first[0], OrderPhase::kFailed);
+    const auto next = fixture.Tick();
     REQUIRE(next.size() == 1);
     CHECK(next[0].target == first[0].target);
     CHECK(next[0].desired.version == "3");
   }
   SECTION("a revision that fails everywhere stops at the maximum share") {
     for (int i = 0; i < 60; ++i) {
-      for (const TargetOrder& order : world.Tick()) {
+      for (const TargetOrder& order : fixture.Tick()) {
         if (order.desired.version == "2") {
-          world.Report(order, order.desired.out_of_service
-                                  ? OrderPhase::kInForce
-                                  : OrderPhase::kFailed);
+          fixture.Report(order, order.desired.out_of_service
+                                    ? OrderPhase::kInForce
+                                    : OrderPhase::kFailed);
         }
       }
     }
     int out = 0;
-    for (const auto& [name, stored] : world.store()) {
+    for (const auto& [name, stored] : fixture.store()) {
       out += stored.order->desired.out_of_service ? 1 : 0;
       CHECK((stored.order->desired.version == "1" ||
              stored.order->desired.out_of_service));
@@ -205,31 +205,31 @@
 }
 
 TEST_CASE("Reconciler repairs drift") {
-  World world(4);
-  world.Converge();
+  ReconcilerFixture fixture(4);
+  fixture.Converge();
 
   SECTION("an engine that differs for too long gets its order again") {
-    world.See("engine-1", "0", 1);
-    CHECK(world.Tick().empty());
-    CHECK(world.Tick().empty());
-    const auto orders = world.Tick();
+    fixture.Observe("engine-1", "0", 1);
+    CHECK(fixture.Tick().empty());
+    CHECK(fixture.Tick().empty());
+    const auto orders = fixture.Tick();
     REQUIRE(orders.size() == 1);
     CHECK(orders[0].target == "engine-1");
     CHECK(orders[0].desired.version == "1");
     CHECK(orders[0].cause == "drift");
   }
   SECTION("a delayed report is not drift") {
-    world.See("engine-1", "0", 1);
-    world.Tick();
-    world.See("engine-1", "1", 1);
-    world.Tick();
-    world.Tick();
-    CHECK(world.Tick().empty());
+    fixture.Observe("engine-1", "0", 1);
+    fixture.Tick();
+    fixture.Observe("engine-1", "1", 1);
+    fixture.Tick();
+    fixture.Tick();
+    CHECK(fixture.Tick().empty());
   }
   SECTION("an engine that is down gets no order") {
-    world.See("engine-1", "0", 0, ObservedHealth::kDown);
+    fixture.Observe("engine-1", "0", 0, ObservedHealth::kDown);
     for (int i = 0; i < 5; ++i) {
-      CHECK(world.Tick().empty());
+      CHECK(fixture.Tick().empty());
     }
   }
 }
@@ -239,19 +239,19 @@
 // fencing number. So no order is issued twice, and a late write of the previous
 // holder fails.
 TEST_CASE("Reconciler takes over from another lease holder") {
-  World world(4);
-  world.Converge();
-  world.reconciler().OnRevision(MakeRevision(2, "2"));
-  const auto changing = world.Tick();
+  ReconcilerFixture fixture(4);
+  fixture.Converge();
+  fixture.reconciler().OnRevision(MakeRevision(2, "2"));
+  const auto changing = fixture.Tick();
   REQUIRE(changing.size() == 1);
   LeaseRecord lease;
   lease.earlier = {10};
-  lease.fencing_number = world.version() + 1;
-  world.set_lease(lease);
+  lease.fencing_number = fixture.version() + 1;
+  fixture.set_lease(lease);
 
   SECTION("nothing is written before every order was read") {
     const auto actions =
-        world.reconciler().Tick(lease.fencing_number, world.now());
+        fixture.reconciler().Tick(lease.fencing_number, fixture.now());
     REQUIRE_FALSE(actions.empty());
     CHECK(std::holds_alternative<Reconciler::ReadOrders>(actions.back()));
     for (const auto& action : actions) {
@@ -259,34 +259,35 @@
     }
   }
   SECTION("a listing from before the lease changed hands is not used") {
-    world.reconciler().Tick(lease.fencing_number, world.now());
+    fixture.reconciler().Tick(lease.fencing_number, fixture.now());
     LeaseRecord old;
     old.fencing_number = 10;
-    world.reconciler().OnOrders(std::vector<StoredOrder>{}, old, world.now());
-    CHECK(world.reconciler()
-              .Tick(lease.fencing_number, world.now() + seconds(1))
+    fixture.reconciler().OnOrders(std::vector<StoredOrder>{}, old,
+                                  fixture.now());
+    CHECK(fixture.reconciler()
+              .Tick(lease.fencing_number, fixture.now() + seconds(1))
               .size() == 1);
   }
   SECTION("every order is rewritten with only a new fencing number") {
-    const auto before = world.store();
-    CHECK(world.Tick().empty());
-    CHECK(world.Tick().empty());
-    for (const auto& [name, stored] : world.store()) {
+    const auto before = fixture.store();
+    CHECK(fixture.Tick().empty());
+    CHECK(fixture.Tick().empty());
+    for (const auto& [name, stored] : fixture.store()) {
       CHECK(stored.order->fencing_number == lease.fencing_number);
       CHECK(stored.order->desired == before.at(name).order->desired);
       CHECK(stored.order->generation == before.at(name).order->generation);
     }
   }
   SECTION("an order written under a superseded number is overwritten") {
-    StoredOrder& late = world.store()["engine-3"];
+    StoredOrder& late = fixture.store()["engine-3"];
     late.order->desired.version = "9";
     late.order->generation = 5;
     late.version = lease.fencing_number + 1;
-    world.See("engine-3", "1", 1);
-    world.Report(changing[0], OrderPhase::kInForce);
-    world.Converge();
-    CHECK(world.store()["engine-3"].order->generation == 6);
-    CHECK(world.store()["engine-3"].order->desired.version == "2");
+    fixture.Observe("engine-3", "1", 1);
+    fixture.Report(changing[0], OrderPhase::kInForce);
+    fixture.Converge();
+    CHECK(fixture.store()["engine-3"].order->generation == 6);
+    CHECK(fixture.store()["engine-3"].order->desired.version == "2");
   }
 }
 
@@ -294,45 +295,45 @@
 // with other content would be a second order, so the reconciler reads back the
 // nonce.
 TEST_CASE("Reconciler settles a write whose answer was lost") {
-  World world(4);
-  world.Converge();
-  world.reconciler().OnRevision(MakeRevision(2, "2"));
-  world.set_lose_answers(true);
-  const auto written = world.Tick();
+  ReconcilerFixture fixture(4);
+  fixture.Converge();
+  fixture.reconciler().OnRevision(MakeRevision(2, "2"));
+  fixture.set_lose_answers(true);
+  const auto written = fixture.Tick();
   REQUIRE(written.size() == 1);
   for (int i = 0; i < 3; ++i) {
-    for (const TargetOrder& order : world.Tick()) {
+    for (const TargetOrder& order : fixture.Tick()) {
       CHECK(order.target != written[0].target);
     }
   }
-  const auto view = world.reconciler().View(written[0].target, world.now());
+  const auto view = fixture.reconciler().View(written[0].target, fixture.now());
   REQUIRE(view);
   CHECK(view->stored.order == written[0]);
 }
 
 TEST_CASE("Reconciler records each accepted change once") {
-  World world(4);
-  world.Converge();
-  world.reconciler().OnRevision(MakeRevision(2, "2"));
-  world.set_lose_answers(true);
-  const auto written = world.Tick();
+  ReconcilerFixture fixture(4);
+  fixture.Converge();
+  fixture.reconciler().OnRevision(MakeRevision(2, "2"));
+  fixture.set_lose_answers(true);
+  const auto written = fixture.Tick();
   REQUIRE(written.size() == 1);
   for (int i = 0; i < 3; ++i) {
-    world.Tick();
+    fixture.Tick();
   }
   const auto about = [&](const AuditRecord& record) {
     return record.subject == written[0].target &&
            record.after == "mixed small@2";
   };
-  CHECK(std::count_if(world.records().begin(), world.records().end(), about) ==
-        1);
+  CHECK(std::count_if(fixture.records().begin(), fixture.records().end(),
+                      about) == 1);
 }
 
 TEST_CASE("Reconciler without authority does nothing") {
-  World world(4);
-  world.Converge();
-  world.reconciler().OnRevision(MakeRevision(2, "2"));
-  CHECK(world.reconciler().Tick(std::nullopt, world.now()).empty());
+  ReconcilerFixture fixture(4);
+  fixture.Converge();
+  fixture.reconciler().OnRevision(MakeRevision(2, "2"));
+  CHECK(fixture.reconciler().Tick(std::nullopt, fixture.now()).empty());
 }
 
 TEST_CASE("PlaceTargets") {
--- a/tests/core/control/stage_control_test.cc
+++ b/tests/core/control/stage_control_test.cc
@@ -17,7 +17,7 @@
 using std::chrono::seconds;
 
 /// Load for which a fifth of the engines should decode.
-constexpr RoleLoad kFifthAnswers{4, 1};
+constexpr RoleLoad kFifthDecode{4, 1};
 
 /// Simulates engines that carry out their orders after a change time.
 class Fleet {
@@ -30,7 +30,7 @@
           "e" + std::string(n < 10 ? "0" : "") + std::to_string(n);
       engines_.push_back({name, domains[n % 4], EngineRole::kDecode, false});
     }
-    control.OnLoad(kFifthAnswers, now);
+    control.OnLoad(kFifthDecode, now);
   }
 
   void List() { control.OnEngines(engines_, now); }
@@ -73,8 +73,8 @@
 
 /// Reference plan of the decode engines: takes the next engine from a domain
 /// with the fewest so far, decode engines before prefill engines, then by name.
-std::set<std::string> PlanByRule(const std::vector<StagedEngine>& engines,
-                                 std::size_t wanted) {
+std::set<std::string> ReferencePlan(const std::vector<StagedEngine>& engines,
+                                    std::size_t wanted) {
   std::map<std::string, std::size_t> by_domain;
   std::set<std::string> planned;
   while (planned.size() < wanted) {
@@ -107,7 +107,7 @@
     fleet.List();
     fleet.now += seconds(4);
     const auto planned =
-        PlanByRule(fleet.engines(), fleet.control.planned_decode());
+        ReferencePlan(fleet.engines(), fleet.control.planned_decode());
     for (const StageOrder& it : fleet.Order()) {
       INFO("round " << round << ", engine " << it.instance);
       CHECK((planned.count(it.instance) > 0) ==
@@ -264,7 +264,7 @@
   SECTION("a change of two seconds is ignored") {
     CHECK_FALSE(fleet.control.OnLoad(half, fleet.now));
     CHECK_FALSE(fleet.control.OnLoad(half, fleet.now + seconds(2)));
-    CHECK_FALSE(fleet.control.OnLoad(kFifthAnswers, fleet.now + seconds(3)));
+    CHECK_FALSE(fleet.control.OnLoad(kFifthDecode, fleet.now + seconds(3)));
     CHECK_FALSE(fleet.control.OnLoad(half, fleet.now + seconds(4)));
     CHECK(fleet.Order().empty());
   }
--- a/tests/shell/status_view_test.cc
+++ b/tests/shell/status_view_test.cc
@@ -22,10 +22,10 @@
   TargetStatus target;
   target.name = "engine-1";
   target.deployment = "tarifa-llm";
-  target.health = Aged<std::string>::Seen("up", kNow);
-  target.role =
-      Aged<std::string>::Seen("mixed", kNow - std::chrono::milliseconds(1500));
-  target.load = Aged<TargetLoadFigures>::Seen({3, 2, 0, 0, 0}, kNow);
+  target.health = Timestamped<std::string>::Seen("up", kNow);
+  target.role = Timestamped<std::string>::Seen(
+      "mixed", kNow - std::chrono::milliseconds(1500));
+  target.load = Timestamped<TargetLoadStatus>::Seen({3, 2, 0, 0, 0}, kNow);
   return target;
 }
 
--- a/tests/support/control_world.h
+++ b/tests/support/control_world.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "core/control/revision_book.h"
+#include "core/control/revision_table.h"
 #include "entry/controller.h"
 #include "entry/order_forwarder.h"
 #include "store/object_store.h"
@@ -95,7 +95,7 @@
     std::unique_ptr<ObjectStore> store;
     std::unique_ptr<Controller> controller;
     std::unique_ptr<OrderForwarder> forwarder;
-    RevisionBook book{RevisionBook::Options{}};
+    RevisionTable book{RevisionTable::Options{}};
     std::uint64_t revision = 0;
     Duration offset{};
     TimePoint paused_until;
--- a/tests/wire/revision_exchange_test.cc
+++ b/tests/wire/revision_exchange_test.cc
@@ -102,16 +102,16 @@
     net.nodes["entry-a"].exchange->OfferFromStore(Json(1), net.now);
     CHECK(net.nodes["side-1"].applied == std::vector<std::uint64_t>{1});
     net.Tick();
-    CHECK(book.InForceOf("brief-llm").everywhere());
+    CHECK(book.RolloutOf("brief-llm").everywhere());
   }
   SECTION("names who is missing, and repeats an offer that was lost") {
     net.lose = true;
     net.nodes["entry-a"].exchange->OfferFromStore(Json(1), net.now);
-    CHECK(book.InForceOf("brief-llm").waiting_for ==
+    CHECK(book.RolloutOf("brief-llm").waiting_for ==
           std::vector<std::string>{"entry-b", "side-1"});
     net.lose = false;
     net.Tick();
-    CHECK(book.InForceOf("brief-llm").everywhere());
+    CHECK(book.RolloutOf("brief-llm").everywhere());
   }
   SECTION("a stale read of the store takes nothing back") {
     net.nodes["entry-a"].exchange->OfferFromStore(Json(2), net.now);
