--- a/bench/routing_bench.cc
+++ b/bench/routing_bench.cc
@@ -71,7 +71,7 @@
       const RouteDecision decision = router.Choose(query, now);
       const AttemptId id{Id128{1, static_cast<std::uint64_t>(it) * 7919}};
       router.OnSent(id, decision.leg, {}, now);
-      router.OnEnded(id, AttemptFate::kFinished, now);
+      router.OnEnded(id, AttemptResult::kFinished, now);
       if (it % 16 == 0) {
         router.OnCacheEvents(decision.leg.target, query.prefix_blocks, {}, 0,
                              now);
--- a/src/core/control/stage_control.cc
+++ b/src/core/control/stage_control.cc
@@ -90,7 +90,7 @@
 
 std::optional<double> StageControl::OnLoad(const RoleLoad& load,
                                            TimePoint now) {
-  const double wanted = AnsweringShare(load);
+  const double wanted = DecodeShare(load);
   if (!decode_share_) {
     decode_share_ = wanted;
     return decode_share_;
--- a/src/core/placement/engine_placement.cc
+++ b/src/core/placement/engine_placement.cc
@@ -14,7 +14,7 @@
 
 /// Returns the number of leading parts that other requests are expected to
 /// share.
-std::size_t SharedCount(const std::vector<PromptPart>& parts) {
+std::size_t SharedPartCount(const std::vector<PromptPart>& parts) {
   return parts.size() > 1 ? parts.size() - 1 : parts.size();
 }
 
@@ -50,14 +50,14 @@
 }
 
 /// Returns the engine that runs the prefill.
-const std::string& ReaderOf(const EnginePlace& place) {
-  return place.prefill.empty() ? place.decode : place.prefill;
+const std::string& PrefillEngineOf(const EngineAssignment& assignment) {
+  return assignment.prefill.empty() ? assignment.decode : assignment.prefill;
 }
 
 std::uint64_t SharedTokens(const CallerRequest& request) {
   const auto& parts = request.prompt_parts;
   const auto end =
-      parts.begin() + static_cast<std::ptrdiff_t>(SharedCount(parts));
+      parts.begin() + static_cast<std::ptrdiff_t>(SharedPartCount(parts));
   return std::accumulate(
       parts.begin(), end, std::uint64_t{0},
       [](std::uint64_t n, const PromptPart& it) { return n + it.tokens; });
@@ -82,7 +82,7 @@
 
 std::uint64_t SharedPrefixHash(const std::vector<PromptPart>& parts) {
   std::uint64_t hash = 0;
-  for (std::size_t it = 0; it < SharedCount(parts); ++it) {
+  for (std::size_t it = 0; it < SharedPartCount(parts); ++it) {
     hash = XXH64(&parts[it].id, sizeof(parts[it].id), hash);
   }
   return hash;
@@ -91,58 +91,59 @@
 EnginePlacement::EnginePlacement(Options options, RandomSource random)
     : options_(options),
       random_(std::move(random)),
-      read_time_(options_.read_time),
-      whole_time_(options_.read_time),
+      prefill_time_(options_.prefill_time),
+      unsplit_time_(options_.prefill_time),
       load_(options_.load) {}
 
 RoleLoad EnginePlacement::Load(TimePoint now) const {
-  return load_.Load(limits_, read_time_, now)
+  return load_.Load(limits_, prefill_time_, now)
       .value_or(AssumedRoleLoad(limits_));
 }
 
 PlacementDecision EnginePlacement::Place(
     const CallerRequest& request, const std::vector<PlacementEngine>& engines,
     TimePoint now) {
-  auto decoders = Usable(engines, EngineRole::kDecode, now);
-  auto readers = Usable(engines, EngineRole::kPrefill, now);
-  if (decoders.empty()) {
+  auto decode_engines = Usable(engines, EngineRole::kDecode, now);
+  auto prefill_engines = Usable(engines, EngineRole::kPrefill, now);
+  if (decode_engines.empty()) {
     return AnyClosed(engines, EngineRole::kDecode)
                ? PlacementDecision(EnginesClosed{})
                : PlacementDecision(NoEngine{});
   }
-  if (AllFull(decoders, now)) {
+  if (AllFull(decode_engines, now)) {
     // The prefill would be wasted.
-    return Busy(options_.avoid_after_refusal, Duration{0});
+    return MakeBusy(options_.avoid_after_refusal, Duration{0});
   }
-  if (readers.empty() && AnyClosed(engines, EngineRole::kPrefill)) {
+  if (prefill_engines.empty() && AnyClosed(engines, EngineRole::kPrefill)) {
     // A prefill on a decode engine would stall the answers that it streams.
     return EnginesClosed{};
   }
-  if (readers.empty()) {
-    return PlaceWhole(request, decoders, now);
+  if (prefill_engines.empty()) {
+    return PlaceUnsplit(request, decode_engines, now);
   }
-  SortByRendezvous(SharedPrefixHash(request.prompt_parts), &readers);
-  const std::size_t n = std::min(readers.size(), options_.max_homes);
+  SortByRendezvous(SharedPrefixHash(request.prompt_parts), &prefill_engines);
+  const std::size_t n = std::min(prefill_engines.size(), options_.max_homes);
   const Duration limit = TimeLimit(request, now);
-  Duration least = Duration::max();
+  Duration earliest = Duration::max();
   for (std::size_t it = 0; it < n; ++it) {
-    const std::string& instance = readers[it]->instance;
+    const std::string& instance = prefill_engines[it]->instance;
     const bool cached = IsCached(request, instance, it == 0);
     const std::string copy_from =
-        CopySource(request, engines, readers, instance);
+        CopySource(request, engines, prefill_engines, instance);
     const double work = WorkOf(request, cached || !copy_from.empty());
-    const Duration wait = WaitAt(instance, read_time_, now);
+    const Duration wait = WaitAt(instance, prefill_time_, now);
     const Duration first_event =
-        wait + read_time_.Predict(work) + ToDuration(answer_wait_s_);
-    least = std::min(least, first_event);
+        wait + prefill_time_.Predict(work) + ToDuration(answer_wait_s_);
+    earliest = std::min(earliest, first_event);
     // An idle engine accepts any request, however long its prefill.
     if (wait == Duration{0} || first_event <= limit) {
       const PlacementEngine* decode =
-          PickDecode(decoders, readers[it]->failure_domain);
-      return EnginePlace{instance, decode->instance, work, cached, copy_from};
+          PickDecode(decode_engines, prefill_engines[it]->failure_domain);
+      return EngineAssignment{instance, decode->instance, work, cached,
+                              copy_from};
     }
   }
-  return Busy(least, limit);
+  return MakeBusy(earliest, limit);
 }
 
 // The prefill engine of a prefix changes when engines leave, crash or return,
@@ -152,41 +153,42 @@
 // engine after a drain, or the substitute after a home returns.
 std::string EnginePlacement::CopySource(
     const CallerRequest& request, const std::vector<PlacementEngine>& engines,
-    const std::vector<const PlacementEngine*>& readers,
-    const std::string& reader) const {
-  auto holders = readers;
+    const std::vector<const PlacementEngine*>& prefill_engines,
+    const std::string& prefill_engine) const {
+  auto holders = prefill_engines;
   for (const PlacementEngine& it : engines) {
     if ((it.leaving || it.closed) && it.role == EngineRole::kPrefill) {
       holders.push_back(&it);
     }
   }
-  if (holders.size() > readers.size()) {
+  if (holders.size() > prefill_engines.size()) {
     SortByRendezvous(SharedPrefixHash(request.prompt_parts), &holders);
   }
-  const auto it = std::find_if(
-      holders.begin(), holders.end(),
-      [&reader](const PlacementEngine* e) { return e->instance != reader; });
+  const auto it = std::find_if(holders.begin(), holders.end(),
+                               [&prefill_engine](const PlacementEngine* e) {
+                                 return e->instance != prefill_engine;
+                               });
   return it == holders.end() ? "" : (*it)->instance;
 }
 
-PlacementDecision EnginePlacement::PlaceWhole(
+PlacementDecision EnginePlacement::PlaceUnsplit(
     const CallerRequest& request,
     const std::vector<const PlacementEngine*>& from, TimePoint now) {
   auto engines = from;
   SortByRendezvous(SharedPrefixHash(request.prompt_parts), &engines);
   const Duration limit = TimeLimit(request, now);
-  Duration least = Duration::max();
+  Duration earliest = Duration::max();
   for (const PlacementEngine* it : engines) {
     const bool cached = IsCached(request, it->instance, it == engines.front());
     const double work = WorkOf(request, cached);
-    const Duration wait = WaitAt(it->instance, whole_time_, now);
-    const Duration first_event = wait + whole_time_.Predict(work);
-    least = std::min(least, first_event);
+    const Duration wait = WaitAt(it->instance, unsplit_time_, now);
+    const Duration first_event = wait + unsplit_time_.Predict(work);
+    earliest = std::min(earliest, first_event);
     if (wait == Duration{0} || first_event <= limit) {
-      return EnginePlace{"", it->instance, work, cached};
+      return EngineAssignment{"", it->instance, work, cached};
     }
   }
-  return Busy(least, limit);
+  return MakeBusy(earliest, limit);
 }
 
 Duration EnginePlacement::TimeLimit(const CallerRequest& request,
@@ -195,11 +197,11 @@
                               ? request.answer_target
                               : ToDuration(Seconds(request.deadline - now) *
                                            options_.share_without_target);
-  return ToDuration(Seconds(target) * options_.in_time_share);
+  return ToDuration(Seconds(target) * options_.max_target_share);
 }
 
 Duration EnginePlacement::WaitAt(const std::string& instance,
-                                 const ReadTimeModel& model,
+                                 const PrefillTimeModel& model,
                                  TimePoint now) const {
   const EngineState* state = Find(instance);
   if (!state) {
@@ -207,26 +209,29 @@
   }
   // The observed queue shrinks as time passes, but prompts sent from here that
   // are still pending are known to be queued.
-  const Duration seen = state->wait - (now - state->wait_at);
-  const Duration own = IsIdle(state->backlog)
-                           ? Duration{0}
-                           : model.Occupied(state->reads, state->backlog);
-  return std::max({seen, own, Duration{0}});
-}
-
-void EnginePlacement::LearnFrom(const Sent& sent, EngineState* reader,
-                                TimePoint now) {
-  ReadTimeModel& model = sent.place.prefill.empty() ? whole_time_ : read_time_;
+  const Duration observed_wait = state->wait - (now - state->wait_observed_at);
+  const Duration own =
+      IsIdle(state->backlog)
+          ? Duration{0}
+          : model.PredictOccupancy(state->queued_prompts, state->backlog);
+  return std::max({observed_wait, own, Duration{0}});
+}
+
+void EnginePlacement::UpdateTimeModel(const SentAttempt& sent,
+                                      EngineState* prefill_engine,
+                                      TimePoint now) {
+  PrefillTimeModel& model =
+      sent.assignment.prefill.empty() ? unsplit_time_ : prefill_time_;
   const Duration took = now - sent.sent_at;
-  if (sent.read_alone) {
-    model.OnRead(sent.place.prefill_work, took);
+  if (sent.found_idle) {
+    model.OnPrefillDone(sent.assignment.prefill_work, took);
   }
-  reader->wait =
-      std::max(Duration{0}, took - model.Predict(sent.place.prefill_work));
-  reader->wait_at = now;
+  prefill_engine->wait =
+      std::max(Duration{0}, took - model.Predict(sent.assignment.prefill_work));
+  prefill_engine->wait_observed_at = now;
 }
 
-EnginesBusy EnginePlacement::Busy(Duration first_event, Duration limit) {
+EnginesBusy EnginePlacement::MakeBusy(Duration first_event, Duration limit) {
   // Jitter: callers that all retried at the same moment would be refused again.
   const double spread = 0.75 + 0.5 * ToUnitInterval(random_());
   const Duration wait = ToDuration(Seconds(first_event - limit) * spread);
@@ -238,7 +243,7 @@
     const std::vector<PlacementEngine>& engines, EngineRole role,
     TimePoint now) const {
   std::vector<const PlacementEngine*> usable;
-  std::vector<const PlacementEngine*> second_choice;
+  std::vector<const PlacementEngine*> fallback;
   for (const PlacementEngine& it : engines) {
     if (it.leaving || it.closed || !Fits(it.role, role)) {
       continue;
@@ -248,13 +253,14 @@
         it.tried || it.avoided ||
         (state && (now < state->avoid_until || now < state->full_until ||
                    IsStalled(*state, now)));
-    (avoided ? second_choice : usable).push_back(&it);
+    (avoided ? fallback : usable).push_back(&it);
   }
-  return usable.empty() ? second_choice : usable;
+  return usable.empty() ? fallback : usable;
 }
 
 bool EnginePlacement::IsStalled(const EngineState& state, TimePoint now) const {
-  return state.owed > 0 && now - state.progress_at >= options_.stall_after;
+  return state.pending_calls > 0 &&
+         now - state.progress_at >= options_.stall_after;
 }
 
 bool EnginePlacement::AllFull(
@@ -265,15 +271,16 @@
   });
 }
 
-void EnginePlacement::Owe(const std::string& instance, TimePoint now) {
+void EnginePlacement::AddPendingCall(const std::string& instance,
+                                     TimePoint now) {
   EngineState& state = StateOf(instance);
-  if (state.owed++ == 0) {
+  if (state.pending_calls++ == 0) {
     state.progress_at = now;
   }
 }
 
-void EnginePlacement::Pay(EngineState* state, TimePoint now) {
-  state->owed -= state->owed > 0 ? 1 : 0;
+void EnginePlacement::RecordResponse(EngineState* state, TimePoint now) {
+  state->pending_calls -= state->pending_calls > 0 ? 1 : 0;
   state->progress_at = now;
   state->refusals = 0;
 }
@@ -304,15 +311,15 @@
   double best_cost = std::numeric_limits<double>::infinity();
   for (const PlacementEngine* it : engines) {
     const EngineState* state = Find(it->instance);
-    double far = 0;
+    double domain_penalty = 0;
     if (it->failure_domain != options_.failure_domain) {
-      far += options_.own_domain_streams;
+      domain_penalty += options_.own_domain_streams;
     }
     if (it->failure_domain != near_domain) {
-      far += options_.reader_domain_streams;
+      domain_penalty += options_.prefill_domain_streams;
     }
-    const double cost =
-        (state ? state->streams : 0) + far + ToUnitInterval(random_()) * 0.5;
+    const double cost = (state ? state->streams : 0) + domain_penalty +
+                        ToUnitInterval(random_()) * 0.5;
     if (cost < best_cost) {
       best = it;
       best_cost = cost;
@@ -328,106 +335,111 @@
   if (sent == sent_.end()) {
     return std::nullopt;
   }
-  auto decoders = Usable(engines, EngineRole::kDecode, now);
-  std::erase_if(decoders, [&refused_by = sent->second.refused_by](
-                              const PlacementEngine* it) {
+  auto decode_engines = Usable(engines, EngineRole::kDecode, now);
+  std::erase_if(decode_engines, [&refused_by = sent->second.refused_by](
+                                    const PlacementEngine* it) {
     return std::find(refused_by.begin(), refused_by.end(), it->instance) !=
            refused_by.end();
   });
-  if (decoders.empty()) {
+  if (decode_engines.empty()) {
     return std::nullopt;
   }
-  EnginePlace& place = sent->second.place;
-  const auto reader = std::find_if(
+  EngineAssignment& assignment = sent->second.assignment;
+  const auto prefill_engine = std::find_if(
       engines.begin(), engines.end(),
-      [&](const auto& it) { return it.instance == place.prefill; });
-  if (EngineState* state = BusyState(place.decode, sent->second.decode_epoch)) {
+      [&](const auto& it) { return it.instance == assignment.prefill; });
+  if (EngineState* state =
+          FindRun(assignment.decode, sent->second.decode_epoch)) {
     state->streams -= state->streams > 0 ? 1 : 0;
   }
   const PlacementEngine* chosen = PickDecode(
-      decoders, reader == engines.end() ? "" : reader->failure_domain);
-  place.decode = chosen->instance;
-  EngineState& decode = StateOf(place.decode);
+      decode_engines,
+      prefill_engine == engines.end() ? "" : prefill_engine->failure_domain);
+  assignment.decode = chosen->instance;
+  EngineState& decode = StateOf(assignment.decode);
   sent->second.decode_epoch = decode.epoch;
-  sent->second.asked_at = now;
+  sent->second.decode_requested_at = now;
   ++decode.streams;
   // The fetched KV cache stays in the engine's prefix cache.
   RememberPrefix(&decode, sent->second);
-  Owe(place.decode, now);
-  return place.decode;
+  AddPendingCall(assignment.decode, now);
+  return assignment.decode;
 }
 
 std::string EnginePlacement::CopySourceOf(const AttemptId& attempt) const {
   const auto it = sent_.find(attempt);
-  return it == sent_.end() ? "" : it->second.place.copy_from;
+  return it == sent_.end() ? "" : it->second.assignment.copy_from;
 }
 
-void EnginePlacement::OnRunnerRefused(const AttemptId& attempt, TimePoint now) {
+void EnginePlacement::OnDecodeRefused(const AttemptId& attempt, TimePoint now) {
   const auto it = sent_.find(attempt);
   if (it == sent_.end()) {
     return;
   }
-  Sent& sent = it->second;
-  sent.refused_by.push_back(sent.place.decode);
-  if (EngineState* state = BusyState(sent.place.decode, sent.decode_epoch)) {
-    Settle(state, /*refused=*/true, now);
+  SentAttempt& sent = it->second;
+  sent.refused_by.push_back(sent.assignment.decode);
+  if (EngineState* state = FindRun(sent.assignment.decode, sent.decode_epoch)) {
+    RecordFailedCall(state, /*refused=*/true, now);
     state->full_until = now + options_.avoid_after_refusal;
   }
 }
 
 void EnginePlacement::OnSent(const AttemptId& attempt,
                              const CallerRequest& request,
-                             const EnginePlace& place, TimePoint now) {
-  EngineState& reader = StateOf(ReaderOf(place));
-  EngineState& decode = StateOf(place.decode);
-  Sent sent{place, SharedPrefixHash(request.prompt_parts),
-            SharedTokens(request), reader.epoch, decode.epoch};
+                             const EngineAssignment& assignment,
+                             TimePoint now) {
+  EngineState& prefill_engine = StateOf(PrefillEngineOf(assignment));
+  EngineState& decode = StateOf(assignment.decode);
+  SentAttempt sent{assignment, SharedPrefixHash(request.prompt_parts),
+                   SharedTokens(request), prefill_engine.epoch, decode.epoch};
   sent.tokens = request.prompt_tokens;
-  sent.read_alone = IsIdle(reader.backlog) && place.cached;
+  sent.found_idle = IsIdle(prefill_engine.backlog) && assignment.cached;
   sent.sent_at = now;
-  sent.asked_at = now;
-  reader.backlog += place.prefill_work;
-  ++reader.reads;
+  sent.decode_requested_at = now;
+  prefill_engine.backlog += assignment.prefill_work;
+  ++prefill_engine.queued_prompts;
   ++decode.streams;
-  Owe(ReaderOf(place), now);
+  AddPendingCall(PrefillEngineOf(assignment), now);
   sent_[attempt] = std::move(sent);
 }
 
-void EnginePlacement::OnAnswering(const AttemptId& attempt, TimePoint now) {
+void EnginePlacement::OnAnswerStarted(const AttemptId& attempt, TimePoint now) {
   const auto it = sent_.find(attempt);
-  if (it != sent_.end() && !std::exchange(it->second.answering, true)) {
+  if (it != sent_.end() && !std::exchange(it->second.answer_started, true)) {
     OnPrefilled(attempt, now);
-    Sent& sent = it->second;
-    sent.answering_at = now;
-    if (!sent.place.prefill.empty()) {
-      load_.OnFirstEvent(now - sent.asked_at);
+    SentAttempt& sent = it->second;
+    sent.answer_started_at = now;
+    if (!sent.assignment.prefill.empty()) {
+      load_.OnFirstEvent(now - sent.decode_requested_at);
       answer_wait_s_ +=
-          kAnswerWaitWeight * (Seconds(now - sent.asked_at) - answer_wait_s_);
+          kAnswerWaitWeight *
+          (Seconds(now - sent.decode_requested_at) - answer_wait_s_);
     }
-    EngineState* decode = BusyState(sent.place.decode, sent.decode_epoch);
-    if (decode && !sent.place.prefill.empty()) {
-      Pay(decode, now);
+    EngineState* decode = FindRun(sent.assignment.decode, sent.decode_epoch);
+    if (decode && !sent.assignment.prefill.empty()) {
+      RecordResponse(decode, now);
     }
   }
 }
 
 void EnginePlacement::OnPrefilled(const AttemptId& attempt, TimePoint now) {
   const auto it = sent_.find(attempt);
-  if (it == sent_.end() || !std::exchange(it->second.reading, false)) {
+  if (it == sent_.end() || !std::exchange(it->second.prefill_pending, false)) {
     return;
   }
-  const Sent& sent = it->second;
-  if (!sent.place.prefill.empty()) {
-    load_.OnRead(sent.place.prefill_work, now);
+  const SentAttempt& sent = it->second;
+  if (!sent.assignment.prefill.empty()) {
+    load_.OnPrefillDone(sent.assignment.prefill_work, now);
   }
-  EngineState* reader = BusyState(ReaderOf(sent.place), sent.reader_epoch);
-  if (!reader) {
+  EngineState* prefill_engine =
+      FindRun(PrefillEngineOf(sent.assignment), sent.prefill_epoch);
+  if (!prefill_engine) {
     return;
   }
-  Pay(reader, now);
-  TakeOff(reader, sent);
-  LearnFrom(sent, reader, now);
-  RememberPrefix(reader, sent);
+  RecordResponse(prefill_engine, now);
+  RemoveFromBacklog(prefill_engine, sent);
+  UpdateTimeModel(sent, prefill_engine, now);
+  RememberPrefix(prefill_engine, sent);
 }
 
 void EnginePlacement::OnEnded(const AttemptId& attempt, bool refused,
@@ -436,74 +448,82 @@
   if (it == sent_.end()) {
     return;
   }
-  const Sent sent = std::move(it->second);
+  const SentAttempt sent = std::move(it->second);
   sent_.erase(it);
-  if (sent.answering) {
-    load_.OnAnswered(now - sent.answering_at, static_cast<double>(sent.tokens),
-                     now);
+  if (sent.answer_started) {
+    load_.OnAnswered(now - sent.answer_started_at,
+                     static_cast<double>(sent.tokens), now);
   }
-  if (EngineState* state = BusyState(ReaderOf(sent.place), sent.reader_epoch);
-      state && sent.reading) {
-    TakeOff(state, sent);
-    Settle(state, refused, now);
+  if (EngineState* state =
+          FindRun(PrefillEngineOf(sent.assignment), sent.prefill_epoch);
+      state && sent.prefill_pending) {
+    RemoveFromBacklog(state, sent);
+    RecordFailedCall(state, refused, now);
   }
-  if (EngineState* state = BusyState(sent.place.decode, sent.decode_epoch)) {
+  if (EngineState* state = FindRun(sent.assignment.decode, sent.decode_epoch)) {
     state->streams -= state->streams > 0 ? 1 : 0;
-    if (!sent.reading && !sent.answering && !sent.place.prefill.empty()) {
-      Settle(state, refused, now);
+    if (!sent.prefill_pending && !sent.answer_started &&
+        !sent.assignment.prefill.empty()) {
+      RecordFailedCall(state, refused, now);
       if (refused) {
         state->full_until = now + options_.avoid_after_refusal;
       }
     }
   }
-  if (!sent.place.prefill.empty() && !sent.reading) {
-    CountHandle(sent, refused, now);
+  if (!sent.assignment.prefill.empty() && !sent.prefill_pending) {
+    RecordHandleOutcome(sent, refused, now);
   }
 }
 
-void EnginePlacement::RememberPrefix(EngineState* state, const Sent& sent) {
+void EnginePlacement::RememberPrefix(EngineState* state,
+                                     const SentAttempt& sent) {
   if (state->prefixes.size() >= options_.max_known_prefixes) {
     state->prefixes.clear();
   }
   state->prefixes[sent.prefix] = sent.prefix_tokens;
 }
 
-void EnginePlacement::TakeOff(EngineState* reader, const Sent& sent) {
-  reader->backlog = std::max(0.0, reader->backlog - sent.place.prefill_work);
-  reader->reads -= reader->reads > 0 ? 1 : 0;
+void EnginePlacement::RemoveFromBacklog(EngineState* prefill_engine,
+                                        const SentAttempt& sent) {
+  prefill_engine->backlog =
+      std::max(0.0, prefill_engine->backlog - sent.assignment.prefill_work);
+  prefill_engine->queued_prompts -= prefill_engine->queued_prompts > 0 ? 1 : 0;
 }
 
-void EnginePlacement::Settle(EngineState* state, bool refused, TimePoint now) {
+void EnginePlacement::RecordFailedCall(EngineState* state, bool refused,
+                                       TimePoint now) {
   // An engine that refuses is alive; one whose call timed out may not be.
   const bool stalled = IsStalled(*state, now);
-  state->owed -= state->owed > 0 ? 1 : 0;
+  state->pending_calls -= state->pending_calls > 0 ? 1 : 0;
   if (stalled) {
     state->avoid_until = now + options_.avoid_stalled;
   } else if (refused) {
     state->progress_at = now;
     // Refusals of calls sent before the engine was avoided do not count.
     if (now >= state->avoid_until) {
-      state->avoid_until = now + AvoidAfter(state->refusals++);
+      state->avoid_until = now + RefusalBackoff(state->refusals++);
     }
   }
 }
 
-Duration EnginePlacement::AvoidAfter(std::uint32_t refusals) const {
-  constexpr std::uint32_t kMostDoublings = 8;
+Duration EnginePlacement::RefusalBackoff(std::uint32_t refusals) const {
+  constexpr std::uint32_t kMaxDoublings = 8;
   return std::min(
-      options_.avoid_after_refusal * (1U << std::min(refusals, kMostDoublings)),
-      options_.longest_avoid_after_refusal);
+      options_.avoid_after_refusal * (1U << std::min(refusals, kMaxDoublings)),
+      options_.max_avoid_after_refusal);
 }
 
-void EnginePlacement::CountHandle(const Sent& sent, bool lost, TimePoint now) {
-  EngineState* reader = BusyState(sent.place.prefill, sent.reader_epoch);
-  if (!reader) {
+void EnginePlacement::RecordHandleOutcome(const SentAttempt& sent, bool lost,
+                                          TimePoint now) {
+  EngineState* prefill_engine =
+      FindRun(sent.assignment.prefill, sent.prefill_epoch);
+  if (!prefill_engine) {
     return;
   }
-  reader->lost_handles = lost ? reader->lost_handles + 1 : 0;
-  if (reader->lost_handles >= options_.max_lost_handles) {
-    reader->lost_handles = 0;
-    reader->avoid_until = now + options_.avoid_lost_handles;
+  prefill_engine->lost_handles = lost ? prefill_engine->lost_handles + 1 : 0;
+  if (prefill_engine->lost_handles >= options_.max_lost_handles) {
+    prefill_engine->lost_handles = 0;
+    prefill_engine->avoid_until = now + options_.avoid_lost_handles;
   }
 }
 
@@ -531,7 +551,7 @@
   return it->second;
 }
 
-EnginePlacement::EngineState* EnginePlacement::BusyState(
+EnginePlacement::EngineState* EnginePlacement::FindRun(
     const std::string& instance, std::uint64_t epoch) {
   const auto it = engines_.find(instance);
   const bool same = it != engines_.end() && it->second.epoch == epoch;
--- a/src/core/placement/engine_placement.h
+++ b/src/core/placement/engine_placement.h
@@ -13,7 +13,7 @@
 #include "core/base/random.h"
 #include "core/base/time.h"
 #include "core/config/deployment.h"
-#include "core/placement/read_time_model.h"
+#include "core/placement/prefill_time_model.h"
 #include "core/placement/role_load.h"
 #include "core/placement/role_load_meter.h"
 #include "core/request/request_types.h"
@@ -38,7 +38,7 @@
 };
 
 /// The engines chosen for the prefill and the decode of a request.
-struct EnginePlace {
+struct EngineAssignment {
   std::string prefill;  ///< Empty if `decode` runs the prefill too.
   std::string decode;
   double prefill_work = 0;  ///< Weighted tokens to prefill.
@@ -46,7 +46,8 @@
   /// Engine from which the prefill engine may copy the shared prefix, or empty.
   std::string copy_from = {};
 
-  friend bool operator==(const EnginePlace&, const EnginePlace&) = default;
+  friend bool operator==(const EngineAssignment&,
+                         const EngineAssignment&) = default;
 };
 
 /// No engine can serve the request in time, or all decode engines are full.
@@ -71,7 +72,7 @@
 };
 
 using PlacementDecision =
-    std::variant<EnginePlace, EnginesBusy, EnginesClosed, NoEngine>;
+    std::variant<EngineAssignment, EnginesBusy, EnginesClosed, NoEngine>;
 
 /// Chooses the prefill engine and the decode engine of each request in a fleet
 /// with disaggregated prefill and decode.
@@ -95,7 +96,7 @@
     /// processes send at the same time, which this one cannot see. A request
     /// predicted to be later is refused at once: a late answer uses as much
     /// engine time as one in time and makes others late.
-    double in_time_share = 0.6;
+    double max_target_share = 0.6;
     /// Share of the time until the deadline that replaces a missing target.
     double share_without_target = 0.25;
     /// Homes of one shared prefix. Each further home duplicates its KV cache.
@@ -106,7 +107,7 @@
     /// it again, and in the prefill engine's failure domain, from which a KV
     /// cache copy takes half as long.
     double own_domain_streams = 4;
-    double reader_domain_streams = 2;
+    double prefill_domain_streams = 2;
     /// Bounds on the retry-after time of a refused caller. Bursts last two to
     /// three seconds and callers retry once or twice; with 0.2 s most retries
     /// hit the same burst and failed for good. In simulated days of three
@@ -119,7 +120,7 @@
     /// in which a hundred entry processes would otherwise each ask the engine
     /// four times a second.
     Duration avoid_after_refusal = std::chrono::milliseconds(250);
-    Duration longest_avoid_after_refusal = std::chrono::seconds(2);
+    Duration max_avoid_after_refusal = std::chrono::seconds(2);
     /// Time without a first response, while calls are pending, after which an
     /// engine gets no new work. An engine that hangs or is unreachable would
     /// hold requests until their deadline. A healthy engine with a full backlog
@@ -128,7 +129,7 @@
     /// Time for which a stalled engine is avoided after a call to it ends
     /// without success. A crashed engine is back within seconds.
     Duration avoid_stalled = std::chrono::seconds(2);
-    ReadTimeModel::Options read_time;
+    PrefillTimeModel::Options prefill_time;
     RoleLoadMeter::Options load;
     std::size_t max_known_prefixes = 4096;  ///< For each engine.
     /// Consecutive prompts whose KV cache no decode engine could fetch, after
@@ -154,15 +155,15 @@
 
   /// Records that the decode engine of `attempt` refused it. The prefill
   /// remains valid; `PlaceDecode` then chooses another decode engine.
-  void OnRunnerRefused(const AttemptId& attempt, TimePoint now);
+  void OnDecodeRefused(const AttemptId& attempt, TimePoint now);
 
-  /// Records that the attempt was sent to the engines in `place`.
+  /// Records that the attempt was sent to the engines in `assignment`.
   void OnSent(const AttemptId& attempt, const CallerRequest& request,
-              const EnginePlace& place, TimePoint now);
+              const EngineAssignment& assignment, TimePoint now);
   /// Records that the prefill is complete.
   void OnPrefilled(const AttemptId& attempt, TimePoint now);
   /// Records the first event of the answer.
-  void OnAnswering(const AttemptId& attempt, TimePoint now);
+  void OnAnswerStarted(const AttemptId& attempt, TimePoint now);
   /// Records the end of the attempt. `refused` is true if the engine refused
   /// it.
   void OnEnded(const AttemptId& attempt, bool refused, TimePoint now);
@@ -189,34 +190,34 @@
   struct EngineState {
     std::uint64_t epoch = 0;  ///< Unique to one run of the engine's process.
     double backlog = 0;       ///< Weighted tokens to prefill.
-    std::uint32_t reads = 0;  ///< Prompts in the backlog.
+    std::uint32_t queued_prompts = 0;  ///< Prompts in the backlog.
     /// Time that the latest prompt waited behind those of all entry processes,
     /// and when that was observed.
     Duration wait{0};
-    TimePoint wait_at{};
+    TimePoint wait_observed_at{};
     std::uint32_t streams = 0;
-    std::uint32_t lost_handles = 0;  ///< Consecutive.
-    std::uint32_t refusals = 0;      ///< Consecutive.
-    std::uint32_t owed = 0;          ///< Calls without a first response.
-    TimePoint progress_at{};         ///< Last response, or first pending call.
+    std::uint32_t lost_handles = 0;   ///< Consecutive.
+    std::uint32_t refusals = 0;       ///< Consecutive.
+    std::uint32_t pending_calls = 0;  ///< Calls without a first response.
+    TimePoint progress_at{};          ///< Last response, or first pending call.
     TimePoint avoid_until{};
     TimePoint full_until{};  ///< After refusing a decode for lack of room.
     /// Tokens of each cached prefix, by the hash of the prefix.
     std::unordered_map<std::uint64_t, std::uint64_t> prefixes;
   };
-  struct Sent {
-    EnginePlace place;
+  struct SentAttempt {
+    EngineAssignment assignment;
     std::uint64_t prefix = 0;
     std::uint64_t prefix_tokens = 0;
-    std::uint64_t reader_epoch = 0;
+    std::uint64_t prefill_epoch = 0;
     std::uint64_t decode_epoch = 0;
     std::uint64_t tokens = 0;  ///< Prompt length.
-    bool read_alone = false;   ///< Prefill engine idle, prefix cached.
+    bool found_idle = false;   ///< Prefill engine idle, prefix cached.
     TimePoint sent_at{};
-    TimePoint asked_at{};  ///< When the decode was last requested.
-    TimePoint answering_at{};
-    bool reading = true;
-    bool answering = false;
+    TimePoint decode_requested_at{};  ///< When the decode was last requested.
+    TimePoint answer_started_at{};
+    bool prefill_pending = true;
+    bool answer_started = false;
     /// Decode engines that refused this attempt.
     std::vector<std::string> refused_by = {};
   };
@@ -224,50 +225,52 @@
   bool IsCached(const CallerRequest& request, const std::string& instance,
                 bool is_home) const;
   double WorkOf(const CallerRequest& request, bool cached) const;
-  /// Returns the engine other than `reader` that most likely holds the shared
-  /// prefix; empty if there is none.
-  std::string CopySource(const CallerRequest& request,
-                         const std::vector<PlacementEngine>& engines,
-                         const std::vector<const PlacementEngine*>& readers,
-                         const std::string& reader) const;
+  /// Returns the engine other than `prefill_engine` that most likely holds the
+  /// shared prefix; empty if there is none.
+  std::string CopySource(
+      const CallerRequest& request, const std::vector<PlacementEngine>& engines,
+      const std::vector<const PlacementEngine*>& prefill_engines,
+      const std::string& prefill_engine) const;
   const PlacementEngine* PickDecode(
       const std::vector<const PlacementEngine*>& engines,
       const std::string& near_domain);
   std::vector<const PlacementEngine*> Usable(
       const std::vector<PlacementEngine>& engines, EngineRole role,
       TimePoint now) const;
-  PlacementDecision PlaceWhole(const CallerRequest& request,
-                               const std::vector<const PlacementEngine*>& from,
-                               TimePoint now);
-  EnginesBusy Busy(Duration first_event, Duration limit);
+  PlacementDecision PlaceUnsplit(
+      const CallerRequest& request,
+      const std::vector<const PlacementEngine*>& from, TimePoint now);
+  EnginesBusy MakeBusy(Duration first_event, Duration limit);
   Duration TimeLimit(const CallerRequest& request, TimePoint now) const;
-  Duration WaitAt(const std::string& instance, const ReadTimeModel& model,
+  Duration WaitAt(const std::string& instance, const PrefillTimeModel& model,
                   TimePoint now) const;
-  void LearnFrom(const Sent& sent, EngineState* reader, TimePoint now);
+  void UpdateTimeModel(const SentAttempt& sent, EngineState* prefill_engine,
+                       TimePoint now);
   const EngineState* Find(const std::string& instance) const;
   EngineState& StateOf(const std::string& instance);
-  EngineState* BusyState(const std::string& instance, std::uint64_t epoch);
-  void Owe(const std::string& instance, TimePoint now);
-  void RememberPrefix(EngineState* state, const Sent& sent);
-  static void TakeOff(EngineState* reader, const Sent& sent);
-  static void Pay(EngineState* state, TimePoint now);
+  EngineState* FindRun(const std::string& instance, std::uint64_t epoch);
+  void AddPendingCall(const std::string& instance, TimePoint now);
+  void RememberPrefix(EngineState* state, const SentAttempt& sent);
+  static void RemoveFromBacklog(EngineState* prefill_engine,
+                                const SentAttempt& sent);
+  static void RecordResponse(EngineState* state, TimePoint now);
   bool IsStalled(const EngineState& state, TimePoint now) const;
   bool AllFull(const std::vector<const PlacementEngine*>& engines,
                TimePoint now) const;
-  void Settle(EngineState* state, bool refused, TimePoint now);
-  Duration AvoidAfter(std::uint32_t refusals) const;
-  void CountHandle(const Sent& sent, bool lost, TimePoint now);
+  void RecordFailedCall(EngineState* state, bool refused, TimePoint now);
+  Duration RefusalBackoff(std::uint32_t refusals) const;
+  void RecordHandleOutcome(const SentAttempt& sent, bool lost, TimePoint now);
 
   Options options_;
   RandomSource random_;
   std::map<std::string, EngineState> engines_;
   std::uint64_t last_epoch_ = 0;
   EngineLimits limits_;
-  ReadTimeModel read_time_;   ///< For prefill engines.
-  ReadTimeModel whole_time_;  ///< To the first event, without a split.
+  PrefillTimeModel prefill_time_;  ///< For prefill engines.
+  PrefillTimeModel unsplit_time_;  ///< To the first event, without a split.
   RoleLoadMeter load_;
   double answer_wait_s_ = 0;  ///< Mean time from request to first event.
-  std::unordered_map<AttemptId, Sent> sent_;
+  std::unordered_map<AttemptId, SentAttempt> sent_;
 };
 
 /// Returns the hash of the prompt parts that a request is expected to share
--- a/src/core/placement/failure_guard.cc
+++ b/src/core/placement/failure_guard.cc
@@ -4,23 +4,24 @@
 
 namespace indigolead {
 
-Duration FailureGuard::OnBroken(const std::string& instance, TimePoint now) {
+Duration FailureGuard::RecordFailure(const std::string& instance,
+                                     TimePoint now) {
   Record& record = records_[instance];
   // Calls sent before the target was avoided do not count.
   if (now < record.avoid_until) {
     return Duration{0};
   }
-  ++record.in_a_row;
-  if (record.in_a_row < options_.max_in_a_row) {
+  ++record.consecutive_failures;
+  if (record.consecutive_failures < options_.failures_to_avoid) {
     return Duration{0};
   }
-  constexpr std::uint32_t kMostDoublings = 8;
-  const std::uint32_t doublings =
-      std::min(record.in_a_row - options_.max_in_a_row, kMostDoublings);
-  const Duration avoid =
-      std::min(options_.avoid * (1U << doublings), options_.longest_avoid);
-  record.avoid_until = now + avoid;
-  return avoid;
+  constexpr std::uint32_t kMaxDoublings = 8;
+  const std::uint32_t doublings = std::min(
+      record.consecutive_failures - options_.failures_to_avoid, kMaxDoublings);
+  const Duration avoid_duration = std::min(
+      options_.avoid_duration * (1U << doublings), options_.max_avoid_duration);
+  record.avoid_until = now + avoid_duration;
+  return avoid_duration;
 }
 
 bool FailureGuard::IsAvoided(const std::string& instance, TimePoint now) const {
--- a/src/core/placement/failure_guard.h
+++ b/src/core/placement/failure_guard.h
@@ -23,22 +23,22 @@
 class FailureGuard {
  public:
   struct Options {
-    std::uint32_t max_in_a_row = 2;
+    std::uint32_t failures_to_avoid = 2;
     /// Time for which a target is avoided. An entry process sends several
     /// requests in this time, and replacing a target takes longer. Doubles with
-    /// each further broken call up to `longest_avoid`, which bounds the time
-    /// until a recovered path is used again.
-    Duration avoid = std::chrono::seconds(1);
-    Duration longest_avoid = std::chrono::seconds(4);
+    /// each further broken call up to `max_avoid_duration`, which bounds the
+    /// time until a recovered path is used again.
+    Duration avoid_duration = std::chrono::seconds(1);
+    Duration max_avoid_duration = std::chrono::seconds(4);
   };
 
   explicit FailureGuard(Options options) : options_(options) {}
 
   /// Records a broken call. Returns the time for which the target is avoided
   /// because of it, or zero.
-  Duration OnBroken(const std::string& instance, TimePoint now);
+  Duration RecordFailure(const std::string& instance, TimePoint now);
   /// Records a successful call.
-  void OnGood(const std::string& instance) { records_.erase(instance); }
+  void RecordSuccess(const std::string& instance) { records_.erase(instance); }
   /// Discards the record of a target whose process ended.
   void Forget(const std::string& instance) { records_.erase(instance); }
 
@@ -50,13 +50,13 @@
   /// target break, and all traffic would move to the few targets not called
   /// yet, which would refuse it. More than two thirds are therefore assumed not
   /// to fail together; with fewer, the rest can carry the whole load.
-  static bool IsPlausible(std::size_t avoided, std::size_t of) {
+  static bool MayAvoidAtOnce(std::size_t avoided, std::size_t of) {
     return 3 * avoided <= 2 * of;
   }
 
  private:
   struct Record {
-    std::uint32_t in_a_row = 0;
+    std::uint32_t consecutive_failures = 0;
     TimePoint avoid_until{};
   };
 
--- a/src/core/placement/read_time_model.cc
+++ b/src/core/placement/prefill_time_model.cc
@@ -1,4 +1,4 @@
-#include "core/placement/read_time_model.h"
+#include "core/placement/prefill_time_model.h"
 
 #include <algorithm>
 #include <array>
@@ -13,7 +13,7 @@
 /// found its engine idle: engines that are busy four fifths of the time are
 /// idle for every fifth call. The few faster samples are ignored, because they
 /// may have had more tokens cached than assumed.
-constexpr std::size_t kQuickShare = 16;
+constexpr std::size_t kIdleSampleDivisor = 16;
 
 /// A point for the line fit.
 struct Point {
@@ -36,10 +36,10 @@
 
 }  // namespace
 
-ReadTimeModel::ReadTimeModel(Options options)
+PrefillTimeModel::PrefillTimeModel(Options options)
     : options_(options), s_per_token_(1 / options.assumed_tokens_per_s) {}
 
-void ReadTimeModel::OnRead(double tokens, Duration took) {
+void PrefillTimeModel::OnPrefillDone(double tokens, Duration took) {
   const Sample sample{tokens, std::chrono::duration<double>(took).count()};
   if (samples_.size() < options_.window) {
     samples_.push_back(sample);
@@ -47,13 +47,13 @@
     samples_[next_] = sample;
     next_ = (next_ + 1) % options_.window;
   }
-  if (learned() && ++since_fit_ >= options_.refit_every) {
-    since_fit_ = 0;
+  if (calibrated() && ++samples_since_fit_ >= options_.refit_every) {
+    samples_since_fit_ = 0;
     Refit();
   }
 }
 
-void ReadTimeModel::Refit() {
+void PrefillTimeModel::Refit() {
   std::vector<Sample> sorted = samples_;
   std::sort(sorted.begin(), sorted.end(),
             [](const auto& a, const auto& b) { return a.tokens < b.tokens; });
@@ -68,16 +68,17 @@
       return a.seconds - a.tokens * s_per_token_ <
              b.seconds - b.tokens * s_per_token_;
     });
-    const Sample& quick =
-        *(begin + static_cast<std::ptrdiff_t>(n / kQuickShare));
-    points[it] = {quick.tokens, quick.seconds};
+    const Sample& idle_sample =
+        *(begin + static_cast<std::ptrdiff_t>(n / kIdleSampleDivisor));
+    points[it] = {idle_sample.tokens, idle_sample.seconds};
   }
   std::vector<double> slopes;
   for (std::size_t a = 0; a < kGroups; ++a) {
     for (std::size_t b = a + 1; b < kGroups; ++b) {
-      const double apart = points[b].tokens - points[a].tokens;
-      if (apart > 0) {
-        slopes.push_back((points[b].seconds - points[a].seconds) / apart);
+      const double token_difference = points[b].tokens - points[a].tokens;
+      if (token_difference > 0) {
+        slopes.push_back((points[b].seconds - points[a].seconds) /
+                         token_difference);
       }
     }
   }
@@ -88,20 +89,21 @@
     // is an upper bound of both.
     s_per_token_ = std::min(s_per_token_, points[0].seconds / points[0].tokens);
   }
-  std::vector<double> rests;
-  rests.reserve(kGroups);
+  std::vector<double> fixed_parts;
+  fixed_parts.reserve(kGroups);
   for (const Point& it : points) {
-    rests.push_back(it.seconds - it.tokens * s_per_token_);
+    fixed_parts.push_back(it.seconds - it.tokens * s_per_token_);
   }
-  fixed_s_ = std::max(0.0, Median(rests));
+  fixed_s_ = std::max(0.0, Median(fixed_parts));
 }
 
-Duration ReadTimeModel::Predict(double tokens) const {
+Duration PrefillTimeModel::Predict(double tokens) const {
   return ToDuration(fixed_s_ + tokens * s_per_token_);
 }
 
-Duration ReadTimeModel::Occupied(double reads, double tokens) const {
-  return ToDuration(reads * fixed_s_ * options_.fixed_occupancy +
+Duration PrefillTimeModel::PredictOccupancy(double prompt_count,
+                                            double tokens) const {
+  return ToDuration(prompt_count * fixed_s_ * options_.fixed_occupancy +
                     tokens * s_per_token_);
 }
 
--- a/src/core/placement/read_time_model.h
+++ b/src/core/placement/prefill_time_model.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_CORE_PLACEMENT_READ_TIME_MODEL_H_
-#define INDIGOLEAD_CORE_PLACEMENT_READ_TIME_MODEL_H_
+#ifndef INDIGOLEAD_CORE_PLACEMENT_PREFILL_TIME_MODEL_H_
+#define INDIGOLEAD_CORE_PLACEMENT_PREFILL_TIME_MODEL_H_
 
 #include <cstddef>
 #include <vector>
@@ -16,7 +16,7 @@
 /// calls, which are assumed to have found the engine idle, so that a few slow
 /// engines or lost answers do not affect it. Holds a bounded number of samples;
 /// not thread-safe.
-class ReadTimeModel {
+class PrefillTimeModel {
  public:
   struct Options {
     /// Number of newest samples kept. At several prefills a second the model
@@ -36,20 +36,20 @@
     double fixed_occupancy = 0.33;
   };
 
-  explicit ReadTimeModel(Options options);
+  explicit PrefillTimeModel(Options options);
 
   /// Adds a sample: the prefill of `tokens` uncached tokens took `took`. Calls
   /// known to have waited for other prompts should be left out.
-  void OnRead(double tokens, Duration took);
+  void OnPrefillDone(double tokens, Duration took);
 
   /// Returns the predicted time to prefill `tokens` on an idle engine.
   Duration Predict(double tokens) const;
 
-  /// Returns the predicted time for which `reads` prompts with `tokens` in
-  /// total occupy an engine.
-  Duration Occupied(double reads, double tokens) const;
+  /// Returns the predicted time for which `prompt_count` prompts with `tokens`
+  /// in total occupy an engine.
+  Duration PredictOccupancy(double prompt_count, double tokens) const;
   /// Returns true once predictions are based on samples.
-  bool learned() const { return samples_.size() >= options_.min_samples; }
+  bool calibrated() const { return samples_.size() >= options_.min_samples; }
 
  private:
   struct Sample {
@@ -62,11 +62,11 @@
   Options options_;
   std::vector<Sample> samples_;  ///< Ring buffer.
   std::size_t next_ = 0;
-  std::size_t since_fit_ = 0;
+  std::size_t samples_since_fit_ = 0;
   double fixed_s_ = 0;
   double s_per_token_;
 };
 
 }  // namespace indigolead
 
-#endif  // INDIGOLEAD_CORE_PLACEMENT_READ_TIME_MODEL_H_
+#endif  // INDIGOLEAD_CORE_PLACEMENT_PREFILL_TIME_MODEL_H_
--- a/src/core/placement/role_load.h
+++ b/src/core/placement/role_load.h
@@ -5,7 +5,7 @@
 
 /// Capacity of one engine of a service, as stated by its operator.
 struct EngineLimits {
-  double places = 1;                ///< Concurrent decodes.
+  double decode_slots = 1;          ///< Concurrent decodes.
   double memory_tokens = 0;         ///< KV cache capacity; 0 if unknown.
   double transfer_s_per_token = 0;  ///< KV cache transfer; 0 if unknown.
 
@@ -16,25 +16,25 @@
 /// ratio matters, so an entry process that sees part of the traffic can measure
 /// it.
 struct RoleLoad {
-  double reading = 0;
-  double answering = 0;
+  double prefill_load = 0;
+  double decode_load = 0;
 
   friend bool operator==(const RoleLoad&, const RoleLoad&) = default;
 };
 
 /// Resources used by decodes, one sum for each limit of an engine.
-struct AnsweringWork {
-  double place_s = 0;         ///< Occupied slots times seconds.
+struct DecodeWork {
+  double slot_s = 0;          ///< Occupied slots times seconds.
   double memory_token_s = 0;  ///< KV cache tokens held times seconds.
-  double moved_tokens = 0;
+  double transferred_tokens = 0;
 
-  friend bool operator==(const AnsweringWork&, const AnsweringWork&) = default;
+  friend bool operator==(const DecodeWork&, const DecodeWork&) = default;
 };
 
 /// Returns the engine seconds that `work` takes, by its most constrained limit.
 /// An engine with free slots accepts no more decodes if its memory is full or
 /// its link is busy.
-double EngineSeconds(const AnsweringWork& work, const EngineLimits& limits);
+double EngineSeconds(const DecodeWork& work, const EngineLimits& limits);
 
 /// Returns the load assumed for a service before its traffic is measured.
 RoleLoad AssumedRoleLoad(const EngineLimits& limits);
@@ -45,7 +45,7 @@
 /// An engine prefills one prompt at a time but runs as many decodes at once as
 /// it has slots. For the same model a fleet needs a twentieth of its engines
 /// for decode with 128 slots each, and half of them with 8.
-double AnsweringShare(const RoleLoad& load);
+double DecodeShare(const RoleLoad& load);
 
 }  // namespace indigolead
 
--- a/src/core/placement/role_load_meter.h
+++ b/src/core/placement/role_load_meter.h
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "core/base/time.h"
-#include "core/placement/read_time_model.h"
+#include "core/placement/prefill_time_model.h"
 #include "core/placement/recent_quantile.h"
 #include "core/placement/role_load.h"
 
@@ -30,15 +30,16 @@
     /// Number of first-event times kept. The faster quarter is assumed to have
     /// found a free slot. If queueing time counted as load, an overload would
     /// demand ever more engines.
-    std::size_t waits = 64;
+    std::size_t wait_samples = 64;
     double idle_quantile = 0.25;
   };
 
   explicit RoleLoadMeter(Options options)
-      : options_(options), idle_wait_(options.waits, options.idle_quantile) {}
+      : options_(options),
+        idle_wait_(options.wait_samples, options.idle_quantile) {}
 
   /// Records the prefill of `tokens` uncached tokens.
-  void OnRead(double tokens, TimePoint now);
+  void OnPrefillDone(double tokens, TimePoint now);
   /// Records the time from a decode request to its first event.
   void OnFirstEvent(Duration wait) { idle_wait_.Add(wait); }
   /// Records the end of an answer, `streamed` after its first event. `tokens`
@@ -48,7 +49,7 @@
   /// Returns the load for engines with these limits and prefill times, or
   /// nothing until there are enough measurements.
   std::optional<RoleLoad> Load(const EngineLimits& limits,
-                               const ReadTimeModel& read_time,
+                               const PrefillTimeModel& prefill_time,
                                TimePoint now) const;
 
  private:
@@ -57,12 +58,12 @@
   Options options_;
   /// Time to the first event on an engine with a free slot.
   RecentQuantile idle_wait_;
-  double reads_ = 0;
-  double read_tokens_ = 0;
-  AnsweringWork work_;
+  double prefills_ = 0;
+  double prefill_tokens_ = 0;
+  DecodeWork work_;
   std::uint64_t answers_ = 0;
   TimePoint decayed_at_{};
-  std::optional<TimePoint> since_;
+  std::optional<TimePoint> measuring_since_;
 };
 
 }  // namespace indigolead
--- a/src/core/routing/in_flight_table.cc
+++ b/src/core/routing/in_flight_table.cc
@@ -31,19 +31,19 @@
     }
     bucket = (bucket + 1) & bucket_mask_;
   }
-  const std::uint32_t place = free_;
-  Node& node = nodes_[place];
+  const std::uint32_t slot = free_;
+  Node& node = nodes_[slot];
   free_ = node.next;
   node.attempt = attempt;
   node.previous = kNone;
   node.next = heads_[attempt.target];
   if (node.next != kNone) {
-    nodes_[node.next].previous = place;
+    nodes_[node.next].previous = slot;
   }
-  heads_[attempt.target] = place;
-  buckets_[bucket] = place;
+  heads_[attempt.target] = slot;
+  buckets_[bucket] = slot;
   ++size_;
-  return place;
+  return slot;
 }
 
 std::uint32_t InFlightTable::Find(const AttemptId& id) const {
@@ -57,10 +57,10 @@
   return kNone;
 }
 
-void InFlightTable::Erase(std::uint32_t place) {
-  Node& node = nodes_[place];
+void InFlightTable::Erase(std::uint32_t slot) {
+  Node& node = nodes_[slot];
   std::uint32_t bucket = Bucket(node.attempt.id);
-  while (buckets_[bucket] != place) {
+  while (buckets_[bucket] != slot) {
     bucket = (bucket + 1) & bucket_mask_;
   }
   EraseBucket(bucket);
@@ -73,7 +73,7 @@
     nodes_[node.next].previous = node.previous;
   }
   node.next = free_;
-  free_ = place;
+  free_ = slot;
   --size_;
 }
 
--- a/src/core/routing/in_flight_table.h
+++ b/src/core/routing/in_flight_table.h
@@ -51,16 +51,16 @@
   /// Returns the index of `id`, or `kNone`.
   std::uint32_t Find(const AttemptId& id) const;
 
-  /// Removes the attempt at `place`, which must be in use.
-  void Erase(std::uint32_t place);
+  /// Removes the attempt at `slot`, which must be in use.
+  void Erase(std::uint32_t slot);
 
   /// Returns the first index in the list of `target`, or `kNone`.
   std::uint32_t First(std::uint32_t target) const { return heads_[target]; }
 
-  /// Returns the index after `place` in its target's list, or `kNone`.
-  std::uint32_t Next(std::uint32_t place) const { return nodes_[place].next; }
+  /// Returns the index after `slot` in its target's list, or `kNone`.
+  std::uint32_t Next(std::uint32_t slot) const { return nodes_[slot].next; }
 
-  InFlightAttempt& At(std::uint32_t place) { return nodes_[place].attempt; }
+  InFlightAttempt& At(std::uint32_t slot) { return nodes_[slot].attempt; }
 
   std::uint32_t size() const { return size_; }
 
--- a/src/core/routing/outlier_detector.cc
+++ b/src/core/routing/outlier_detector.cc
@@ -20,7 +20,7 @@
   const double ratio = std::max(Seconds(observed), kFloorSeconds) /
                        std::max(Seconds(expected), kFloorSeconds);
   const double sample = std::clamp(std::log(ratio), -3.0, 5.0);
-  state->failures_in_row = 0;
+  state->consecutive_failures = 0;
   if (state->suspect) {
     if (sample - fleet_log_ratio_ <= std::log(options_.healthy_ratio)) {
       // The old samples describe the slow period, so the state is reset.
@@ -42,9 +42,9 @@
 }
 
 void OutlierDetector::OnFailure(OutlierState* state, TimePoint now) {
-  ++state->failures_in_row;
+  ++state->consecutive_failures;
   if (!state->suspect &&
-      state->failures_in_row >= options_.failures_to_suspect) {
+      state->consecutive_failures >= options_.failures_to_suspect) {
     MakeSuspect(state, now);
   }
 }
--- a/src/core/routing/outlier_detector.h
+++ b/src/core/routing/outlier_detector.h
@@ -11,7 +11,7 @@
 struct OutlierState {
   double log_ratio = 0;  ///< Mean of log(observed time / expected time).
   std::uint32_t samples = 0;
-  std::uint32_t failures_in_row = 0;
+  std::uint32_t consecutive_failures = 0;
   bool suspect = false;
   TimePoint probe_at{};        ///< When a suspect target may be probed next.
   Duration probe_interval{0};  ///< Doubles with each probe.
--- a/src/core/routing/prefix_cache_hint.cc
+++ b/src/core/routing/prefix_cache_hint.cc
@@ -11,12 +11,12 @@
 constexpr Duration kTick = std::chrono::milliseconds(100);
 constexpr std::uint32_t kTickMask = (1U << 24U) - 1;
 
-/// Units of doubt that halve the confidence.
-constexpr double kDoubtParts = 16;
-/// Maximum doubt that one gap adds: eight halvings. Blocks are removed at half
-/// of it. It is half the range of eight bits, so that a block's doubt cannot
-/// wrap around before the block is removed.
-constexpr std::uint32_t kMostDoubt = 128;
+/// Units of staleness that halve the confidence.
+constexpr double kStalenessPerHalving = 16;
+/// Maximum staleness that one gap adds: eight halvings. Blocks are removed at
+/// half of it. It is half the range of eight bits, so that a block's staleness
+/// cannot wrap around before the block is removed.
+constexpr std::uint32_t kMaxStaleness = 128;
 
 }  // namespace
 
@@ -42,29 +42,29 @@
   return age > kTickMask / 2 ? 0 : age;
 }
 
-std::uint32_t PrefixCacheHint::DoubtOf(const Entry& entry) const {
-  return (doubt_ - entry.doubt) & 0xFFU;
+std::uint32_t PrefixCacheHint::StalenessOf(const Entry& entry) const {
+  return (staleness_ - entry.staleness) & 0xFFU;
 }
 
 void PrefixCacheHint::Add(std::uint64_t block, TimePoint now) {
   Set& set = sets_[block & mask_];
   const std::uint32_t tag = Tag(block);
   const std::uint32_t tick = Tick(now);
-  Entry* place = &set[0];
+  Entry* slot = &set[0];
   for (Entry& it : set) {
     if (it.tag == tag) {
-      place = &it;
+      slot = &it;
       break;
     }
     // Prefers an empty entry, else the one not seen for the longest time.
-    const bool better = place->tag != 0 &&
-                        (it.tag == 0 || AgeOf(it, tick) > AgeOf(*place, tick));
-    place = better ? &it : place;
+    const bool better =
+        slot->tag != 0 && (it.tag == 0 || AgeOf(it, tick) > AgeOf(*slot, tick));
+    slot = better ? &it : slot;
   }
-  size_ += place->tag == 0 ? 1 : 0;
-  place->tag = tag;
-  place->tick = tick;
-  place->doubt = doubt_ & 0xFFU;
+  size_ += slot->tag == 0 ? 1 : 0;
+  slot->tag = tag;
+  slot->tick = tick;
+  slot->staleness = staleness_ & 0xFFU;
 }
 
 void PrefixCacheHint::Remove(std::uint64_t block) {
@@ -76,7 +76,7 @@
   }
 }
 
-void PrefixCacheHint::NoteGap(std::uint64_t lost_blocks) {
+void PrefixCacheHint::OnLostEvents(std::uint64_t lost_blocks) {
   if (size_ == 0 || lost_blocks == 0) {
     return;
   }
@@ -84,19 +84,19 @@
   const double removed = static_cast<double>(lost_blocks) / 2;
   const double kept =
       static_cast<double>(size_) / (static_cast<double>(size_) + removed);
-  const double parts = std::ceil(-std::log2(kept) * kDoubtParts);
-  doubt_ += static_cast<std::uint32_t>(
-      std::min(parts, static_cast<double>(kMostDoubt)));
-  if (doubt_ - dropped_at_doubt_ >= kMostDoubt / 2) {
-    DropDoubtful();
+  const double parts = std::ceil(-std::log2(kept) * kStalenessPerHalving);
+  staleness_ += static_cast<std::uint32_t>(
+      std::min(parts, static_cast<double>(kMaxStaleness)));
+  if (staleness_ - dropped_at_staleness_ >= kMaxStaleness / 2) {
+    DropStale();
   }
 }
 
-void PrefixCacheHint::DropDoubtful() {
-  dropped_at_doubt_ = doubt_;
+void PrefixCacheHint::DropStale() {
+  dropped_at_staleness_ = staleness_;
   for (Set& set : sets_) {
     for (Entry& it : set) {
-      if (it.tag != 0 && DoubtOf(it) >= kMostDoubt / 2) {
+      if (it.tag != 0 && StalenessOf(it) >= kMaxStaleness / 2) {
         it = Entry{};
         --size_;
       }
@@ -122,8 +122,8 @@
 }
 
 double PrefixCacheHint::Confidence(const Entry& entry, TimePoint now) const {
-  const double halvings =
-      AgeOf(entry, Tick(now)) / half_life_ticks_ + DoubtOf(entry) / kDoubtParts;
+  const double halvings = AgeOf(entry, Tick(now)) / half_life_ticks_ +
+                          StalenessOf(entry) / kStalenessPerHalving;
   return std::exp2(-halvings);
 }
 
--- a/src/core/routing/prefix_cache_hint.h
+++ b/src/core/routing/prefix_cache_hint.h
@@ -45,7 +45,7 @@
   void Remove(std::uint64_t block);
 
   /// Records that events about an estimated `lost_blocks` blocks were lost.
-  void NoteGap(std::uint64_t lost_blocks);
+  void OnLostEvents(std::uint64_t lost_blocks);
 
   /// Removes all blocks. Used after a restart, when the target's cache is
   /// empty.
@@ -60,7 +60,8 @@
   struct Entry {
     std::uint32_t tag = 0;        ///< Upper hash bits, made odd; 0 if empty.
     std::uint32_t tick : 24 = 0;  ///< When last seen; wraps after 19 days.
-    std::uint32_t doubt : 8 = 0;  ///< Low bits of `doubt_` when last seen.
+    std::uint32_t staleness : 8 =
+        0;  ///< Low bits of `staleness_` when last seen.
   };
   static constexpr std::size_t kWays = 8;
   using Set = std::array<Entry, kWays>;
@@ -69,18 +70,19 @@
   static std::uint32_t Tag(std::uint64_t block);
   const Entry* FindEntry(std::uint64_t block) const;
   std::uint32_t AgeOf(const Entry& entry, std::uint32_t tick) const;
-  std::uint32_t DoubtOf(const Entry& entry) const;
+  std::uint32_t StalenessOf(const Entry& entry) const;
   double Confidence(const Entry& entry, TimePoint now) const;
-  void DropDoubtful();
+  void DropStale();
 
   std::vector<Set> sets_;
   std::uint64_t mask_;
   double half_life_ticks_;
   std::size_t size_ = 0;
-  /// Total doubt added by lost events, in fractions of a halving of confidence.
-  /// The doubt of a block is the part added since the block was last seen.
-  std::uint32_t doubt_ = 0;
-  std::uint32_t dropped_at_doubt_ = 0;
+  /// Total staleness added by lost events, in fractions of a halving of
+  /// confidence. The staleness of a block is the part added since the block was
+  /// last seen.
+  std::uint32_t staleness_ = 0;
+  std::uint32_t dropped_at_staleness_ = 0;
 };
 
 }  // namespace indigolead
--- a/src/core/routing/router.cc
+++ b/src/core/routing/router.cc
@@ -6,7 +6,7 @@
 
 namespace indigolead {
 
-std::uint64_t Router::Names::BitsOf(const std::string& name) {
+std::uint64_t Router::NameBits::BitsOf(const std::string& name) {
   const std::uint64_t known = Find(name);
   if (known != 0 || names_.size() >= kMaxNames) {
     return known;
@@ -15,7 +15,7 @@
   return 1ULL << (names_.size() - 1);
 }
 
-std::uint64_t Router::Names::Find(std::string_view name) const {
+std::uint64_t Router::NameBits::Find(std::string_view name) const {
   for (std::size_t it = 0; it < names_.size(); ++it) {
     if (names_[it] == name) {
       return 1ULL << it;
@@ -51,7 +51,7 @@
   return TargetHandle{index, targets_[index].generation};
 }
 
-std::optional<std::uint32_t> Router::PlaceFor(const std::string& instance) {
+std::optional<std::uint32_t> Router::SlotFor(const std::string& instance) {
   std::optional<std::uint32_t> unused;
   for (std::uint32_t it = 0; it < targets_.size(); ++it) {
     if (targets_[it].in_use && targets_[it].view.instance == instance) {
@@ -69,23 +69,23 @@
 }
 
 std::optional<TargetHandle> Router::UpdateTarget(const TargetView& view) {
-  const std::optional<std::uint32_t> place = PlaceFor(view.instance);
-  if (!place) {
+  const std::optional<std::uint32_t> slot = SlotFor(view.instance);
+  if (!slot) {
     return std::nullopt;
   }
-  TargetState& state = targets_[*place];
+  TargetState& state = targets_[*slot];
   state.in_use = true;
   state.view = view;
   state.local = view.failure_domain == options_.failure_domain;
-  NumberNames(&state);
+  AssignNameBits(&state);
   if (models_.full() || adapters_.full()) {
-    RenumberNames();
+    ReassignNameBits();
   }
-  SetServing(*place, view.serving && !view.leaving);
-  return HandleOf(*place);
+  SetServing(*slot, view.serving && !view.leaving);
+  return HandleOf(*slot);
 }
 
-void Router::NumberNames(TargetState* state) {
+void Router::AssignNameBits(TargetState* state) {
   state->model_bits = 0;
   for (const std::string& it : state->view.models) {
     state->model_bits |= models_.BitsOf(it);
@@ -100,12 +100,12 @@
 // Every rollout adds a new "name@version". Unless names that no target has any
 // more are dropped, a process that runs for months has no bit left for the
 // newest version and refuses all requests for it.
-void Router::RenumberNames() {
+void Router::ReassignNameBits() {
   models_.Clear();
   adapters_.Clear();
   for (TargetState& it : targets_) {
     if (it.in_use) {
-      NumberNames(&it);
+      AssignNameBits(&it);
     }
   }
 }
@@ -121,11 +121,11 @@
 }
 
 void Router::ForgetAttempts(std::uint32_t index) {
-  std::uint32_t place = attempts_.First(index);
-  while (place != InFlightTable::kNone) {
-    const std::uint32_t next = attempts_.Next(place);
-    attempts_.Erase(place);
-    place = next;
+  std::uint32_t slot = attempts_.First(index);
+  while (slot != InFlightTable::kNone) {
+    const std::uint32_t next = attempts_.Next(slot);
+    attempts_.Erase(slot);
+    slot = next;
   }
 }
 
@@ -167,7 +167,7 @@
   if (state == nullptr) {
     return;
   }
-  state->hint.NoteGap(lost);
+  state->hint.OnLostEvents(lost);
   for (const std::uint64_t it : removed) {
     state->hint.Remove(it);
   }
@@ -201,11 +201,11 @@
 }
 
 void Router::OnFirstToken(AttemptId attempt, TimePoint now) {
-  const std::uint32_t place = attempts_.Find(attempt);
-  if (place == InFlightTable::kNone) {
+  const std::uint32_t slot = attempts_.Find(attempt);
+  if (slot == InFlightTable::kNone) {
     return;
   }
-  InFlightAttempt& sent = attempts_.At(place);
+  InFlightAttempt& sent = attempts_.At(slot);
   if (sent.first_token_seen || sent.ended) {
     return;
   }
@@ -217,17 +217,17 @@
                        sent.expected_first_token, now);
 }
 
-void Router::OnEnded(AttemptId attempt, AttemptFate fate, TimePoint now) {
-  const std::uint32_t place = attempts_.Find(attempt);
-  if (place == InFlightTable::kNone || attempts_.At(place).ended) {
+void Router::OnEnded(AttemptId attempt, AttemptResult result, TimePoint now) {
+  const std::uint32_t slot = attempts_.Find(attempt);
+  if (slot == InFlightTable::kNone || attempts_.At(slot).ended) {
     return;
   }
-  InFlightAttempt& sent = attempts_.At(place);
+  InFlightAttempt& sent = attempts_.At(slot);
   TargetState& state = targets_[sent.target];
   state.load.OnEnded(sent);
-  if (fate == AttemptFate::kTargetFailed) {
+  if (result == AttemptResult::kTargetFailed) {
     outliers_.OnFailure(&state.outlier, now);
-  } else if (fate == AttemptFate::kFinished) {
+  } else if (result == AttemptResult::kFinished) {
     CalibrateFinish(sent, now);
   }
   sent.ended = true;
@@ -237,7 +237,7 @@
   // its end arrives.
   if (!state.load.has_report() ||
       sent.sent_at > state.load.report().measured_at) {
-    attempts_.Erase(place);
+    attempts_.Erase(slot);
   }
 }
 
--- a/src/core/routing/router.h
+++ b/src/core/routing/router.h
@@ -65,7 +65,7 @@
   kExcluded,   ///< Every suitable target was already tried.
 };
 
-/// The part of a request that one engine runs.
+/// The phase of a request that one engine runs.
 struct RouteLeg {
   TargetHandle target;
   AttemptWork work;
@@ -91,7 +91,7 @@
 };
 
 /// Outcome of an attempt.
-enum class AttemptFate {
+enum class AttemptResult {
   kFinished,      ///< Answer complete; its time calibrates the model.
   kTargetFailed,  ///< Failure caused by the target.
   kOther,         ///< Cancelled, refused, or failed elsewhere.
@@ -186,8 +186,8 @@
 
   /// Returns the decision for a given target regardless of its cost, for
   /// callers that choose the target themselves. `target` must be valid.
-  RouteDecision Consider(TargetHandle target, const RouteQuery& query,
-                         TimePoint now) const;
+  RouteDecision DecisionFor(TargetHandle target, const RouteQuery& query,
+                            TimePoint now) const;
 
   /// Records that the attempt was sent to the target of `leg`, where
   /// `prefix_blocks` are assumed to be cached from then on. Returns false if
@@ -200,7 +200,7 @@
   void OnFirstToken(AttemptId attempt, TimePoint now);
 
   /// Records the end. `kTargetFailed` counts as a failure of the target.
-  void OnEnded(AttemptId attempt, AttemptFate fate, TimePoint now);
+  void OnEnded(AttemptId attempt, AttemptResult result, TimePoint now);
 
   /// Returns the handle of `instance`, or nothing if there is none.
   std::optional<TargetHandle> Find(std::string_view instance) const;
@@ -223,7 +223,7 @@
 
  private:
   /// Phase of a request that an engine runs.
-  enum class Part { kWhole, kPrefill, kDecode };
+  enum class RequestPhase { kWhole, kPrefill, kDecode };
 
   struct TargetState {
     TargetState(const TargetDefaults& defaults,
@@ -250,7 +250,7 @@
   };
 
   /// Maps names of models or adapters to bits of a mask.
-  class Names {
+  class NameBits {
    public:
     /// Returns the bit of `name`, assigning one if there is room, else 0.
     std::uint64_t BitsOf(const std::string& name);
@@ -266,7 +266,7 @@
   static constexpr std::size_t kMaxNames = 64;
 
   /// Model and adapter of a query as masks.
-  struct Wanted {
+  struct RequiredBits {
     std::uint64_t model = 0;
     std::uint64_t adapter = 0;
   };
@@ -274,23 +274,24 @@
   TargetState* Get(TargetHandle target);
   const TargetState* Get(TargetHandle target) const;
   TargetHandle HandleOf(std::uint32_t index) const;
-  std::optional<std::uint32_t> PlaceFor(const std::string& instance);
-  void NumberNames(TargetState* state);
-  void RenumberNames();
+  std::optional<std::uint32_t> SlotFor(const std::string& instance);
+  void AssignNameBits(TargetState* state);
+  void ReassignNameBits();
   void SetServing(std::uint32_t index, bool serving);
   void ForgetAttempts(std::uint32_t index);
   void CalibrateFinish(const InFlightAttempt& attempt, TimePoint now);
 
-  std::optional<Wanted> Resolve(const RouteQuery& query) const;
-  void CollectCandidates(const RouteQuery& query, const Wanted& wanted);
+  std::optional<RequiredBits> Resolve(const RouteQuery& query) const;
+  void CollectCandidates(const RouteQuery& query, const RequiredBits& required);
   void ScanFrom(std::uint32_t start, std::uint32_t limit,
-                const RouteQuery& query, const Wanted& wanted);
+                const RouteQuery& query, const RequiredBits& required);
   std::optional<std::uint32_t> DueProbe(TimePoint now) const;
-  Candidate Score(std::uint32_t index, const RouteQuery& query, Part part,
-                  TimePoint now) const;
-  Candidate ChooseBest(const RouteQuery& query, Part part, TimePoint now);
-  RouteLeg LegOf(const Candidate& candidate, const RouteQuery& query,
-                 Part part) const;
+  Candidate Score(std::uint32_t index, const RouteQuery& query,
+                  RequestPhase phase, TimePoint now) const;
+  Candidate ChooseBest(const RouteQuery& query, RequestPhase phase,
+                       TimePoint now);
+  RouteLeg MakeLeg(const Candidate& candidate, const RouteQuery& query,
+                   RequestPhase phase) const;
   RouteDecision WholeDecision(const Candidate& whole, const RouteQuery& query,
                               bool probe) const;
   std::optional<RouteDecision> ChooseSplit(const RouteQuery& query,
@@ -301,8 +302,8 @@
   RandomSource random_;
   OutlierDetector outliers_;
   InFlightTable attempts_;
-  Names models_;
-  Names adapters_;
+  NameBits models_;
+  NameBits adapters_;
   std::vector<TargetState> targets_;
   std::vector<std::uint32_t> serving_;  ///< Indices, unordered.
   // Buffers reused by each decision, so that decisions do not allocate.
--- a/src/core/routing/router_choose.cc
+++ b/src/core/routing/router_choose.cc
@@ -27,9 +27,9 @@
 
 /// Estimated time of a decode on a target.
 struct DecodeTime {
-  double wait_s = 0;  ///< Wait for a free slot.
-  double run_s = 0;   ///< Decode at the resulting batch size.
-  double harm_s = 0;  ///< Slowdown of the other requests in the batch.
+  double wait_s = 0;      ///< Wait for a free slot.
+  double run_s = 0;       ///< Decode at the resulting batch size.
+  double slowdown_s = 0;  ///< Slowdown of the other requests in the batch.
 };
 
 DecodeTime EstimateDecode(const LoadEstimate& load, double output_tokens) {
@@ -41,58 +41,62 @@
   time.wait_s = excess / load.slots * output_tokens * full_step_s;
   time.run_s = output_tokens * full_step_s *
                (kFixedStepShare + (1 - kFixedStepShare) * filled);
-  time.harm_s = output_tokens * full_step_s * (1 - kFixedStepShare) * filled;
+  time.slowdown_s =
+      output_tokens * full_step_s * (1 - kFixedStepShare) * filled;
   return time;
 }
 
 }  // namespace
 
-std::optional<Router::Wanted> Router::Resolve(const RouteQuery& query) const {
-  Wanted wanted;
+std::optional<Router::RequiredBits> Router::Resolve(
+    const RouteQuery& query) const {
+  RequiredBits required;
   if (!query.model.empty()) {
-    wanted.model = models_.Find(query.model);
-    if (wanted.model == 0) {
+    required.model = models_.Find(query.model);
+    if (required.model == 0) {
       return std::nullopt;
     }
   }
   if (!query.adapter.empty()) {
-    wanted.adapter = adapters_.Find(query.adapter);
-    if (wanted.adapter == 0) {
+    required.adapter = adapters_.Find(query.adapter);
+    if (required.adapter == 0) {
       return std::nullopt;
     }
   }
-  return wanted;
+  return required;
 }
 
 // In a fleet larger than `max_scored`, scans from two positions: one derived
 // from the prompt's first block, so that requests with the same prefix find the
 // targets that cache it, and a random one.
-void Router::CollectCandidates(const RouteQuery& query, const Wanted& wanted) {
+void Router::CollectCandidates(const RouteQuery& query,
+                               const RequiredBits& required) {
   suitable_.clear();
   any_excluded_ = false;
   const auto n = static_cast<std::uint32_t>(serving_.size());
   const std::uint32_t limit = options_.max_scored;
   if (n <= limit) {
-    ScanFrom(0, limit, query, wanted);
+    ScanFrom(0, limit, query, required);
     return;
   }
-  const std::uint64_t affine =
+  const std::uint64_t start_hash =
       query.prefix_blocks.empty() ? random_() : query.prefix_blocks.front();
-  const std::uint32_t first = ToBelow(affine, n);
-  ScanFrom(first, limit / 2, query, wanted);
-  ScanFrom(ToBelow(random_(), n), limit, query, wanted);
+  const std::uint32_t first = ToBelow(start_hash, n);
+  ScanFrom(first, limit / 2, query, required);
+  ScanFrom(ToBelow(random_(), n), limit, query, required);
 }
 
 void Router::ScanFrom(std::uint32_t start, std::uint32_t limit,
-                      const RouteQuery& query, const Wanted& wanted) {
+                      const RouteQuery& query, const RequiredBits& required) {
   const auto n = static_cast<std::uint32_t>(serving_.size());
   for (std::uint32_t it = 0; it < n && suitable_.size() < limit; ++it) {
-    const std::uint32_t place = start + it < n ? start + it : start + it - n;
-    const std::uint32_t index = serving_[place];
+    const std::uint32_t position = start + it < n ? start + it : start + it - n;
+    const std::uint32_t index = serving_[position];
     const TargetState& state = targets_[index];
-    const bool has_model = (state.model_bits & wanted.model) == wanted.model;
+    const bool has_model =
+        (state.model_bits & required.model) == required.model;
     const bool has_adapter =
-        (state.adapter_bits & wanted.adapter) == wanted.adapter;
+        (state.adapter_bits & required.adapter) == required.adapter;
     if (!has_model || !has_adapter) {
       continue;
     }
@@ -117,10 +121,11 @@
 }
 
 Router::Candidate Router::Score(std::uint32_t index, const RouteQuery& query,
-                                Part part, TimePoint now) const {
+                                RequestPhase phase, TimePoint now) const {
   const TargetState& state = targets_[index];
-  const LoadEstimate load = options_.correct_reports ? state.load.Estimate(now)
-                                                     : state.load.Reported();
+  const LoadEstimate load = options_.correct_reports
+                                ? state.load.Estimate(now)
+                                : state.load.ReportedLoad();
   const CachedPrefix cached = state.hint.Find(query.prefix_blocks, now);
   Candidate result;
   result.index = index;
@@ -131,7 +136,7 @@
 
   double prefill_s = 0;
   double prefill_cost_s = 0;
-  if (part != Part::kDecode) {
+  if (phase != RequestPhase::kDecode) {
     const double mismatch = state.view.role == EngineRole::kDecode
                                 ? options_.role_mismatch_cost
                                 : 1.0;
@@ -146,7 +151,7 @@
   }
   DecodeTime decode;
   double decode_mismatch = 1.0;
-  if (part != Part::kPrefill) {
+  if (phase != RequestPhase::kPrefill) {
     // A call without output tokens still takes a slot in the batch.
     const double output =
         std::max(1.0, static_cast<double>(query.output_tokens));
@@ -158,7 +163,7 @@
   result.first_token_s = prefill_s + decode.wait_s;
   result.finish_s = result.first_token_s + decode_mismatch * decode.run_s;
   result.cost = prefill_cost_s + decode.wait_s +
-                decode_mismatch * (decode.run_s + decode.harm_s);
+                decode_mismatch * (decode.run_s + decode.slowdown_s);
   result.cost *= outliers_.Slowness(state.outlier);
   const double kv_needed =
       static_cast<double>(options_.kv_bytes_per_token) *
@@ -173,8 +178,8 @@
   return result;
 }
 
-Router::Candidate Router::ChooseBest(const RouteQuery& query, Part part,
-                                     TimePoint now) {
+Router::Candidate Router::ChooseBest(const RouteQuery& query,
+                                     RequestPhase phase, TimePoint now) {
   const auto suspects = static_cast<double>(
       std::count_if(suitable_.begin(), suitable_.end(),
                     [this](auto it) { return targets_[it].outlier.suspect; }));
@@ -184,13 +189,14 @@
   double best = kInfinity;
   for (const std::uint32_t it : suitable_) {
     const TargetState& state = targets_[it];
-    const bool wrong_role =
-        (part == Part::kPrefill && state.view.role == EngineRole::kDecode) ||
-        (part == Part::kDecode && state.view.role == EngineRole::kPrefill);
+    const bool wrong_role = (phase == RequestPhase::kPrefill &&
+                             state.view.role == EngineRole::kDecode) ||
+                            (phase == RequestPhase::kDecode &&
+                             state.view.role == EngineRole::kPrefill);
     if (wrong_role || (state.outlier.suspect && !trust_all)) {
       continue;
     }
-    scored_.push_back(Score(it, query, part, now));
+    scored_.push_back(Score(it, query, phase, now));
     best = std::min(best, scored_.back().cost);
   }
   Candidate chosen;
@@ -206,17 +212,18 @@
   return chosen;
 }
 
-RouteLeg Router::LegOf(const Candidate& candidate, const RouteQuery& query,
-                       Part part) const {
+RouteLeg Router::MakeLeg(const Candidate& candidate, const RouteQuery& query,
+                         RequestPhase phase) const {
   RouteLeg leg;
   leg.target = HandleOf(candidate.index);
-  leg.cached_tokens = part == Part::kDecode ? 0 : candidate.cached_tokens;
+  leg.cached_tokens =
+      phase == RequestPhase::kDecode ? 0 : candidate.cached_tokens;
   leg.expected_first_token = FromSeconds(candidate.first_token_s);
   leg.expected_end = FromSeconds(candidate.finish_s);
-  if (part != Part::kDecode) {
+  if (phase != RequestPhase::kDecode) {
     leg.work.prefill_tokens = query.prompt_tokens - candidate.cached_tokens;
   }
-  if (part != Part::kPrefill) {
+  if (phase != RequestPhase::kPrefill) {
     leg.work.output_tokens = query.output_tokens;
   }
   leg.work.kv_bytes = options_.kv_bytes_per_token *
@@ -228,7 +235,7 @@
                                     const RouteQuery& query, bool probe) const {
   RouteDecision decision;
   decision.verdict = RouteVerdict::kChosen;
-  decision.leg = LegOf(whole, query, Part::kWhole);
+  decision.leg = MakeLeg(whole, query, RequestPhase::kWhole);
   decision.expected_finish = FromSeconds(finish_ratio_ * whole.finish_s);
   decision.probe = probe;
   return decision;
@@ -237,8 +244,8 @@
 std::optional<RouteDecision> Router::ChooseSplit(const RouteQuery& query,
                                                  const Candidate& whole,
                                                  TimePoint now) {
-  const Candidate prefill = ChooseBest(query, Part::kPrefill, now);
-  const Candidate decode = ChooseBest(query, Part::kDecode, now);
+  const Candidate prefill = ChooseBest(query, RequestPhase::kPrefill, now);
+  const Candidate decode = ChooseBest(query, RequestPhase::kDecode, now);
   if (prefill.index == UINT32_MAX || decode.index == UINT32_MAX ||
       prefill.index == decode.index) {
     return std::nullopt;
@@ -251,28 +258,28 @@
   }
   RouteDecision decision;
   decision.verdict = RouteVerdict::kChosen;
-  decision.prefill = LegOf(prefill, query, Part::kPrefill);
-  decision.leg = LegOf(decode, query, Part::kDecode);
+  decision.prefill = MakeLeg(prefill, query, RequestPhase::kPrefill);
+  decision.leg = MakeLeg(decode, query, RequestPhase::kDecode);
   decision.expected_finish = FromSeconds(
       finish_ratio_ * (prefill.finish_s + transfer_s + decode.finish_s));
   return decision;
 }
 
-RouteDecision Router::Consider(TargetHandle target, const RouteQuery& query,
-                               TimePoint now) const {
-  return WholeDecision(Score(target.index, query, Part::kWhole, now), query,
-                       false);
+RouteDecision Router::DecisionFor(TargetHandle target, const RouteQuery& query,
+                                  TimePoint now) const {
+  return WholeDecision(Score(target.index, query, RequestPhase::kWhole, now),
+                       query, false);
 }
 
 RouteDecision Router::Choose(const RouteQuery& query, TimePoint now) {
   RouteDecision none;
-  const std::optional<Wanted> wanted = Resolve(query);
-  if (!wanted || serving_.empty()) {
+  const std::optional<RequiredBits> required = Resolve(query);
+  if (!required || serving_.empty()) {
     none.verdict =
         serving_.empty() ? RouteVerdict::kNoTarget : RouteVerdict::kNotLoaded;
     return none;
   }
-  CollectCandidates(query, *wanted);
+  CollectCandidates(query, *required);
   if (suitable_.empty()) {
     none.verdict =
         any_excluded_ ? RouteVerdict::kExcluded : RouteVerdict::kNotLoaded;
@@ -281,11 +288,11 @@
   if (query.may_probe) {
     if (const auto index = DueProbe(now)) {
       outliers_.OnProbe(&targets_[*index].outlier, now);
-      return WholeDecision(Score(*index, query, Part::kWhole, now), query,
-                           true);
+      return WholeDecision(Score(*index, query, RequestPhase::kWhole, now),
+                           query, true);
     }
   }
-  const Candidate whole = ChooseBest(query, Part::kWhole, now);
+  const Candidate whole = ChooseBest(query, RequestPhase::kWhole, now);
   if (query.may_split) {
     if (const auto split = ChooseSplit(query, whole, now)) {
       return *split;
--- a/src/core/routing/target_load.cc
+++ b/src/core/routing/target_load.cc
@@ -37,18 +37,18 @@
   has_report_ = true;
   sent_since_ = Sum{};
   ended_since_ = Sum{};
-  std::uint32_t place = attempts->First(target);
-  while (place != InFlightTable::kNone) {
-    const std::uint32_t next = attempts->Next(place);
-    const InFlightAttempt& attempt = attempts->At(place);
+  std::uint32_t slot = attempts->First(target);
+  while (slot != InFlightTable::kNone) {
+    const std::uint32_t next = attempts->Next(slot);
+    const InFlightAttempt& attempt = attempts->At(slot);
     if (attempt.ended && attempt.ended_at <= measured_at) {
-      attempts->Erase(place);
+      attempts->Erase(slot);
     } else if (attempt.ended && IsInReport(attempt)) {
       ended_since_.Add(attempt.work, 1);
     } else if (!attempt.ended && !IsInReport(attempt)) {
       sent_since_.Add(attempt.work, 1);
     }
-    place = next;
+    slot = next;
   }
 }
 
@@ -76,7 +76,7 @@
   }
 }
 
-LoadEstimate TargetLoad::Reported() const {
+LoadEstimate TargetLoad::ReportedLoad() const {
   LoadEstimate estimate;
   estimate.queued_prefill_tokens =
       static_cast<double>(report_.queued_prefill_tokens);
@@ -93,7 +93,7 @@
 }
 
 LoadEstimate TargetLoad::Estimate(TimePoint now) const {
-  LoadEstimate estimate = Reported();
+  LoadEstimate estimate = ReportedLoad();
   const double age_s =
       has_report_
           ? std::max(0.0,
--- a/src/core/routing/target_load.h
+++ b/src/core/routing/target_load.h
@@ -71,7 +71,7 @@
   LoadEstimate Estimate(TimePoint now) const;
 
   /// Returns the load by the last report, without correction.
-  LoadEstimate Reported() const;
+  LoadEstimate ReportedLoad() const;
 
   /// Returns the number of attempts sent from here that have not ended.
   std::uint32_t own_requests() const { return own_requests_; }
--- a/src/entry/direct_dispatcher.cc
+++ b/src/entry/direct_dispatcher.cc
@@ -142,7 +142,7 @@
   };
   hooks.on_answering = [this](const AttemptId& id) {
     for (auto& [service, placement] : placements_) {
-      placement.OnAnswering(id, clock_());
+      placement.OnAnswerStarted(id, clock_());
     }
   };
   hooks.choose_runner = [this](const AttemptId& id,
@@ -151,7 +151,7 @@
   };
   hooks.on_runner_refused = [this](const AttemptId& id) {
     for (auto& [service, placement] : placements_) {
-      placement.OnRunnerRefused(id, clock_());
+      placement.OnDecodeRefused(id, clock_());
     }
   };
   hooks.may_arrive_again = [this](const CallerRequest& request) {
@@ -327,10 +327,10 @@
 
 void DirectDispatcher::OnCallEnd(const std::string& instance, bool broke) {
   if (!broke) {
-    guard_.OnGood(instance);
+    guard_.RecordSuccess(instance);
     return;
   }
-  const Duration avoided = guard_.OnBroken(instance, clock_());
+  const Duration avoided = guard_.RecordFailure(instance, clock_());
   if (avoided > Duration{0}) {
     log_(kTargetAvoided,
          {{"target", instance}, {"for_ms", Milliseconds(avoided)}});
--- a/src/entry/direct_dispatcher.h
+++ b/src/entry/direct_dispatcher.h
@@ -252,7 +252,7 @@
   std::map<std::string, Leaving> leaving_;
   std::unordered_map<RequestId, Open> open_;
   /// Decided by `Route` for the `OnSent` that follows it.
-  std::optional<EnginePlace> decided_;
+  std::optional<EngineAssignment> decided_;
   std::vector<RequestAction> actions_;
   bool flushing_ = false;
   AccountCounters accounts_;
--- a/src/entry/direct_dispatcher_route.cc
+++ b/src/entry/direct_dispatcher_route.cc
@@ -119,8 +119,8 @@
       candidates.begin(), candidates.end(), [&](const Candidate& it) {
         return guard_.IsAvoided(it.side->instance, now);
       });
-  return FailureGuard::IsPlausible(static_cast<std::size_t>(avoided),
-                                   candidates.size());
+  return FailureGuard::MayAvoidAtOnce(static_cast<std::size_t>(avoided),
+                                      candidates.size());
 }
 
 RouteResult DirectDispatcher::RouteToEngine(
@@ -139,7 +139,7 @@
   if (std::holds_alternative<EnginesClosed>(decision)) {
     return TargetsClosed(request.deployment, candidates, now);
   }
-  if (const auto* place = std::get_if<EnginePlace>(&decision)) {
+  if (const auto* place = std::get_if<EngineAssignment>(&decision)) {
     decided_ = *place;
     return RouteTo{place->decode, place->prefill};
   }
--- a/src/entry/load_control.cc
+++ b/src/entry/load_control.cc
@@ -57,15 +57,15 @@
   return view;
 }
 
-AttemptFate FateOf(AttemptOutcome outcome) {
+AttemptResult FateOf(AttemptOutcome outcome) {
   switch (outcome) {
     case AttemptOutcome::kComplete:
-      return AttemptFate::kFinished;
+      return AttemptResult::kFinished;
     case AttemptOutcome::kTargetFailed:
     case AttemptOutcome::kTargetDied:
-      return AttemptFate::kTargetFailed;
+      return AttemptResult::kTargetFailed;
     default:
-      return AttemptFate::kOther;
+      return AttemptResult::kOther;
   }
 }
 
--- a/src/entry/stage_service.cc
+++ b/src/entry/stage_service.cc
@@ -112,8 +112,8 @@
   if (const auto share = it->second.control.OnLoad(load, clock_())) {
     log_(kRolesPlanned, {{"service", service},
                          {"answering_share", std::to_string(*share)},
-                         {"reading_load", std::to_string(load.reading)},
-                         {"answering_load", std::to_string(load.answering)}});
+                         {"reading_load", std::to_string(load.prefill_load)},
+                         {"answering_load", std::to_string(load.decode_load)}});
   }
 }
 
--- a/src/replay/policies.cc
+++ b/src/replay/policies.cc
@@ -18,7 +18,7 @@
                                         std::span<const TargetHandle> serving,
                                         TimePoint now) mutable {
     const auto n = static_cast<std::uint32_t>(serving.size());
-    return router->Consider(serving[ToBelow(random(), n)], query, now);
+    return router->DecisionFor(serving[ToBelow(random(), n)], query, now);
   };
 }
 
@@ -26,7 +26,7 @@
   return [turn = std::size_t{0}](Router* router, const RouteQuery& query,
                                  std::span<const TargetHandle> serving,
                                  TimePoint now) mutable {
-    return router->Consider(serving[turn++ % serving.size()], query, now);
+    return router->DecisionFor(serving[turn++ % serving.size()], query, now);
   };
 }
 
@@ -41,7 +41,7 @@
     for (const TargetHandle it : serving) {
       best = requests(it) < requests(best) ? it : best;
     }
-    return router->Consider(best, query, now);
+    return router->DecisionFor(best, query, now);
   };
 }
 
@@ -61,7 +61,7 @@
         best = it;
       }
     }
-    return router->Consider(best, query, now);
+    return router->DecisionFor(best, query, now);
   };
 }
 
--- a/src/replay/replay.cc
+++ b/src/replay/replay.cc
@@ -116,7 +116,7 @@
   void Dispatch(std::uint32_t r);
   std::uint64_t Send(std::uint32_t r, const RouteLeg& leg, Part part);
   void Launch(std::uint64_t attempt);
-  void Release(std::uint64_t attempt, AttemptFate fate);
+  void Release(std::uint64_t attempt, AttemptResult fate);
   void ReleaseAll(std::uint32_t r);
   void Finish(std::uint32_t r, End end);
   void Fail(std::uint64_t attempt, bool killed);
@@ -443,7 +443,7 @@
   Kick(it.engine);
 }
 
-void Simulation::Release(std::uint64_t attempt, AttemptFate fate) {
+void Simulation::Release(std::uint64_t attempt, AttemptResult fate) {
   const Attempt& it = attempts_[attempt];
   Engine& engine = engines_[it.engine];
   engine.model.Cancel(attempt);
@@ -456,7 +456,7 @@
 
 void Simulation::ReleaseAll(std::uint32_t r) {
   while (!requests_[r].attempts.empty()) {
-    Release(requests_[r].attempts.back(), AttemptFate::kOther);
+    Release(requests_[r].attempts.back(), AttemptResult::kOther);
   }
 }
 
@@ -483,7 +483,7 @@
       request.attempts.end()) {
     return;
   }
-  Release(attempt, AttemptFate::kTargetFailed);
+  Release(attempt, AttemptResult::kTargetFailed);
   ReleaseAll(r);
   request.kills += killed;
   Entry& entry = entries_[request.entry];
@@ -537,7 +537,7 @@
     const Attempt attempt = attempts_[it];
     Request& request = requests_[attempt.request];
     if (attempt.part == Part::kPrefill) {
-      Release(it, AttemptFate::kFinished);
+      Release(it, AttemptResult::kFinished);
       const double transfer_s =
           request.record.event->prompt_tokens / kTransferTokensPerS;
       After(FromSeconds(transfer_s), [this, attempt] {
@@ -552,7 +552,7 @@
     request.record.between_tokens_s =
         Seconds(now_ - request.first_token_at) / std::max(1.0, n - 1);
     if (attempt.part == Part::kWhole) {
-      Release(it, AttemptFate::kFinished);
+      Release(it, AttemptResult::kFinished);
     }
     Finish(attempt.request, End::kInTime);
   }
--- a/tests/core/placement/burst_admission_test.cc
+++ b/tests/core/placement/burst_admission_test.cc
@@ -20,18 +20,19 @@
 /// A scheduled event of the simulation.
 struct Event {
   TimePoint at;
-  std::function<void()> act;
+  std::function<void()> action;
 
   bool operator>(const Event& other) const { return at > other.at; }
 };
 
 /// Simulates four independent entry processes that share five prefill and three
 /// decode engines. The engine times are as measured on such engines.
-class Burst {
+class BurstSimulation {
  public:
-  explicit Burst(double in_time_share) : random_(MakeSeededRandom(5)) {
+  explicit BurstSimulation(double max_target_share)
+      : random_(MakeSeededRandom(5)) {
     EnginePlacement::Options options;
-    options.in_time_share = in_time_share;
+    options.max_target_share = max_target_share;
     for (int n = 0; n < 4; ++n) {
       entries_.emplace_back(options, MakeSeededRandom(n));
     }
@@ -43,15 +44,15 @@
 
   /// Simulates ten seconds at `rate` requests a second in total and returns the
   /// share of requests whose answer begins within its target.
-  double InTime(double rate) {
+  double ShareInTime(double rate) {
     for (std::size_t n = 0; n < entries_.size(); ++n) {
-      ArriveAfterPause(n, rate / static_cast<double>(entries_.size()));
+      ScheduleArrival(n, rate / static_cast<double>(entries_.size()));
     }
     while (!events_.empty()) {
       const Event event = events_.top();
       events_.pop();
       now_ = event.at;
-      event.act();
+      event.action();
     }
     return static_cast<double>(in_time_) / static_cast<double>(arrived_);
   }
@@ -63,47 +64,47 @@
   static constexpr double kAnswerMs = 5;
   static constexpr milliseconds kTarget{120};
 
-  void At(TimePoint at, std::function<void()> act) {
-    events_.push({at, std::move(act)});
+  void Schedule(TimePoint at, std::function<void()> action) {
+    events_.push({at, std::move(action)});
   }
 
-  void ArriveAfterPause(std::size_t entry, double rate) {
-    const double pause_s = -std::log(1 - ToUnitInterval(random_())) / rate;
-    const TimePoint at = now_ + Ms(pause_s * 1000);
+  void ScheduleArrival(std::size_t entry, double rate) {
+    const double gap_s = -std::log(1 - ToUnitInterval(random_())) / rate;
+    const TimePoint at = now_ + Ms(gap_s * 1000);
     if (at < kStart + seconds(10)) {
-      At(at, [this, entry, rate] {
+      Schedule(at, [this, entry, rate] {
         Arrive(entry);
-        ArriveAfterPause(entry, rate);
+        ScheduleArrival(entry, rate);
       });
     }
   }
 
   void Arrive(std::size_t entry) {
     ++arrived_;
-    const AttemptId id{{1, ++ids_}};
+    const AttemptId id{{1, ++last_id_}};
     CallerRequest request;
-    request.prompt_parts = {{random_() % 60, 6300}, {ids_, 2900}};
+    request.prompt_parts = {{random_() % 60, 6300}, {last_id_, 2900}};
     request.prompt_tokens = 9200;
     request.answer_target = kTarget;
     request.deadline = now_ + seconds(2);
     const auto decision = entries_[entry].Place(request, engines_, now_);
-    const auto* place = std::get_if<EnginePlace>(&decision);
-    if (!place) {
+    const auto* assignment = std::get_if<EngineAssignment>(&decision);
+    if (!assignment) {
       return;
     }
-    entries_[entry].OnSent(id, request, *place, now_);
-    TimePoint& free_at = free_at_[place->prefill];
+    entries_[entry].OnSent(id, request, *assignment, now_);
+    TimePoint& free_at = free_at_[assignment->prefill];
     const TimePoint start = std::max(now_, free_at);
     const double tokens_ms = 2900 / kTokensPerMs;
     free_at = start + Ms(kOccupiedFixedMs + tokens_ms);
-    const TimePoint asked_at = now_;
-    At(start + Ms(kFixedMs + tokens_ms), [this, entry, id, asked_at] {
+    const TimePoint arrived_at = now_;
+    Schedule(start + Ms(kFixedMs + tokens_ms), [this, entry, id, arrived_at] {
       entries_[entry].OnPrefilled(id, now_);
       entries_[entry].PlaceDecode(id, engines_, now_);
-      At(now_ + Ms(kAnswerMs), [this, entry, id, asked_at] {
-        entries_[entry].OnAnswering(id, now_);
+      Schedule(now_ + Ms(kAnswerMs), [this, entry, id, arrived_at] {
+        entries_[entry].OnAnswerStarted(id, now_);
         entries_[entry].OnEnded(id, false, now_);
-        in_time_ += now_ - asked_at <= kTarget ? 1 : 0;
+        in_time_ += now_ - arrived_at <= kTarget ? 1 : 0;
       });
     });
   }
@@ -115,7 +116,7 @@
   std::map<std::string, TimePoint> free_at_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   TimePoint now_ = kStart;
-  std::uint64_t ids_ = 0;
+  std::uint64_t last_id_ = 0;
   int arrived_ = 0;
   int in_time_ = 0;
 };
@@ -127,16 +128,19 @@
 // no request is served in time.
 TEST_CASE(
     "Most requests are served in time when a burst exceeds prefill capacity") {
-  const double before = Burst(/*in_time_share=*/1000).InTime(800);
+  const double before =
+      BurstSimulation(/*max_target_share=*/1000).ShareInTime(800);
   const double after =
-      Burst(EnginePlacement::Options{}.in_time_share).InTime(800);
+      BurstSimulation(EnginePlacement::Options{}.max_target_share)
+          .ShareInTime(800);
   INFO("in time: " << before << " if all are admitted, with admission control "
                    << after);
   CHECK(before < 0.2);
   CHECK(after > 0.7);
 
   SECTION("load below capacity is not refused") {
-    CHECK(Burst(EnginePlacement::Options{}.in_time_share).InTime(250) > 0.97);
+    CHECK(BurstSimulation(EnginePlacement::Options{}.max_target_share)
+              .ShareInTime(250) > 0.97);
   }
 }
 
--- a/tests/core/placement/engine_placement_test.cc
+++ b/tests/core/placement/engine_placement_test.cc
@@ -23,14 +23,14 @@
   return request;
 }
 
-std::vector<PlacementEngine> Fleet(int readers, int decoders) {
+std::vector<PlacementEngine> Fleet(int prefill_engines, int decode_engines) {
   const std::vector<std::string> domains = {"bilbao-a", "bilbao-b", "oviedo"};
   std::vector<PlacementEngine> engines;
-  for (int n = 0; n < readers + decoders; ++n) {
-    const bool reads = n < readers;
-    engines.push_back({(reads ? "r" : "d") + std::to_string(n), domains[n % 3],
-                       reads ? EngineRole::kPrefill : EngineRole::kDecode,
-                       false});
+  for (int n = 0; n < prefill_engines + decode_engines; ++n) {
+    const bool is_prefill = n < prefill_engines;
+    engines.push_back(
+        {(is_prefill ? "r" : "d") + std::to_string(n), domains[n % 3],
+         is_prefill ? EngineRole::kPrefill : EngineRole::kDecode, false});
   }
   return engines;
 }
@@ -39,25 +39,27 @@
   return EnginePlacement(EnginePlacement::Options{}, MakeSeededRandom(seed));
 }
 
-EnginePlace PlaceOf(const PlacementDecision& decision) {
-  REQUIRE(std::holds_alternative<EnginePlace>(decision));
-  return std::get<EnginePlace>(decision);
+EngineAssignment AssignmentOf(const PlacementDecision& decision) {
+  REQUIRE(std::holds_alternative<EngineAssignment>(decision));
+  return std::get<EngineAssignment>(decision);
 }
 
 TEST_CASE("Prompts with a shared prefix are prefilled where it is cached") {
   const auto fleet = Fleet(15, 3);
   EnginePlacement one = MakePlacement(1);
   EnginePlacement other = MakePlacement(2);
-  const EnginePlace first = PlaceOf(one.Place(Request(7, 1), fleet, kNow));
+  const EngineAssignment first =
+      AssignmentOf(one.Place(Request(7, 1), fleet, kNow));
 
   SECTION("entry processes agree without communication") {
-    CHECK(PlaceOf(other.Place(Request(7, 2), fleet, kNow)).prefill ==
+    CHECK(AssignmentOf(other.Place(Request(7, 2), fleet, kNow)).prefill ==
           first.prefill);
   }
   SECTION("different prefixes are spread over the prefill engines") {
     std::set<std::string> homes;
     for (std::uint64_t part = 0; part < 60; ++part) {
-      homes.insert(PlaceOf(one.Place(Request(part, 1), fleet, kNow)).prefill);
+      homes.insert(
+          AssignmentOf(one.Place(Request(part, 1), fleet, kNow)).prefill);
     }
     CHECK(homes.size() >= 12);
   }
@@ -66,7 +68,7 @@
     std::erase_if(fewer, [&](const auto& it) {
       return it.instance == (first.prefill == "r0" ? "r1" : "r0");
     });
-    CHECK(PlaceOf(one.Place(Request(7, 3), fewer, kNow)).prefill ==
+    CHECK(AssignmentOf(one.Place(Request(7, 3), fewer, kNow)).prefill ==
           first.prefill);
   }
 }
@@ -82,9 +84,9 @@
   for (std::uint64_t n = 0; n < 40; ++n) {
     const CallerRequest request = Request(7, n);
     const PlacementDecision decision = placement.Place(request, fleet, kNow);
-    if (const auto* place = std::get_if<EnginePlace>(&decision)) {
-      ++placed[place->prefill];
-      placement.OnSent(Attempt(n), request, *place, kNow);
+    if (const auto* assignment = std::get_if<EngineAssignment>(&decision)) {
+      ++placed[assignment->prefill];
+      placement.OnSent(Attempt(n), request, *assignment, kNow);
     } else {
       ++refused;
       const auto& busy = std::get<EnginesBusy>(decision);
@@ -97,9 +99,9 @@
   // The further homes copy the prefix, so each can serve as many requests in
   // time as the home, and not more.
   const int at_home =
-      placed[PlaceOf(MakePlacement(1).Place(Request(7, 1), fleet, kNow))
+      placed[AssignmentOf(MakePlacement(1).Place(Request(7, 1), fleet, kNow))
                  .prefill];
-  for (const auto& [reader, n] : placed) {
+  for (const auto& [prefill_engine, n] : placed) {
     CHECK(n <= at_home);
   }
   CHECK(at_home <= 4);
@@ -109,7 +111,7 @@
     for (std::uint64_t n = 0; n < 40; ++n) {
       placement.OnPrefilled(Attempt(n), kNow);
     }
-    CHECK(std::holds_alternative<EnginePlace>(
+    CHECK(std::holds_alternative<EngineAssignment>(
         placement.Place(Request(7, 99), fleet, kNow)));
   }
   SECTION("an attempt that ends before its prefill frees capacity") {
@@ -127,14 +129,14 @@
   CallerRequest request = Request(7, 1);
   request.prompt_tokens = 200000;
   const auto fleet = Fleet(3, 1);
-  CHECK(std::holds_alternative<EnginePlace>(
+  CHECK(std::holds_alternative<EngineAssignment>(
       placement.Place(request, fleet, kNow)));
 
   SECTION("rounding errors in the backlog do not make it busy") {
     // Adding weighted tokens in one order and subtracting them in another
     // leaves a rounding error, which must not count as backlog.
     const std::string home =
-        PlaceOf(placement.Place(Request(7, 1), fleet, kNow)).prefill;
+        AssignmentOf(placement.Place(Request(7, 1), fleet, kNow)).prefill;
     RandomSource random = MakeSeededRandom(1);
     for (std::uint64_t round = 0; round < 300; ++round) {
       std::vector<std::uint64_t> sent = {4 * round, 4 * round + 1,
@@ -144,13 +146,15 @@
         other.prompt_parts[0].tokens = 13001 + ToBelow(random(), 300);
         other.prompt_tokens = 13300 + ToBelow(random(), 900);
         placement.OnSent(Attempt(n), other,
-                         PlaceOf(placement.Place(other, fleet, kNow)), kNow);
+                         AssignmentOf(placement.Place(other, fleet, kNow)),
+                         kNow);
       }
       std::swap(sent[0], sent[ToBelow(random(), 3)]);
       for (const std::uint64_t n : sent) {
         placement.OnPrefilled(Attempt(n), kNow);
       }
-      REQUIRE(PlaceOf(placement.Place(request, fleet, kNow)).prefill == home);
+      REQUIRE(AssignmentOf(placement.Place(request, fleet, kNow)).prefill ==
+              home);
     }
   }
 }
@@ -161,10 +165,11 @@
   std::map<std::string, int> streams;
   for (std::uint64_t n = 0; n < 90; ++n) {
     const CallerRequest request = Request(n, n);
-    const EnginePlace place = PlaceOf(placement.Place(request, fleet, kNow));
-    placement.OnSent(Attempt(n), request, place, kNow);
+    const EngineAssignment assignment =
+        AssignmentOf(placement.Place(request, fleet, kNow));
+    placement.OnSent(Attempt(n), request, assignment, kNow);
     placement.OnPrefilled(Attempt(n), kNow);
-    ++streams[place.decode];
+    ++streams[assignment.decode];
   }
   for (const auto& [instance, n] : streams) {
     INFO(instance);
@@ -179,28 +184,29 @@
   auto fleet = Fleet(3, 2);
   EnginePlacement placement = MakePlacement(1);
   const CallerRequest request = Request(7, 1);
-  const EnginePlace place = PlaceOf(placement.Place(request, fleet, kNow));
-  placement.OnSent(Attempt(1), request, place, kNow);
+  const EngineAssignment assignment =
+      AssignmentOf(placement.Place(request, fleet, kNow));
+  placement.OnSent(Attempt(1), request, assignment, kNow);
   placement.OnPrefilled(Attempt(1), kNow);
-  std::erase_if(fleet,
-                [&](const auto& it) { return it.instance == place.decode; });
-  const auto runner = placement.PlaceDecode(Attempt(1), fleet, kNow);
-  REQUIRE(runner);
-  CHECK(*runner != place.decode);
+  std::erase_if(
+      fleet, [&](const auto& it) { return it.instance == assignment.decode; });
+  const auto decode_engine = placement.PlaceDecode(Attempt(1), fleet, kNow);
+  REQUIRE(decode_engine);
+  CHECK(*decode_engine != assignment.decode);
 
   SECTION("nothing is returned if no decode engine is left") {
-    std::erase_if(fleet,
-                  [&](const auto& it) { return it.instance == *runner; });
+    std::erase_if(
+        fleet, [&](const auto& it) { return it.instance == *decode_engine; });
     CHECK_FALSE(placement.PlaceDecode(Attempt(1), fleet, kNow));
   }
 }
 
 TEST_CASE("A fleet without prefill engines still serves requests") {
   EnginePlacement placement = MakePlacement(1);
-  const EnginePlace place =
-      PlaceOf(placement.Place(Request(7, 1), Fleet(0, 3), kNow));
-  CHECK(place.prefill.empty());
-  CHECK_FALSE(place.decode.empty());
+  const EngineAssignment assignment =
+      AssignmentOf(placement.Place(Request(7, 1), Fleet(0, 3), kNow));
+  CHECK(assignment.prefill.empty());
+  CHECK_FALSE(assignment.decode.empty());
   CHECK(std::holds_alternative<NoEngine>(
       placement.Place(Request(7, 1), Fleet(3, 0), kNow)));
 }
@@ -211,17 +217,19 @@
   const auto fleet = Fleet(6, 3);
   EnginePlacement placement = MakePlacement(1);
   const std::string home =
-      PlaceOf(placement.Place(Request(7, 0), fleet, kNow)).prefill;
+      AssignmentOf(placement.Place(Request(7, 0), fleet, kNow)).prefill;
   for (std::uint64_t n = 0; n < 2; ++n) {
     const CallerRequest request = Request(7, n);
-    const EnginePlace place = PlaceOf(placement.Place(request, fleet, kNow));
-    REQUIRE(place.prefill == home);
-    placement.OnSent(Attempt(n), request, place, kNow);
+    const EngineAssignment assignment =
+        AssignmentOf(placement.Place(request, fleet, kNow));
+    REQUIRE(assignment.prefill == home);
+    placement.OnSent(Attempt(n), request, assignment, kNow);
     placement.OnPrefilled(Attempt(n), kNow);
     placement.OnEnded(Attempt(n), /*refused=*/true, kNow);
   }
-  CHECK(PlaceOf(placement.Place(Request(7, 9), fleet, kNow)).prefill != home);
-  CHECK(PlaceOf(placement.Place(Request(7, 9), fleet, kNow + seconds(2)))
+  CHECK(AssignmentOf(placement.Place(Request(7, 9), fleet, kNow)).prefill !=
+        home);
+  CHECK(AssignmentOf(placement.Place(Request(7, 9), fleet, kNow + seconds(2)))
             .prefill == home);
 }
 
@@ -231,25 +239,28 @@
   const auto fleet = Fleet(6, 3);
   EnginePlacement placement = MakePlacement(1);
   const CallerRequest request = Request(7, 0);
-  const EnginePlace place = PlaceOf(placement.Place(request, fleet, kNow));
-  placement.OnSent(Attempt(0), request, place, kNow);
+  const EngineAssignment assignment =
+      AssignmentOf(placement.Place(request, fleet, kNow));
+  placement.OnSent(Attempt(0), request, assignment, kNow);
   const TimePoint later = kNow + seconds(1);
 
   SECTION("while calls to it are pending") {
-    CHECK(PlaceOf(placement.Place(Request(7, 1), fleet, later)).prefill !=
-          place.prefill);
+    CHECK(AssignmentOf(placement.Place(Request(7, 1), fleet, later)).prefill !=
+          assignment.prefill);
   }
   SECTION("and for a time after a call to it timed out") {
     placement.OnEnded(Attempt(0), /*refused=*/true, later);
-    CHECK(PlaceOf(placement.Place(Request(7, 1), fleet, later)).prefill !=
-          place.prefill);
-    CHECK(PlaceOf(placement.Place(Request(7, 1), fleet, later + seconds(2)))
-              .prefill == place.prefill);
+    CHECK(AssignmentOf(placement.Place(Request(7, 1), fleet, later)).prefill !=
+          assignment.prefill);
+    CHECK(
+        AssignmentOf(placement.Place(Request(7, 1), fleet, later + seconds(2)))
+            .prefill == assignment.prefill);
   }
   SECTION("but an engine that responded late is used once its queue is empty") {
     placement.OnPrefilled(Attempt(0), later);
-    CHECK(PlaceOf(placement.Place(Request(7, 1), fleet, later + seconds(1)))
-              .prefill == place.prefill);
+    CHECK(
+        AssignmentOf(placement.Place(Request(7, 1), fleet, later + seconds(1)))
+            .prefill == assignment.prefill);
   }
 }
 
@@ -261,14 +272,14 @@
   for (std::uint64_t n = 0; n < 2; ++n) {
     const CallerRequest request = Request(n, n);
     placement.OnSent(Attempt(n), request,
-                     PlaceOf(placement.Place(request, fleet, kNow)), kNow);
+                     AssignmentOf(placement.Place(request, fleet, kNow)), kNow);
     placement.OnPrefilled(Attempt(n), kNow);
     REQUIRE(placement.PlaceDecode(Attempt(n), fleet, kNow));
     placement.OnEnded(Attempt(n), /*refused=*/true, kNow);
   }
   CHECK(std::holds_alternative<EnginesBusy>(
       placement.Place(Request(7, 1), fleet, kNow)));
-  CHECK(std::holds_alternative<EnginePlace>(
+  CHECK(std::holds_alternative<EngineAssignment>(
       placement.Place(Request(7, 1), fleet, kNow + seconds(1))));
 }
 
@@ -283,42 +294,43 @@
   // Fills the home until the prompt goes to the next engine, which does not
   // cache the prefix.
   const std::string home =
-      PlaceOf(placement.Place(Request(7, 0), fleet, kNow)).prefill;
+      AssignmentOf(placement.Place(Request(7, 0), fleet, kNow)).prefill;
   std::uint64_t n = 100;
-  EnginePlace place = PlaceOf(placement.Place(Request(7, 0), fleet, kNow));
-  while (place.prefill == home) {
+  EngineAssignment assignment =
+      AssignmentOf(placement.Place(Request(7, 0), fleet, kNow));
+  while (assignment.prefill == home) {
     ++n;
-    placement.OnSent(Attempt(n), Request(7, n), place, kNow);
-    place = PlaceOf(placement.Place(Request(7, 0), fleet, kNow));
+    placement.OnSent(Attempt(n), Request(7, n), assignment, kNow);
+    assignment = AssignmentOf(placement.Place(Request(7, 0), fleet, kNow));
   }
-  REQUIRE_FALSE(place.cached);
-  placement.OnSent(Attempt(0), Request(7, 0), place, kNow);
-  placement.Forget(place.prefill);
-  CHECK(placement.BacklogOf(place.prefill) == 0);
+  REQUIRE_FALSE(assignment.cached);
+  placement.OnSent(Attempt(0), Request(7, 0), assignment, kNow);
+  placement.Forget(assignment.prefill);
+  CHECK(placement.BacklogOf(assignment.prefill) == 0);
 
-  placement.OnSent(Attempt(1), Request(7, 1), place, kNow);
-  const double backlog = placement.BacklogOf(place.prefill);
+  placement.OnSent(Attempt(1), Request(7, 1), assignment, kNow);
+  const double backlog = placement.BacklogOf(assignment.prefill);
   REQUIRE(backlog > 0);
-  const auto taken_for_cached = [&] {
+  const auto assumed_cached = [&] {
     placement.OnEnded(Attempt(1), false, kNow);
-    const EnginePlace again =
-        PlaceOf(placement.Place(Request(7, 2), fleet, kNow));
-    REQUIRE(again.prefill == place.prefill);
+    const EngineAssignment again =
+        AssignmentOf(placement.Place(Request(7, 2), fleet, kNow));
+    REQUIRE(again.prefill == assignment.prefill);
     return again.cached;
   };
   SECTION("an old prefill frees no backlog and leaves no cached prefix") {
     placement.OnPrefilled(Attempt(0), kNow);
-    CHECK(placement.BacklogOf(place.prefill) == backlog);
-    CHECK_FALSE(taken_for_cached());
+    CHECK(placement.BacklogOf(assignment.prefill) == backlog);
+    CHECK_FALSE(assumed_cached());
   }
   SECTION("an old failure frees no backlog") {
     placement.OnEnded(Attempt(0), /*refused=*/true, kNow);
-    CHECK(placement.BacklogOf(place.prefill) == backlog);
+    CHECK(placement.BacklogOf(assignment.prefill) == backlog);
   }
   SECTION("a prefill of the new process counts") {
     placement.OnPrefilled(Attempt(1), kNow);
-    CHECK(placement.BacklogOf(place.prefill) == 0);
-    CHECK(taken_for_cached());
+    CHECK(placement.BacklogOf(assignment.prefill) == 0);
+    CHECK(assumed_cached());
   }
 }
 
@@ -335,37 +347,37 @@
     it.deadline = now + seconds(2);
     return it;
   };
-  const auto held_at_once = [&] {
+  const auto accepted_at_once = [&] {
     std::uint64_t n = 1000000;
     while (n < 1000100) {
       const auto decision = placement.Place(request(7, n), fleet, now);
-      if (!std::holds_alternative<EnginePlace>(decision)) {
+      if (!std::holds_alternative<EngineAssignment>(decision)) {
         break;
       }
       ++n;
-      placement.OnSent(Attempt(n), request(7, n), PlaceOf(decision), now);
+      placement.OnSent(Attempt(n), request(7, n), AssignmentOf(decision), now);
     }
     return n - 1000000;
   };
   SECTION("each gets one request before there are samples") {
-    CHECK(held_at_once() == 3);
+    CHECK(accepted_at_once() == 3);
   }
   SECTION("fast engines get as many requests as they can serve in time") {
     for (std::uint64_t n = 0; n < 64; ++n) {
-      const EnginePlace place =
-          PlaceOf(placement.Place(request(n % 4, n), fleet, now));
-      placement.OnSent(Attempt(n), request(n % 4, n), place, now);
+      const EngineAssignment assignment =
+          AssignmentOf(placement.Place(request(n % 4, n), fleet, now));
+      placement.OnSent(Attempt(n), request(n % 4, n), assignment, now);
       // 9 ms plus 600 tokens per ms, including an uncached prefix.
-      now +=
-          std::chrono::microseconds(9000) +
-          std::chrono::microseconds(static_cast<int>(place.prefill_work / 0.6));
-      placement.OnAnswering(Attempt(n), now);
+      now += std::chrono::microseconds(9000) +
+             std::chrono::microseconds(
+                 static_cast<int>(assignment.prefill_work / 0.6));
+      placement.OnAnswerStarted(Attempt(n), now);
       placement.OnEnded(Attempt(n), false, now);
       now += milliseconds(100);
     }
     // The limit is 72 ms: four requests of 17 ms at the home, and one without a
     // cached prefix at each of the other engines.
-    CHECK(held_at_once() >= 6);
+    CHECK(accepted_at_once() >= 6);
   }
 }
 
@@ -382,33 +394,33 @@
   int refused = 0;
   int lost = 0;
   std::uint64_t n = 0;
-  const auto play = [&](TimePoint from, Duration length, bool refuses) {
+  const auto simulate = [&](TimePoint from, Duration length, bool refuses) {
     for (TimePoint now = from; now < from + length; now += milliseconds(100)) {
       const CallerRequest request = Request(++n, 1);
       const AttemptId attempt = Attempt(n);
       placement.OnSent(attempt, request,
-                       PlaceOf(placement.Place(request, fleet, now)), now);
+                       AssignmentOf(placement.Place(request, fleet, now)), now);
       placement.OnPrefilled(attempt, now);
-      auto runner = placement.PlaceDecode(attempt, fleet, now);
-      if (refuses && runner == changing) {
+      auto decode_engine = placement.PlaceDecode(attempt, fleet, now);
+      if (refuses && decode_engine == changing) {
         ++refused;
-        placement.OnRunnerRefused(attempt, now);
-        runner = placement.PlaceDecode(attempt, fleet, now);
-        lost += runner == changing ? 1 : 0;
+        placement.OnDecodeRefused(attempt, now);
+        decode_engine = placement.PlaceDecode(attempt, fleet, now);
+        lost += decode_engine == changing ? 1 : 0;
       }
-      placement.OnAnswering(attempt, now);
+      placement.OnAnswerStarted(attempt, now);
       placement.OnEnded(attempt, /*refused=*/false, now);
     }
   };
-  play(kNow, seconds(5), true);
+  simulate(kNow, seconds(5), true);
   CHECK(refused >= 1);
   CHECK(refused <= 5);
   CHECK(lost == 0);
 
   SECTION("it gets its share again once it accepts work") {
-    play(kNow + seconds(8), seconds(5), false);
+    simulate(kNow + seconds(8), seconds(5), false);
     refused = 0;
-    play(kNow + seconds(13), milliseconds(1000), true);
+    simulate(kNow + seconds(13), milliseconds(1000), true);
     CHECK(refused >= 1);
   }
 }
@@ -424,23 +436,24 @@
       it.closed = it.closed || it.instance == instance;
     }
   };
-  const EnginePlace before =
-      PlaceOf(placement.Place(Request(7, 1), fleet, kNow));
+  const EngineAssignment before =
+      AssignmentOf(placement.Place(Request(7, 1), fleet, kNow));
 
   SECTION("prompts go to the next home, which copies the prefix from it") {
     limit(before.prefill);
-    const EnginePlace place =
-        PlaceOf(placement.Place(Request(7, 2), fleet, kNow));
-    CHECK(place.prefill != before.prefill);
-    CHECK(place.copy_from == before.prefill);
+    const EngineAssignment assignment =
+        AssignmentOf(placement.Place(Request(7, 2), fleet, kNow));
+    CHECK(assignment.prefill != before.prefill);
+    CHECK(assignment.copy_from == before.prefill);
   }
   SECTION("a decode engine is skipped before and after the prefill") {
     limit("d3");
     limit("d4");
     const CallerRequest request = Request(7, 3);
-    const EnginePlace place = PlaceOf(placement.Place(request, fleet, kNow));
-    CHECK(place.decode == "d5");
-    placement.OnSent(Attempt(1), request, place, kNow);
+    const EngineAssignment assignment =
+        AssignmentOf(placement.Place(request, fleet, kNow));
+    CHECK(assignment.decode == "d5");
+    placement.OnSent(Attempt(1), request, assignment, kNow);
     CHECK(placement.PlaceDecode(Attempt(1), fleet, kNow) == "d5");
     limit("d5");
     CHECK(placement.PlaceDecode(Attempt(1), fleet, kNow) == std::nullopt);
--- a/tests/core/placement/failure_guard_test.cc
+++ b/tests/core/placement/failure_guard_test.cc
@@ -11,34 +11,34 @@
 TEST_CASE("A target is avoided for a time after its calls break in a row") {
   FailureGuard guard{FailureGuard::Options{}};
   TimePoint now{seconds(100)};
-  CHECK(guard.OnBroken("a", now) == Duration{0});
+  CHECK(guard.RecordFailure("a", now) == Duration{0});
   CHECK_FALSE(guard.IsAvoided("a", now));
 
   SECTION("a successful call between two broken ones resets the count") {
-    guard.OnGood("a");
-    CHECK(guard.OnBroken("a", now) == Duration{0});
+    guard.RecordSuccess("a");
+    CHECK(guard.RecordFailure("a", now) == Duration{0});
     CHECK_FALSE(guard.IsAvoided("a", now));
   }
   SECTION("two broken calls in a row suffice and affect no other target") {
-    CHECK(guard.OnBroken("a", now) == seconds(1));
+    CHECK(guard.RecordFailure("a", now) == seconds(1));
     CHECK(guard.IsAvoided("a", now + milliseconds(999)));
     CHECK_FALSE(guard.IsAvoided("b", now));
     CHECK_FALSE(guard.IsAvoided("a", now + seconds(1)));
 
     SECTION("calls that break while the target is avoided do not count") {
-      CHECK(guard.OnBroken("a", now + milliseconds(500)) == Duration{0});
+      CHECK(guard.RecordFailure("a", now + milliseconds(500)) == Duration{0});
       CHECK_FALSE(guard.IsAvoided("a", now + seconds(1)));
     }
     SECTION("each further broken call doubles the time up to the maximum") {
       now += seconds(1);
-      CHECK(guard.OnBroken("a", now) == seconds(2));
+      CHECK(guard.RecordFailure("a", now) == seconds(2));
       now += seconds(2);
-      CHECK(guard.OnBroken("a", now) == seconds(4));
+      CHECK(guard.RecordFailure("a", now) == seconds(4));
       now += seconds(4);
-      CHECK(guard.OnBroken("a", now) == seconds(4));
+      CHECK(guard.RecordFailure("a", now) == seconds(4));
     }
     SECTION("a successful call ends it at once") {
-      guard.OnGood("a");
+      guard.RecordSuccess("a");
       CHECK_FALSE(guard.IsAvoided("a", now));
     }
     SECTION("the end of the target's process ends it at once") {
@@ -51,10 +51,10 @@
 // Guards against avoiding nearly all targets because this entry process's own
 // network path is interrupted, which breaks its calls to every target.
 TEST_CASE("More than two thirds of the targets are not avoided at once") {
-  CHECK(FailureGuard::IsPlausible(0, 0));
-  CHECK(FailureGuard::IsPlausible(2, 3));
-  CHECK_FALSE(FailureGuard::IsPlausible(3, 4));
-  CHECK_FALSE(FailureGuard::IsPlausible(1, 1));
+  CHECK(FailureGuard::MayAvoidAtOnce(0, 0));
+  CHECK(FailureGuard::MayAvoidAtOnce(2, 3));
+  CHECK_FALSE(FailureGuard::MayAvoidAtOnce(3, 4));
+  CHECK_FALSE(FailureGuard::MayAvoidAtOnce(1, 1));
 }
 
 }  // namespace
--- a/tests/core/placement/role_load_test.cc
+++ b/tests/core/placement/role_load_test.cc
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 
 #include "core/base/random.h"
-#include "core/placement/read_time_model.h"
+#include "core/placement/prefill_time_model.h"
 #include "core/placement/role_load_meter.h"
 
 namespace indigolead {
@@ -18,7 +18,7 @@
 }
 
 /// Actual speed of an engine, which the model has to estimate.
-struct HiddenEngine {
+struct ActualEngine {
   double fixed_ms;
   double tokens_per_ms;
 };
@@ -27,9 +27,9 @@
 class Traffic {
  public:
   explicit Traffic(std::uint64_t seed) : random_(MakeSeededRandom(seed)) {}
-  double Unit() { return ToUnitInterval(random_()); }
+  double RandomUnit() { return ToUnitInterval(random_()); }
   /// Returns a prompt length of 200 to 12,000 tokens, biased to small ones.
-  double Tokens() { return 200 + 11800 * Unit() * Unit(); }
+  double Tokens() { return 200 + 11800 * RandomUnit() * RandomUnit(); }
 
  private:
   RandomSource random_;
@@ -39,7 +39,7 @@
   return value >= of * (1 - share) && value <= of * (1 + share);
 }
 
-double PredictMs(const ReadTimeModel& model, double tokens) {
+double PredictMs(const PrefillTimeModel& model, double tokens) {
   return std::chrono::duration<double, std::milli>(model.Predict(tokens))
       .count();
 }
@@ -48,19 +48,19 @@
 // prompts of other entry processes, some prefixes assumed to be cached are not,
 // and some calls hang. None of this may distort the estimate.
 TEST_CASE("Prefill times are estimated from calls that include waiting") {
-  for (const HiddenEngine engine :
-       {HiddenEngine{9, 598}, HiddenEngine{93, 56}, HiddenEngine{1, 5000},
-        HiddenEngine{40, 20}}) {
+  for (const ActualEngine engine :
+       {ActualEngine{9, 598}, ActualEngine{93, 56}, ActualEngine{1, 5000},
+        ActualEngine{40, 20}}) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       Traffic traffic(seed);
-      ReadTimeModel model{ReadTimeModel::Options{}};
+      PrefillTimeModel model{PrefillTimeModel::Options{}};
       for (int n = 0; n < 200; ++n) {
         const double tokens = traffic.Tokens();
         double ms = engine.fixed_ms + tokens / engine.tokens_per_ms;
-        ms += traffic.Unit() < 0.75 ? ms * 3 * traffic.Unit() : 0;
-        ms += traffic.Unit() < 0.1 ? 6000 / engine.tokens_per_ms : 0;
-        ms = traffic.Unit() < 0.02 ? 1600 : ms;
-        model.OnRead(tokens, Ms(ms));
+        ms += traffic.RandomUnit() < 0.75 ? ms * 3 * traffic.RandomUnit() : 0;
+        ms += traffic.RandomUnit() < 0.1 ? 6000 / engine.tokens_per_ms : 0;
+        ms = traffic.RandomUnit() < 0.02 ? 1600 : ms;
+        model.OnPrefillDone(tokens, Ms(ms));
       }
       INFO(engine.fixed_ms << " ms fixed, tokens per ms: "
                            << engine.tokens_per_ms << ", seed " << seed);
@@ -74,17 +74,17 @@
 
 TEST_CASE("A single outlier does not change the prefill time model") {
   Traffic traffic(7);
-  ReadTimeModel model{ReadTimeModel::Options{}};
+  PrefillTimeModel model{PrefillTimeModel::Options{}};
   for (int n = 0; n < 256; ++n) {
     const double tokens = traffic.Tokens();
-    model.OnRead(tokens, Ms(9 + tokens / 598));
+    model.OnPrefillDone(tokens, Ms(9 + tokens / 598));
   }
   const double before = PredictMs(model, 4000);
-  for (const double strange : {0.0, 0.001, 60000.0}) {
-    ReadTimeModel copy = model;
-    copy.OnRead(4000, Ms(strange));
+  for (const double outlier_ms : {0.0, 0.001, 60000.0}) {
+    PrefillTimeModel copy = model;
+    copy.OnPrefillDone(4000, Ms(outlier_ms));
     for (int n = 0; n < 8; ++n) {
-      copy.OnRead(4000, Ms(9 + 4000 / 598.0));
+      copy.OnPrefillDone(4000, Ms(9 + 4000 / 598.0));
     }
     CHECK(IsWithin(PredictMs(copy, 4000), before, 0.05));
   }
@@ -95,9 +95,9 @@
 // as assumed must not be taken for a slow one.
 TEST_CASE("Prompts of a single size predict their own prefill time") {
   for (const double ms : {17.0, 170.0}) {
-    ReadTimeModel model{ReadTimeModel::Options{}};
+    PrefillTimeModel model{PrefillTimeModel::Options{}};
     for (int n = 0; n < 64; ++n) {
-      model.OnRead(5000, Ms(ms));
+      model.OnPrefillDone(5000, Ms(ms));
     }
     CHECK(IsWithin(PredictMs(model, 5000), ms, 0.01));
   }
@@ -105,50 +105,48 @@
 
 TEST_CASE("The share of decode engines follows from the binding limit") {
   SECTION("fewer slots per engine need more decode engines") {
-    const double many = AnsweringShare(AssumedRoleLoad({128, 0, 0}));
-    const double few = AnsweringShare(AssumedRoleLoad({16, 0, 0}));
-    const double fewest = AnsweringShare(AssumedRoleLoad({8, 0, 0}));
+    const double many = DecodeShare(AssumedRoleLoad({128, 0, 0}));
+    const double few = DecodeShare(AssumedRoleLoad({16, 0, 0}));
+    const double fewest = DecodeShare(AssumedRoleLoad({8, 0, 0}));
     CHECK(many < 0.1);
     CHECK(few == Approx(1.0 / 3));
     CHECK(fewest == Approx(0.5));
   }
   SECTION("slots without memory for them do not count") {
-    CHECK(AnsweringShare(AssumedRoleLoad({128, 500000, 0})) ==
+    CHECK(DecodeShare(AssumedRoleLoad({128, 500000, 0})) ==
           Approx(0.256 / 1.256));
   }
   SECTION("a saturated link limits an engine with free slots") {
-    const AnsweringWork work{1, 1000, 50000};
+    const DecodeWork work{1, 1000, 50000};
     CHECK(EngineSeconds(work, {100, 1e6, 1e-5}) == Approx(0.5));
   }
-  SECTION("without load the share is zero") {
-    CHECK(AnsweringShare({0, 0}) == 0);
-  }
+  SECTION("without load the share is zero") { CHECK(DecodeShare({0, 0}) == 0); }
 }
 
 // Two thirds of the answers wait for a slot. If that time counted as load, an
 // overload would demand ever more decode engines until none were left for
 // prefill.
 TEST_CASE("Queueing time does not count as load") {
-  ReadTimeModel read_time{ReadTimeModel::Options{}};
+  PrefillTimeModel prefill_time{PrefillTimeModel::Options{}};
   for (int n = 0; n < 64; ++n) {
-    read_time.OnRead(1000.0 + n, Ms((1000.0 + n) / 100));
+    prefill_time.OnPrefillDone(1000.0 + n, Ms((1000.0 + n) / 100));
   }
   RoleLoadMeter meter{RoleLoadMeter::Options{}};
   TimePoint now{seconds(100)};
   const EngineLimits limits{10, 0, 0};
-  CHECK_FALSE(meter.Load(limits, read_time, now));
+  CHECK_FALSE(meter.Load(limits, prefill_time, now));
   for (int n = 0; n < 600; ++n) {
     now += milliseconds(50);
-    meter.OnRead(1000, now);  // 10 ms of engine time.
+    meter.OnPrefillDone(1000, now);  // 10 ms of engine time.
     meter.OnFirstEvent(milliseconds(n % 3 == 0 ? 40 : 900));
     meter.OnAnswered(milliseconds(60), 1000, now);  // 100 ms of one slot.
     if (n == 300) {
-      CHECK_FALSE(meter.Load(limits, read_time, now));  // Too early.
+      CHECK_FALSE(meter.Load(limits, prefill_time, now));  // Too early.
     }
   }
-  const auto load = meter.Load(limits, read_time, now);
+  const auto load = meter.Load(limits, prefill_time, now);
   REQUIRE(load);
-  CHECK(IsWithin(load->answering / load->reading, 1, 0.05));
+  CHECK(IsWithin(load->decode_load / load->prefill_load, 1, 0.05));
 }
 
 }  // namespace
--- a/tests/core/routing/router_test.cc
+++ b/tests/core/routing/router_test.cc
@@ -146,7 +146,7 @@
     CHECK(load->requests == 1);
     CHECK(load->queued_prefill_tokens == 2000);
 
-    fleet.router.OnEnded(Attempt(1), AttemptFate::kFinished,
+    fleet.router.OnEnded(Attempt(1), AttemptResult::kFinished,
                          kStart + milliseconds(30));
     CHECK(fleet.router.Estimate(fleet.handles[0], kStart + milliseconds(30))
               ->requests == 0);
@@ -177,7 +177,7 @@
                               kStart + seconds(1));
     CHECK(fleet.router.Estimate(fleet.handles[0], kStart)
               ->queued_prefill_tokens >= 700);
-    fleet.router.OnEnded(Attempt(1), AttemptFate::kFinished,
+    fleet.router.OnEnded(Attempt(1), AttemptResult::kFinished,
                          kStart - seconds(5));
     CHECK(fleet.router.Choose(Prompt(1), kStart - seconds(9)).verdict ==
           RouteVerdict::kChosen);
@@ -249,7 +249,8 @@
       fleet.router.OnFirstToken(attempt, now + took);
     }
     fleet.router.OnEnded(
-        attempt, failed ? AttemptFate::kTargetFailed : AttemptFate::kFinished,
+        attempt,
+        failed ? AttemptResult::kTargetFailed : AttemptResult::kFinished,
         now + took);
   };
   for (int it = 0; it < 20; ++it) {
@@ -353,7 +354,7 @@
       CHECK(fleet.router.OnSent(Attempt(it), leg, {}, kStart));
     }
     CHECK_FALSE(fleet.router.OnSent(Attempt(4), leg, {}, kStart));
-    fleet.router.OnEnded(Attempt(2), AttemptFate::kFinished, kStart);
+    fleet.router.OnEnded(Attempt(2), AttemptResult::kFinished, kStart);
     CHECK(fleet.router.OnSent(Attempt(4), leg, {}, kStart));
   }
   SECTION("hundreds of rollouts do not exhaust the model name bits") {
@@ -385,7 +386,8 @@
     fleet.router.OnFirstToken(Attempt(it), now);
     fleet.router.OnEnded(
         Attempt(it - 1),
-        it % 9 == 0 ? AttemptFate::kTargetFailed : AttemptFate::kFinished, now);
+        it % 9 == 0 ? AttemptResult::kTargetFailed : AttemptResult::kFinished,
+        now);
     fleet.router.OnLoadReport(fleet.handles[it % 100],
                               Report(now - seconds(1), 100), now);
     fleet.router.OnCacheEvents(fleet.handles[it % 100], query.prefix_blocks,
@@ -398,7 +400,7 @@
 }
 
 TEST_CASE("A router never chooses an unsuitable target") {
-  const bool held = rc::check(
+  const bool passed = rc::check(
       "leaving, down, wrong model, wrong adapter or excluded",
       [](std::uint64_t seed) {
         RandomSource random = MakeSeededRandom(seed);
@@ -444,7 +446,7 @@
                     allowed[decision.prefill->target.index]);
         }
       });
-  CHECK(held);
+  CHECK(passed);
 }
 
 }  // namespace
