--- a/src/core/request/answer_end.cc
+++ b/src/core/request/answer_end.cc
@@ -19,7 +19,7 @@
   return "close";
 }
 
-std::optional<std::string> WhyBrokenOff(const AnswerBodyEnd& end) {
+std::optional<std::string> FindTruncation(const AnswerBodyEnd& end) {
   const std::string after =
       " after " + std::to_string(end.body_bytes) + " bytes";
   if (end.position == StreamPosition::kInsideEvent) {
@@ -32,7 +32,7 @@
   return std::nullopt;
 }
 
-bool IsDoubtful(const AnswerBodyEnd& end) {
+bool MayBeTruncated(const AnswerBodyEnd& end) {
   return end.framing == BodyFraming::kClose ||
          end.position == StreamPosition::kInsideEvent;
 }
--- a/src/core/request/answer_end.h
+++ b/src/core/request/answer_end.h
@@ -36,11 +36,11 @@
 ///
 /// The connections of a crashed target may be closed in an orderly way. If a
 /// stream ends by such a close, only its events show whether it is complete.
-std::optional<std::string> WhyBrokenOff(const AnswerBodyEnd& end);
+std::optional<std::string> FindTruncation(const AnswerBodyEnd& end);
 
 /// Returns true if the answer may be incomplete: the framing alone does not
 /// prove its end, or the end lies inside an event.
-bool IsDoubtful(const AnswerBodyEnd& end);
+bool MayBeTruncated(const AnswerBodyEnd& end);
 
 }  // namespace indigolead
 
--- a/src/core/request/attempt.cc
+++ b/src/core/request/attempt.cc
@@ -6,8 +6,8 @@
 
 Attempt::Attempt(AttemptRef ref, std::string instance,
                  std::uint64_t granted_bytes, TimePoint now)
-    : heard_at(now),
-      asked_at(now),
+    : last_message_at(now),
+      resume_requested_at(now),
       ref_(ref),
       instance_(std::move(instance)),
       granted_bytes_(granted_bytes),
@@ -15,16 +15,16 @@
   XXH64_reset(checksum_.get(), 0);
 }
 
-FrameVerdict Attempt::Accept(std::uint64_t sequence, TimePoint now) {
-  heard_at = now;
+FrameDisposition Attempt::Accept(std::uint64_t sequence, TimePoint now) {
+  last_message_at = now;
   if (sequence < next_sequence_) {
-    return FrameVerdict::kDuplicate;
+    return FrameDisposition::kDuplicate;
   }
   if (sequence > next_sequence_) {
-    return FrameVerdict::kGap;
+    return FrameDisposition::kGap;
   }
   ++next_sequence_;
-  return FrameVerdict::kTake;
+  return FrameDisposition::kAccept;
 }
 
 void Attempt::AddBody(std::string_view data) {
--- a/src/core/request/attempt.h
+++ b/src/core/request/attempt.h
@@ -16,8 +16,8 @@
 namespace indigolead {
 
 /// What the receiver of an attempt does with an incoming frame.
-enum class FrameVerdict {
-  kTake,       ///< Next in sequence: process it.
+enum class FrameDisposition {
+  kAccept,     ///< Next in sequence: process it.
   kDuplicate,  ///< Already received: discard it.
   kGap,        ///< Earlier frames are missing: discard it and resume.
 };
@@ -45,7 +45,7 @@
 
   /// Classifies the frame numbered `sequence`. Advances the expected sequence
   /// number if the frame is the next one.
-  FrameVerdict Accept(std::uint64_t sequence, TimePoint now);
+  FrameDisposition Accept(std::uint64_t sequence, TimePoint now);
 
   /// Adds the data of an accepted chunk to the body length and checksum.
   void AddBody(std::string_view data);
@@ -59,15 +59,15 @@
 
   /// Assigns the attempt to another target. Must not be called after a frame
   /// was received.
-  void MoveTo(const AttemptRef& ref, std::string instance) {
+  void ReassignTo(const AttemptRef& ref, std::string instance) {
     ref_ = ref;
     instance_ = std::move(instance);
   }
 
   /// Time of the last message from the side process about this attempt.
-  TimePoint heard_at;
+  TimePoint last_message_at;
   /// Time of the last resume request to the side process.
-  TimePoint asked_at;
+  TimePoint resume_requested_at;
   /// Bytes consumed by the caller for which credit could not be sent yet.
   std::uint64_t unsent_credit = 0;
 
--- a/src/core/request/attempt_memory.cc
+++ b/src/core/request/attempt_memory.cc
@@ -5,60 +5,63 @@
 namespace indigolead {
 
 bool AttemptMemory::AddPeer(const Incarnation& peer) {
-  if (forgotten_.contains(peer)) {
+  if (highest_forgotten_.contains(peer)) {
     return true;
   }
-  if (forgotten_.size() >= options_.max_peers) {
+  if (highest_forgotten_.size() >= options_.max_peers) {
     return false;
   }
-  forgotten_.emplace(peer, 0);
+  highest_forgotten_.emplace(peer, 0);
   return true;
 }
 
-AttemptMemory::Fate AttemptMemory::Find(const Incarnation& peer,
-                                        const AttemptId& id,
-                                        std::uint64_t start_sequence) const {
-  if (const auto it = fates_.find(id); it != fates_.end()) {
+AttemptMemory::Status AttemptMemory::Find(const Incarnation& peer,
+                                          const AttemptId& id,
+                                          std::uint64_t start_sequence) const {
+  if (const auto it = statuses_.find(id); it != statuses_.end()) {
     return it->second;
   }
-  const auto it = forgotten_.find(peer);
-  const bool provable = it != forgotten_.end() && start_sequence > it->second;
-  return provable ? Fate::kNew : Fate::kLost;
+  const auto it = highest_forgotten_.find(peer);
+  const bool is_new =
+      it != highest_forgotten_.end() && start_sequence > it->second;
+  return is_new ? Status::kNew : Status::kLost;
 }
 
 void AttemptMemory::Refuse(const Incarnation& peer, const AttemptId& id,
                            std::uint64_t start_sequence, TimePoint now) {
-  Remember({id, peer, start_sequence, now}, Fate::kRefused);
+  AddRecord({id, peer, start_sequence, now}, Status::kRefused);
 }
 
 void AttemptMemory::Finish(const Incarnation& peer, const AttemptId& id,
                            std::uint64_t start_sequence, TimePoint now) {
-  Remember({id, peer, start_sequence, now}, Fate::kFinished);
+  AddRecord({id, peer, start_sequence, now}, Status::kFinished);
 }
 
 void AttemptMemory::Tick(TimePoint now) {
-  while (!by_age_.empty() && now - by_age_.front().at >= options_.retention) {
+  while (!records_.empty() &&
+         now - records_.front().recorded_at >= options_.retention) {
     ForgetOldest();
   }
 }
 
-void AttemptMemory::Remember(const Record& record, Fate fate) {
-  if (!fates_.emplace(record.id, fate).second) {
+void AttemptMemory::AddRecord(const Record& record, Status status) {
+  if (!statuses_.emplace(record.id, status).second) {
     return;  // The first recorded result is final.
   }
-  by_age_.push_back(record);
-  if (by_age_.size() > options_.max_ids) {
+  records_.push_back(record);
+  if (records_.size() > options_.max_ids) {
     ForgetOldest();
   }
 }
 
 void AttemptMemory::ForgetOldest() {
-  const Record& oldest = by_age_.front();
-  if (const auto it = forgotten_.find(oldest.peer); it != forgotten_.end()) {
+  const Record& oldest = records_.front();
+  if (const auto it = highest_forgotten_.find(oldest.peer);
+      it != highest_forgotten_.end()) {
     it->second = std::max(it->second, oldest.start_sequence);
   }
-  fates_.erase(oldest.id);
-  by_age_.pop_front();
+  statuses_.erase(oldest.id);
+  records_.pop_front();
 }
 
 }  // namespace indigolead
--- a/src/core/request/attempt_memory.h
+++ b/src/core/request/attempt_memory.h
@@ -31,7 +31,7 @@
   };
 
   /// What is known about an attempt.
-  enum class Fate {
+  enum class Status {
     kNew,       ///< Provably never started here.
     kRefused,   ///< Not started; a later start must be refused.
     kFinished,  ///< Started here and ended.
@@ -45,8 +45,8 @@
   bool AddPeer(const Incarnation& peer);
 
   /// Returns what is known about `id`, sent by `peer` with `start_sequence`.
-  Fate Find(const Incarnation& peer, const AttemptId& id,
-            std::uint64_t start_sequence) const;
+  Status Find(const Incarnation& peer, const AttemptId& id,
+              std::uint64_t start_sequence) const;
 
   /// Records that `id` was refused, or must be refused if it arrives later.
   void Refuse(const Incarnation& peer, const AttemptId& id,
@@ -59,24 +59,24 @@
   /// Forgets records older than the retention.
   void Tick(TimePoint now);
 
-  std::size_t size() const { return fates_.size(); }
+  std::size_t size() const { return statuses_.size(); }
 
  private:
   struct Record {
     AttemptId id;
     Incarnation peer;
     std::uint64_t start_sequence = 0;
-    TimePoint at;
+    TimePoint recorded_at;
   };
 
-  void Remember(const Record& record, Fate fate);
+  void AddRecord(const Record& record, Status status);
   void ForgetOldest();
 
   Options options_;
-  std::unordered_map<AttemptId, Fate> fates_;
-  std::deque<Record> by_age_;
+  std::unordered_map<AttemptId, Status> statuses_;
+  std::deque<Record> records_;
   /// Highest forgotten start sequence of each entry process.
-  std::unordered_map<Incarnation, std::uint64_t> forgotten_;
+  std::unordered_map<Incarnation, std::uint64_t> highest_forgotten_;
 };
 
 }  // namespace indigolead
--- a/src/core/request/attempt_table.cc
+++ b/src/core/request/attempt_table.cc
@@ -47,36 +47,36 @@
 void AttemptTable::OnStart(LinkNumber link, AttemptStart start, TimePoint now) {
   const Incarnation* peer = PeerOf(link);
   if (peer == nullptr) {
-    ++counts_.foreign;
+    ++counts_.unexpected;
     return;
   }
   // The start of an attempt that is held is not refused: a refusal means that
   // the attempt did not run, but this one may have.
   if (const Attempt* held = Find(start.id)) {
-    ++counts_.foreign;
+    ++counts_.unexpected;
     hooks_.send_state(
         link, {start.id,
                held->ended ? SideKnowledge::kFinished : SideKnowledge::kRunning,
                held->frames.next_sequence()});
     return;
   }
-  auto fate = memory_.Find(*peer, start.id, start.start_sequence);
-  if (fate == AttemptMemory::Fate::kLost && start.start_sequence == 0) {
+  auto status = memory_.Find(*peer, start.id, start.start_sequence);
+  if (status == AttemptMemory::Status::kLost && start.start_sequence == 0) {
     // An entry that does not number its starts does not repeat them either, so
     // this start is new.
-    fate = AttemptMemory::Fate::kNew;
+    status = AttemptMemory::Status::kNew;
   }
-  if (fate == AttemptMemory::Fate::kFinished ||
-      fate == AttemptMemory::Fate::kLost) {
-    ++counts_.foreign;
-    hooks_.send_state(
-        link, {start.id,
-               fate == AttemptMemory::Fate::kLost ? SideKnowledge::kLost
-                                                  : SideKnowledge::kFinished,
-               0});
+  if (status == AttemptMemory::Status::kFinished ||
+      status == AttemptMemory::Status::kLost) {
+    ++counts_.unexpected;
+    hooks_.send_state(link, {start.id,
+                             status == AttemptMemory::Status::kLost
+                                 ? SideKnowledge::kLost
+                                 : SideKnowledge::kFinished,
+                             0});
     return;
   }
-  if (fate == AttemptMemory::Fate::kRefused) {
+  if (status == AttemptMemory::Status::kRefused) {
     Refuse(link, *peer, start.id, start.start_sequence,
            RefusalReason::kCancelledEarlier, "refused before it came", now);
     return;
@@ -93,7 +93,7 @@
   ++running_;
   deadlines_.emplace(attempt->finish_by, attempt->id);
   if (start.body_continues) {
-    attempt->gathering = std::make_unique<AttemptStart>(std::move(start));
+    attempt->pending_start = std::make_unique<AttemptStart>(std::move(start));
     return;
   }
   StartCall(attempt, std::move(start.request), now);
@@ -111,7 +111,7 @@
   if (start.start_within <= Duration::zero()) {
     return RefusalReason::kTooLate;
   }
-  MakeRoom(now);
+  EvictFinished(now);
   if (running_ >= options_.max_attempts || !memory_.AddPeer(peer) ||
       buffered_bytes_ >= options_.max_buffer_bytes ||
       start.request.body.size() > options_.max_body_bytes) {
@@ -137,24 +137,24 @@
                                std::uint64_t sequence, std::string_view data,
                                bool last, TimePoint now) {
   Attempt* attempt = Find(id);
-  if (attempt == nullptr || !attempt->gathering || attempt->link != link) {
-    ++counts_.foreign;
+  if (attempt == nullptr || !attempt->pending_start || attempt->link != link) {
+    ++counts_.unexpected;
     return;
   }
-  auto& body = attempt->gathering->request.body;
+  auto& body = attempt->pending_start->request.body;
   // The request is sent to the target only when its body is complete, so an
   // entry crash or a lost chunk cannot leave a partial request there.
   if (sequence != attempt->next_body_sequence ||
       body.size() + data.size() > options_.max_body_bytes) {
-    RefuseHeld(attempt, RefusalReason::kOverloaded, "body lost or too long",
-               now);
+    RefuseHeldAttempt(attempt, RefusalReason::kOverloaded,
+                      "body lost or too long", now);
     return;
   }
   ++attempt->next_body_sequence;
   body.append(data);
   if (last) {
-    const auto gathered = std::move(attempt->gathering);
-    StartCall(attempt, std::move(gathered->request), now);
+    const auto complete_start = std::move(attempt->pending_start);
+    StartCall(attempt, std::move(complete_start->request), now);
   }
 }
 
@@ -162,17 +162,18 @@
                              TimePoint now) {
   if (!hooks_.start_call(attempt->id, std::move(request), attempt->start_by,
                          attempt->finish_by)) {
-    RefuseHeld(attempt, RefusalReason::kOverloaded, "target queue full", now);
+    RefuseHeldAttempt(attempt, RefusalReason::kOverloaded, "target queue full",
+                      now);
     return;
   }
-  attempt->called = true;
+  attempt->call_started = true;
   ++counts_.started;
 }
 
-void AttemptTable::RefuseHeld(Attempt* attempt, RefusalReason reason,
-                              std::string detail, TimePoint now) {
+void AttemptTable::RefuseHeldAttempt(Attempt* attempt, RefusalReason reason,
+                                     std::string detail, TimePoint now) {
   const AttemptId id = attempt->id;
-  if (attempt->called) {
+  if (attempt->call_started) {
     ++counts_.ended;
   }
   Refuse(attempt->link, attempt->peer, id, attempt->start_sequence, reason,
@@ -192,10 +193,10 @@
 void AttemptTable::OnCredit(const AttemptId& id, std::uint64_t bytes) {
   Attempt* attempt = Find(id);
   if (attempt == nullptr) {
-    ++counts_.foreign;
+    ++counts_.unexpected;
     return;
   }
-  attempt->frames.Take(bytes);
+  attempt->frames.OnConsumed(bytes);
   Send(attempt);
 }
 
@@ -203,7 +204,7 @@
                             TimePoint now) {
   Attempt* attempt = Find(query.id);
   if (attempt == nullptr) {
-    AnswerQueryOfAbsent(link, query, SideKnowledge::kFinished, now);
+    ReplyForUnheldAttempt(link, query, SideKnowledge::kFinished, now);
     return;
   }
   attempt->link = link;
@@ -214,43 +215,43 @@
                              attempt->frames.next_sequence()});
     return;
   }
-  if (attempt->called) {
+  if (attempt->call_started) {
     // The target's thread reports whether a byte was written. The state of
     // the attempt is unknown until then.
     hooks_.cancel_call(query.id);
     return;
   }
-  RefuseHeld(attempt, RefusalReason::kCancelledEarlier, "", now);
+  RefuseHeldAttempt(attempt, RefusalReason::kCancelledEarlier, "", now);
   hooks_.send_state(link, {query.id, SideKnowledge::kNotStarted, 0});
 }
 
-void AttemptTable::AnswerQueryOfAbsent(LinkNumber link,
-                                       const AttemptQuery& query,
-                                       SideKnowledge if_finished,
-                                       TimePoint now) {
-  ++counts_.foreign;
+void AttemptTable::ReplyForUnheldAttempt(LinkNumber link,
+                                         const AttemptQuery& query,
+                                         SideKnowledge state_if_finished,
+                                         TimePoint now) {
+  ++counts_.unexpected;
   const Incarnation* peer = PeerOf(link);
   if (peer == nullptr) {
     return;
   }
-  auto fate = memory_.Find(*peer, query.id, query.start_sequence);
-  const bool sent_to_me = query.side == options_.incarnation;
-  if (fate == AttemptMemory::Fate::kNew && !sent_to_me) {
-    fate = AttemptMemory::Fate::kLost;
+  auto status = memory_.Find(*peer, query.id, query.start_sequence);
+  const bool sent_to_this_process = query.side == options_.incarnation;
+  if (status == AttemptMemory::Status::kNew && !sent_to_this_process) {
+    status = AttemptMemory::Status::kLost;
   }
   auto knowledge = SideKnowledge::kLost;
-  switch (fate) {
-    case AttemptMemory::Fate::kNew:
+  switch (status) {
+    case AttemptMemory::Status::kNew:
       memory_.Refuse(*peer, query.id, query.start_sequence, now);
       knowledge = SideKnowledge::kNotStarted;
       break;
-    case AttemptMemory::Fate::kRefused:
+    case AttemptMemory::Status::kRefused:
       knowledge = SideKnowledge::kNotStarted;
       break;
-    case AttemptMemory::Fate::kFinished:
-      knowledge = if_finished;
+    case AttemptMemory::Status::kFinished:
+      knowledge = state_if_finished;
       break;
-    case AttemptMemory::Fate::kLost:
+    case AttemptMemory::Status::kLost:
       break;
   }
   hooks_.send_state(link, {query.id, knowledge, 0});
@@ -261,7 +262,7 @@
                             std::uint64_t granted_bytes, TimePoint now) {
   Attempt* attempt = Find(query.id);
   if (attempt == nullptr) {
-    AnswerQueryOfAbsent(link, query, SideKnowledge::kLost, now);
+    ReplyForUnheldAttempt(link, query, SideKnowledge::kLost, now);
     return;
   }
   ++counts_.resumed;
--- a/src/core/request/attempt_table.h
+++ b/src/core/request/attempt_table.h
@@ -73,7 +73,7 @@
     std::uint64_t ended = 0;
     std::uint64_t refused = 0;
     /// Repeated starts, and messages about attempts that are not held.
-    std::uint64_t foreign = 0;
+    std::uint64_t unexpected = 0;
     std::uint64_t resumed = 0;
 
     friend bool operator==(const Counts&, const Counts&) = default;
@@ -132,12 +132,12 @@
     std::uint64_t start_sequence = 0;
     TimePoint start_by;
     TimePoint finish_by;
-    std::unique_ptr<AttemptStart> gathering;  ///< Body incomplete.
+    std::unique_ptr<AttemptStart> pending_start;  ///< Body incomplete.
     std::uint64_t next_body_sequence = 0;
     FrameBuffer frames;
     bool cancelled = false;
     bool past_deadline = false;
-    bool called = false;  ///< Passed to the target's thread.
+    bool call_started = false;  ///< Passed to the target's thread.
     bool ended = false;
     TimePoint ended_at;
 
@@ -154,12 +154,12 @@
               std::uint64_t start_sequence, RefusalReason reason,
               std::string detail, TimePoint now);
   void StartCall(Attempt* attempt, AttemptRequest&& request, TimePoint now);
-  void RefuseHeld(Attempt* attempt, RefusalReason reason, std::string detail,
-                  TimePoint now);
-  /// `if_finished` is the reply for an attempt that ran here and whose frames
-  /// are no longer held.
-  void AnswerQueryOfAbsent(LinkNumber link, const AttemptQuery& query,
-                           SideKnowledge if_finished, TimePoint now);
+  void RefuseHeldAttempt(Attempt* attempt, RefusalReason reason,
+                         std::string detail, TimePoint now);
+  /// `state_if_finished` is the reply for an attempt that ran here and whose
+  /// frames are no longer held.
+  void ReplyForUnheldAttempt(LinkNumber link, const AttemptQuery& query,
+                             SideKnowledge state_if_finished, TimePoint now);
   void End(Attempt* attempt, RunOutcome outcome, std::string detail,
            TimePoint now);
   void Erase(const AttemptId& id);
@@ -169,7 +169,7 @@
   void ForgetFinished(TimePoint now);
   void ForgetOldest(TimePoint now);
   /// Forgets finished attempts, oldest first, until the bounds hold.
-  void MakeRoom(TimePoint now);
+  void EvictFinished(TimePoint now);
 
   Options options_;
   Hooks hooks_;
@@ -183,7 +183,7 @@
   std::unordered_set<AttemptId> paused_;
   std::size_t running_ = 0;
   bool leaving_ = false;
-  TimePoint latest_;  ///< Of the latest event that had a time.
+  TimePoint last_event_time_;  ///< Of the latest event that had a time.
   Counts counts_;
 };
 
--- a/src/core/request/attempt_table_answers.cc
+++ b/src/core/request/attempt_table_answers.cc
@@ -19,7 +19,7 @@
     return;
   }
   attempt->frames.AppendChunk(std::move(data));
-  MakeRoom(latest_);
+  EvictFinished(last_event_time_);
   Send(attempt);
 }
 
@@ -34,15 +34,17 @@
       End(attempt, RunOutcome::kComplete, std::move(detail), now);
       return;
     case CallOutcome::kNotWritten:
-      RefuseHeld(attempt, RefusalReason::kTargetDown, std::move(detail), now);
+      RefuseHeldAttempt(attempt, RefusalReason::kTargetDown, std::move(detail),
+                        now);
       return;
     case CallOutcome::kTooLate:
-      RefuseHeld(attempt, RefusalReason::kTooLate, std::move(detail), now);
+      RefuseHeldAttempt(attempt, RefusalReason::kTooLate, std::move(detail),
+                        now);
       return;
-    case CallOutcome::kStopped: {
+    case CallOutcome::kCancelledBeforeWrite: {
       const auto reason = attempt->cancelled ? RefusalReason::kCancelledEarlier
                                              : RefusalReason::kTooLate;
-      RefuseHeld(attempt, reason, std::move(detail), now);
+      RefuseHeldAttempt(attempt, reason, std::move(detail), now);
       return;
     }
     case CallOutcome::kFailed:
@@ -80,13 +82,13 @@
                                       attempt->frames.next_sequence()});
     attempt->frames.Clear();
   }
-  MakeRoom(now);
+  EvictFinished(now);
 }
 
 // Frames of finished attempts are held in case the entry resumes them. They
 // must not cause new attempts to be refused or running streams to be paused.
-void AttemptTable::MakeRoom(TimePoint now) {
-  latest_ = now;
+void AttemptTable::EvictFinished(TimePoint now) {
+  last_event_time_ = now;
   while (finished_.size() > options_.max_finished ||
          (buffered_bytes_ >= options_.max_buffer_bytes && !finished_.empty())) {
     ForgetOldest(now);
@@ -132,7 +134,7 @@
 }
 
 void AttemptTable::Tick(TimePoint now) {
-  latest_ = now;
+  last_event_time_ = now;
   ExpireDeadlines(now);
   ForgetFinished(now);
   memory_.Tick(now);
@@ -152,8 +154,9 @@
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
     Attempt* attempt = Find(deadlines_.begin()->second);
     deadlines_.erase(deadlines_.begin());
-    if (!attempt->called) {
-      RefuseHeld(attempt, RefusalReason::kTooLate, "body came too late", now);
+    if (!attempt->call_started) {
+      RefuseHeldAttempt(attempt, RefusalReason::kTooLate, "body came too late",
+                        now);
       continue;
     }
     attempt->past_deadline = true;
--- a/src/core/request/attempt_types.h
+++ b/src/core/request/attempt_types.h
@@ -131,9 +131,9 @@
 /// How a call to the target ended, as reported by the target's thread.
 enum class CallOutcome {
   kComplete,
-  kNotWritten,  ///< No byte was written: the target was unreachable.
-  kTooLate,     ///< No byte was written: the start deadline passed.
-  kStopped,     ///< No byte was written: the call was cancelled.
+  kNotWritten,            ///< No byte was written: the target was unreachable.
+  kTooLate,               ///< No byte was written: the start deadline passed.
+  kCancelledBeforeWrite,  ///< No byte was written: the call was cancelled.
   kFailed,      ///< Failed after the first byte; the target still runs.
   kTargetDied,  ///< Failed after the first byte; the target exited.
   kTimeout,     ///< The target did not answer by the deadline.
--- a/src/core/request/completion_body.cc
+++ b/src/core/request/completion_body.cc
@@ -23,8 +23,9 @@
   }
   bool number_integer(number_integer_t) override { return depth_ > 0; }
   bool number_unsigned(number_unsigned_t value) override {
-    const bool limit = key_ == "max_tokens" || key_ == "max_completion_tokens";
-    if (depth_ == 1 && limit) {
+    const bool is_token_limit =
+        key_ == "max_tokens" || key_ == "max_completion_tokens";
+    if (depth_ == 1 && is_token_limit) {
       body_->max_tokens = value;
     }
     return depth_ > 0;
@@ -59,9 +60,9 @@
 
  private:
   /// Deeper nesting is rejected: no model accepts it and it costs memory.
-  static constexpr int kMostDepth = 64;
+  static constexpr int kMaxDepth = 64;
 
-  bool Enter() { return ++depth_ <= kMostDepth; }
+  bool Enter() { return ++depth_ <= kMaxDepth; }
   bool Leave() {
     --depth_;
     return true;
--- a/src/core/request/crash_ledger.cc
+++ b/src/core/request/crash_ledger.cc
@@ -16,7 +16,7 @@
 
 /// Adds the elements of `added` that are not in the list yet.
 template <typename T>
-void AddNew(const std::vector<T>& added, std::vector<T>* list) {
+void AppendMissing(const std::vector<T>& added, std::vector<T>* list) {
   for (const T& it : added) {
     if (std::find(list->begin(), list->end(), it) == list->end()) {
       list->push_back(it);
@@ -33,7 +33,7 @@
 
 void Merge(const CrashRecord& record, CrashReport* report) {
   if (CrashRecord* held = FindRecord(report, record.crash)) {
-    AddNew(record.running, &held->running);
+    AppendMissing(record.running, &held->running);
   } else {
     report->crashes.push_back(record);
   }
@@ -41,7 +41,7 @@
 
 void Merge(const ClearedRequest& cleared, CrashReport* report) {
   if (ClearedRequest* held = FindCleared(report, cleared.request)) {
-    AddNew(cleared.crashes, &held->crashes);
+    AppendMissing(cleared.crashes, &held->crashes);
   } else {
     report->cleared.push_back(cleared);
   }
@@ -54,28 +54,28 @@
                           TimePoint now) {
   Merge(CrashRecord{crash, running}, &own_);
   Rebuild(now);
-  BoundOwn(now);
+  LimitOwnReport(now);
 }
 
-CrashLedger::Telling CrashLedger::OnAnswered(Fingerprint request,
-                                             TimePoint now) {
-  const auto it = crashes_under_.find(request);
-  if (it == crashes_under_.end()) {
-    return Telling::kNot;
+CrashLedger::ReportUrgency CrashLedger::OnAnswered(Fingerprint request,
+                                                   TimePoint now) {
+  const auto it = crashes_by_request_.find(request);
+  if (it == crashes_by_request_.end()) {
+    return ReportUrgency::kNone;
   }
   const ClearedRequest cleared{request, {it->second.begin(), it->second.end()}};
   const bool urgent = it->second.size() + 1 >= options_.crashes_to_stop;
   Merge(cleared, &own_);
   Rebuild(now);
-  return urgent ? Telling::kNow : Telling::kSoon;
+  return urgent ? ReportUrgency::kNow : ReportUrgency::kSoon;
 }
 
 void CrashLedger::OnReports(std::vector<CrashReport> reports, TimePoint now) {
-  others_ = std::move(reports);
+  other_reports_ = std::move(reports);
   Rebuild(now);
 }
 
-void CrashLedger::OnEarlierReport(const CrashReport& report, TimePoint now) {
+void CrashLedger::RestoreOwnReport(const CrashReport& report, TimePoint now) {
   const CrashReport since = std::exchange(own_, report);
   for (const CrashRecord& it : since.crashes) {
     Merge(it, &own_);
@@ -84,7 +84,7 @@
     Merge(it, &own_);
   }
   Rebuild(now);
-  BoundOwn(now);
+  LimitOwnReport(now);
 }
 
 bool CrashLedger::Counts(const TargetCrash& crash, TimePoint now) const {
@@ -94,12 +94,12 @@
 
 bool CrashLedger::Tick(TimePoint now) {
   const TimePoint before = std::exchange(ticked_at_, now);
-  const bool any_over = std::any_of(
+  const bool any_expired = std::any_of(
       known_since_.begin(), known_since_.end(), [&](const auto& it) {
         const TimePoint end = it.second + options_.keep;
         return end > before && end <= now;
       });
-  if (!any_over) {
+  if (!any_expired) {
     return false;
   }
   const CrashReport held = own_;
@@ -114,9 +114,9 @@
   return own_ != held;
 }
 
-void CrashLedger::Learn(const CrashReport& report,
-                        const std::map<TargetCrash, TimePoint>& before,
-                        TimePoint now) {
+void CrashLedger::RecordCrashTimes(
+    const CrashReport& report, const std::map<TargetCrash, TimePoint>& before,
+    TimePoint now) {
   for (const CrashRecord& it : report.crashes) {
     const auto known = before.find(it.crash);
     known_since_.emplace(it.crash, known == before.end() ? now : known->second);
@@ -125,19 +125,19 @@
 
 void CrashLedger::Rebuild(TimePoint now) {
   const auto before = std::exchange(known_since_, {});
-  Learn(own_, before, now);
-  for (const CrashReport& it : others_) {
-    Learn(it, before, now);
+  RecordCrashTimes(own_, before, now);
+  for (const CrashReport& it : other_reports_) {
+    RecordCrashTimes(it, before, now);
   }
-  crashes_under_.clear();
+  crashes_by_request_.clear();
   Add(own_, now);
-  for (const CrashReport& it : others_) {
+  for (const CrashReport& it : other_reports_) {
     Add(it, now);
   }
   for (const ClearedRequest& it : own_.cleared) {
     Clear(it);
   }
-  for (const CrashReport& report : others_) {
+  for (const CrashReport& report : other_reports_) {
     for (const ClearedRequest& it : report.cleared) {
       Clear(it);
     }
@@ -150,36 +150,36 @@
       continue;
     }
     for (const Fingerprint it : record.running) {
-      crashes_under_[it].insert(record.crash);
+      crashes_by_request_[it].insert(record.crash);
     }
   }
 }
 
 void CrashLedger::Clear(const ClearedRequest& cleared) {
-  const auto it = crashes_under_.find(cleared.request);
-  if (it == crashes_under_.end()) {
+  const auto it = crashes_by_request_.find(cleared.request);
+  if (it == crashes_by_request_.end()) {
     return;
   }
   for (const TargetCrash& crash : cleared.crashes) {
     it->second.erase(crash);
   }
   if (it->second.empty()) {
-    crashes_under_.erase(it);
+    crashes_by_request_.erase(it);
   }
 }
 
-std::size_t CrashLedger::CrashesUnder(Fingerprint request) const {
-  const auto it = crashes_under_.find(request);
-  return it == crashes_under_.end() ? 0 : it->second.size();
+std::size_t CrashLedger::CountCrashes(Fingerprint request) const {
+  const auto it = crashes_by_request_.find(request);
+  return it == crashes_by_request_.end() ? 0 : it->second.size();
 }
 
 std::optional<Duration> CrashLedger::StoppedFor(Fingerprint request,
                                                 TimePoint now) const {
-  if (CrashesUnder(request) < options_.crashes_to_stop) {
+  if (CountCrashes(request) < options_.crashes_to_stop) {
     return std::nullopt;
   }
   std::vector<TimePoint> since;
-  for (const TargetCrash& it : crashes_under_.at(request)) {
+  for (const TargetCrash& it : crashes_by_request_.at(request)) {
     since.push_back(known_since_.at(it));
   }
   std::sort(since.begin(), since.end(), std::greater<>());
@@ -187,7 +187,7 @@
   return until > now ? std::optional<Duration>(until - now) : std::nullopt;
 }
 
-std::size_t CrashLedger::OwnRequests() const {
+std::size_t CrashLedger::CountOwnRequests() const {
   std::size_t n = own_.cleared.size();
   for (const CrashRecord& it : own_.crashes) {
     n += it.running.size();
@@ -195,22 +195,22 @@
   return n;
 }
 
-void CrashLedger::BoundOwn(TimePoint now) {
-  if (OwnRequests() <= options_.max_requests) {
+void CrashLedger::LimitOwnReport(TimePoint now) {
+  if (CountOwnRequests() <= options_.max_requests) {
     return;
   }
   const auto may_run = [this](Fingerprint it) {
-    return CrashesUnder(it) < options_.crashes_to_stop;
+    return CountCrashes(it) < options_.crashes_to_stop;
   };
   for (CrashRecord& it : own_.crashes) {
-    if (OwnRequests() > options_.max_requests) {
+    if (CountOwnRequests() > options_.max_requests) {
       std::erase_if(it.running, may_run);
     }
   }
-  while (!own_.cleared.empty() && OwnRequests() > options_.max_requests) {
+  while (!own_.cleared.empty() && CountOwnRequests() > options_.max_requests) {
     own_.cleared.erase(own_.cleared.begin());
   }
-  while (OwnRequests() > options_.max_requests) {
+  while (CountOwnRequests() > options_.max_requests) {
     own_.crashes.erase(own_.crashes.begin());
   }
   std::erase_if(own_.crashes,
--- a/src/core/request/crash_ledger.h
+++ b/src/core/request/crash_ledger.h
@@ -74,48 +74,49 @@
   void OnCrash(const TargetCrash& crash,
                const std::vector<Fingerprint>& running, TimePoint now);
   /// How urgently the other entries must be informed of an answer.
-  enum class Telling {
-    kNot,
+  enum class ReportUrgency {
+    kNone,
     kSoon,
     kNow,  ///< One more crash would block the request.
   };
   /// Clears the request after a complete answer.
-  Telling OnAnswered(Fingerprint request, TimePoint now);
+  ReportUrgency OnAnswered(Fingerprint request, TimePoint now);
   /// Replaces the reports of all other entries.
   void OnReports(std::vector<CrashReport> reports, TimePoint now);
   /// Merges the report that this entry published before its process restarted.
-  void OnEarlierReport(const CrashReport& report, TimePoint now);
+  void RestoreOwnReport(const CrashReport& report, TimePoint now);
   /// Drops crashes that no longer count. Returns true if that changed `own`.
   bool Tick(TimePoint now);
 
   /// Returns the number of crashes that count against the request.
-  std::size_t CrashesUnder(Fingerprint request) const;
+  std::size_t CountCrashes(Fingerprint request) const;
   /// Returns for how long the request is blocked; `nullopt` if it may run.
   std::optional<Duration> StoppedFor(Fingerprint request, TimePoint now) const;
   /// Returns the report of this entry for the others.
   const CrashReport& own() const { return own_; }
   /// Returns the number of requests with crashes counted against them.
-  std::size_t suspects() const { return crashes_under_.size(); }
+  std::size_t suspects() const { return crashes_by_request_.size(); }
 
  private:
   using Crashes = std::set<TargetCrash>;
 
   void Rebuild(TimePoint now);
-  void Learn(const CrashReport& report,
-             const std::map<TargetCrash, TimePoint>& before, TimePoint now);
+  void RecordCrashTimes(const CrashReport& report,
+                        const std::map<TargetCrash, TimePoint>& before,
+                        TimePoint now);
   void Add(const CrashReport& report, TimePoint now);
   void Clear(const ClearedRequest& cleared);
   bool Counts(const TargetCrash& crash, TimePoint now) const;
   /// Shortens this entry's own report to `max_requests`, oldest first.
-  void BoundOwn(TimePoint now);
-  std::size_t OwnRequests() const;
+  void LimitOwnReport(TimePoint now);
+  std::size_t CountOwnRequests() const;
 
   Options options_;
   CrashReport own_;
-  std::vector<CrashReport> others_;
+  std::vector<CrashReport> other_reports_;
   /// When this entry learned of each reported crash.
   std::map<TargetCrash, TimePoint> known_since_;
-  std::unordered_map<Fingerprint, Crashes> crashes_under_;
+  std::unordered_map<Fingerprint, Crashes> crashes_by_request_;
   TimePoint ticked_at_{};
 };
 
--- a/src/core/request/event_cursor.cc
+++ b/src/core/request/event_cursor.cc
@@ -27,17 +27,17 @@
 
 }  // namespace
 
-std::string EventCursor::Take(std::string_view data) {
+std::string EventCursor::Feed(std::string_view data) {
   const std::size_t end = scanner_.Scan(data);
   if (end == 0) {
     partial_.append(data);
     return {};
   }
-  std::string whole = std::exchange(partial_, {});
-  whole.append(data.substr(0, end));
+  std::string complete_events = std::exchange(partial_, {});
+  complete_events.append(data.substr(0, end));
   partial_.append(data.substr(end));
-  NoteIds(whole);
-  return whole;
+  ParseIds(complete_events);
+  return complete_events;
 }
 
 void EventCursor::DropPartial() {
@@ -46,7 +46,7 @@
   any_line_ = false;
 }
 
-void EventCursor::NoteIds(std::string_view events) {
+void EventCursor::ParseIds(std::string_view events) {
   if (!any_line_ && events.starts_with(kByteOrderMark)) {
     events.remove_prefix(kByteOrderMark.size());
   }
@@ -57,18 +57,18 @@
     const std::string_view line = TakeLine(&events);
     if (!line.empty()) {
       any_field = any_field || !line.starts_with(':');
-      any_id = TakeId(line) || any_id;
+      any_id = ParseId(line) || any_id;
       continue;
     }
     if (any_field) {
-      can_go_on_ = any_id;
+      can_continue_ = any_id;
     }
     any_field = false;
     any_id = false;
   }
 }
 
-bool EventCursor::TakeId(std::string_view line) {
+bool EventCursor::ParseId(std::string_view line) {
   constexpr std::string_view kField = "id:";
   if (!line.starts_with(kField)) {
     return false;
--- a/src/core/request/event_cursor.h
+++ b/src/core/request/event_cursor.h
@@ -21,7 +21,7 @@
  public:
   /// Adds bytes of the stream. Returns the bytes of all events that are now
   /// complete and buffers the rest.
-  std::string Take(std::string_view data);
+  std::string Feed(std::string_view data);
 
   /// Discards the buffered part of an event that will not be completed. The
   /// next bytes are the start of another target's stream.
@@ -39,22 +39,22 @@
 
   /// Returns true if another target can continue after the last complete event:
   /// there is none yet, or it has an id. Otherwise events would be repeated.
-  bool can_go_on() const { return can_go_on_; }
+  bool can_continue() const { return can_continue_; }
 
   /// Returns the id of the last complete event that had one; empty if none.
   const std::string& last_id() const { return last_id_; }
 
  private:
-  void NoteIds(std::string_view events);
+  void ParseIds(std::string_view events);
   /// Stores the id if `line` is an id field. Returns false if it has no usable
   /// id.
-  bool TakeId(std::string_view line);
+  bool ParseId(std::string_view line);
 
   EventScanner scanner_;
   bool any_line_ = false;  ///< In the current target's stream.
   std::string partial_;
   std::string last_id_;
-  bool can_go_on_ = true;
+  bool can_continue_ = true;
 };
 
 }  // namespace indigolead
--- a/src/core/request/event_scanner.cc
+++ b/src/core/request/event_scanner.cc
@@ -30,14 +30,15 @@
 
 std::size_t EventScanner::Scan(std::string_view data) {
   std::size_t at = 0;
-  std::size_t whole = 0;
-  while (!begun_ && at < data.size() && mark_seen_ < kByteOrderMark.size() &&
-         data[at] == kByteOrderMark[mark_seen_]) {
-    ++mark_seen_;
-    whole = ++at;
+  std::size_t complete_bytes = 0;
+  while (!content_seen_ && at < data.size() &&
+         bom_bytes_seen_ < kByteOrderMark.size() &&
+         data[at] == kByteOrderMark[bom_bytes_seen_]) {
+    ++bom_bytes_seen_;
+    complete_bytes = ++at;
   }
   while (at < data.size()) {
-    begun_ = true;
+    content_seen_ = true;
     if (data[at] == '\n' && after_cr_) {
       ++at;
     } else if (data[at] == '\n' || data[at] == '\r') {
@@ -51,10 +52,10 @@
     }
     after_cr_ = data[at - 1] == '\r';
     if (IsBetweenEvents()) {
-      whole = at;
+      complete_bytes = at;
     }
   }
-  return whole;
+  return complete_bytes;
 }
 
 void EventScanner::AddText(std::string_view text) {
--- a/src/core/request/event_scanner.h
+++ b/src/core/request/event_scanner.h
@@ -43,8 +43,8 @@
   void EndLine();
   bool IsBetweenEvents() const { return !in_line_ && !in_event_; }
 
-  std::size_t mark_seen_ = 0;  ///< Bytes of the byte order mark seen.
-  bool begun_ = false;         ///< A byte after the byte order mark was seen.
+  std::size_t bom_bytes_seen_ = 0;  ///< Bytes of the byte order mark seen.
+  bool content_seen_ = false;  ///< A byte after the byte order mark was seen.
   bool any_event_ = false;
   bool in_event_ = false;  ///< A field was seen since the last empty line.
   bool in_line_ = false;
--- a/src/core/request/frame_buffer.cc
+++ b/src/core/request/frame_buffer.cc
@@ -62,20 +62,20 @@
   frames_.push_back({std::move(frame), body_bytes_});
 }
 
-void FrameBuffer::Take(std::uint64_t bytes) {
+void FrameBuffer::OnConsumed(std::uint64_t bytes) {
   // The caller cannot consume more than was sent, so a surplus comes from a
   // repeated credit message.
-  taken_ = std::min(taken_ + bytes, sent_bytes_);
-  DropTaken();
+  consumed_ = std::min(consumed_ + bytes, sent_bytes_);
+  DropDelivered();
 }
 
-void FrameBuffer::DropTaken() {
-  while (!frames_.empty() && first_ < next_to_send_) {
-    const Held& it = frames_.front();
+void FrameBuffer::DropDelivered() {
+  while (!frames_.empty() && first_sequence_ < next_to_send_) {
+    const HeldFrame& it = frames_.front();
     const bool arrived = it.frame.kind == AttemptFrame::Kind::kHead
-                             ? taken_ > 0
+                             ? consumed_ > 0
                              : it.frame.kind == AttemptFrame::Kind::kChunk &&
-                                   taken_ >= it.body_end;
+                                   consumed_ >= it.body_end;
     if (!arrived) {
       return;
     }
@@ -88,35 +88,36 @@
   held_bytes_ -= cost;
   *total_held_bytes_ -= cost;
   frames_.pop_front();
-  ++first_;
+  ++first_sequence_;
 }
 
 bool FrameBuffer::Rewind(std::uint64_t sequence, std::uint64_t granted) {
-  if (sequence < first_ || sequence > next_sequence()) {
+  if (sequence < first_sequence_ || sequence > next_sequence()) {
     return false;
   }
   std::uint64_t arrived = body_bytes_;
   if (sequence < next_sequence()) {
-    const Held& next = frames_[sequence - first_];
+    const HeldFrame& next = frames_[sequence - first_sequence_];
     arrived = next.frame.kind == AttemptFrame::Kind::kChunk
                   ? next.body_end - next.frame.data.size()
                   : next.body_end;
   }
-  const std::uint64_t taken =
+  const std::uint64_t consumed =
       granted > initial_credit_ ? granted - initial_credit_ : 0;
-  taken_ = std::min(std::max(taken_, granted > 0 ? taken : arrived), arrived);
+  consumed_ =
+      std::min(std::max(consumed_, granted > 0 ? consumed : arrived), arrived);
   next_to_send_ = sequence;
   const bool ended =
       !frames_.empty() && frames_.back().frame.kind == AttemptFrame::Kind::kEnd;
   end_sent_ = ended && sequence == next_sequence();
-  DropTaken();
+  DropDelivered();
   return true;
 }
 
 bool FrameBuffer::Send(const std::function<bool(const AttemptFrame&)>& send) {
-  const std::uint64_t limit = initial_credit_ + taken_;
+  const std::uint64_t limit = initial_credit_ + consumed_;
   while (next_to_send_ < next_sequence()) {
-    const Held& it = frames_[next_to_send_ - first_];
+    const HeldFrame& it = frames_[next_to_send_ - first_sequence_];
     // A chunk may exceed the remaining credit; otherwise a window smaller than
     // one chunk would stall the stream forever.
     const bool is_chunk = it.frame.kind == AttemptFrame::Kind::kChunk;
--- a/src/core/request/frame_buffer.h
+++ b/src/core/request/frame_buffer.h
@@ -33,7 +33,7 @@
   void AppendEnd(RunOutcome outcome, std::string detail);
 
   /// Records that the caller consumed `bytes` more.
-  void Take(std::uint64_t bytes);
+  void OnConsumed(std::uint64_t bytes);
 
   /// Resumes sending at `sequence`. Returns false if that frame is no longer
   /// held, or if `sequence` is beyond the next one. `granted` is the total
@@ -48,30 +48,32 @@
   void Clear();
 
   std::uint64_t held_bytes() const { return held_bytes_; }
-  std::uint64_t next_sequence() const { return first_ + frames_.size(); }
+  std::uint64_t next_sequence() const {
+    return first_sequence_ + frames_.size();
+  }
   bool end_sent() const { return end_sent_; }
 
  private:
-  struct Held {
+  struct HeldFrame {
     AttemptFrame frame;
     std::uint64_t body_end = 0;  ///< Body bytes up to the frame's end.
   };
 
   void Append(AttemptFrame frame);
-  void DropTaken();
+  void DropDelivered();
   void DropFirst();
 
   std::uint64_t initial_credit_;
-  std::uint64_t taken_ = 0;
+  std::uint64_t consumed_ = 0;
   std::uint64_t body_bytes_ = 0;
   std::uint64_t sent_bytes_ = 0;  ///< Highest `body_end` sent.
   std::uint64_t held_bytes_ = 0;
   std::uint64_t* total_held_bytes_;
-  std::uint64_t first_ = 0;  ///< Sequence of the oldest held frame.
+  std::uint64_t first_sequence_ = 0;  ///< Sequence of the oldest held frame.
   std::uint64_t next_to_send_ = 0;
   bool end_sent_ = false;
   std::unique_ptr<XXH64_state_t, decltype(&XXH64_freeState)> checksum_;
-  std::deque<Held> frames_;
+  std::deque<HeldFrame> frames_;
 };
 
 }  // namespace indigolead
--- a/src/core/request/quarantine.cc
+++ b/src/core/request/quarantine.cc
@@ -8,12 +8,12 @@
 namespace indigolead {
 namespace {
 
-constexpr std::size_t kMaxKills = 16;
+constexpr std::size_t kMaxCrashes = 16;
 
 /// Returns the target with the highest rendezvous hash for `fingerprint`. Every
 /// entry with the same `targets` chooses the same one.
-const std::string& ChooseFor(Fingerprint fingerprint,
-                             const std::vector<std::string>& targets) {
+const std::string& ChooseByHash(Fingerprint fingerprint,
+                                const std::vector<std::string>& targets) {
   return *std::max_element(targets.begin(), targets.end(),
                            [&](const std::string& a, const std::string& b) {
                              return XXH64(a.data(), a.size(), fingerprint) <
@@ -30,7 +30,7 @@
   const auto it = records_.find(fingerprint);
   const Running* running = FindRunning(fingerprint);
   if (it == records_.end() || now >= it->second.until) {
-    if (running && proven_.count(fingerprint) == 0) {
+    if (running && finished_.count(fingerprint) == 0) {
       return OnlyTo{running->instance};
     }
     return Anywhere{};
@@ -39,39 +39,42 @@
   if (record.quarantined) {
     return Quarantined{record.until - now, record.reason};
   }
-  if (now < record.rest_until || running || targets.empty()) {
+  if (now < record.deferred_until || running || targets.empty()) {
     return Hold{};
   }
-  const std::string chosen = PlaceFor(fingerprint, record, targets, now);
+  const std::string chosen = ChooseTarget(fingerprint, record, targets, now);
   if (chosen.empty() || RunsOtherSuspect(fingerprint, chosen)) {
     return Hold{};
   }
   return OnlyTo{chosen};
 }
 
-std::string Quarantine::PlaceFor(Fingerprint fingerprint, const Record& record,
-                                 const std::vector<std::string>& targets,
-                                 TimePoint now) const {
+std::string Quarantine::ChooseTarget(Fingerprint fingerprint,
+                                     const Record& record,
+                                     const std::vector<std::string>& targets,
+                                     TimePoint now) const {
   // Prefers a target that has not crashed with this request, so that a new
   // crash is distinguishable by instance name. A crashed one is reused only if
-  // there is no other and each crash is older than twice `same_death`.
-  std::vector<std::string> others;
+  // there is no other and each crash is older than twice `same_crash_window`.
+  std::vector<std::string> uncrashed_targets;
   bool settled = true;
   for (const std::string& it : targets) {
-    const bool died =
-        std::any_of(record.kills.begin(), record.kills.end(),
-                    [&](const Kill& kill) { return kill.instance == it; });
-    if (!died) {
-      others.push_back(it);
+    const bool has_crashed = std::any_of(
+        record.observed_crashes.begin(), record.observed_crashes.end(),
+        [&](const ObservedCrash& observed_crash) {
+          return observed_crash.instance == it;
+        });
+    if (!has_crashed) {
+      uncrashed_targets.push_back(it);
     }
   }
-  for (const Kill& it : record.kills) {
-    settled = settled && now - it.at > 2 * options_.same_death;
+  for (const ObservedCrash& it : record.observed_crashes) {
+    settled = settled && now - it.at > 2 * options_.same_crash_window;
   }
-  if (!others.empty()) {
-    return ChooseFor(fingerprint, others);
+  if (!uncrashed_targets.empty()) {
+    return ChooseByHash(fingerprint, uncrashed_targets);
   }
-  return settled ? ChooseFor(fingerprint, targets) : std::string();
+  return settled ? ChooseByHash(fingerprint, targets) : std::string();
 }
 
 void Quarantine::OnStarted(const Subject& subject, const AttemptId& attempt,
@@ -90,13 +93,13 @@
     return;
   }
   const Fingerprint fingerprint = it->second.fingerprint;
-  OnBroken(attempt);
-  if (proven_.insert(fingerprint).second) {
-    proven_order_.push_back(fingerprint);
+  OnFailed(attempt);
+  if (finished_.insert(fingerprint).second) {
+    finished_order_.push_back(fingerprint);
   }
-  if (proven_order_.size() > options_.max_proven) {
-    proven_.erase(proven_order_.front());
-    proven_order_.pop_front();
+  if (finished_order_.size() > options_.max_finished) {
+    finished_.erase(finished_order_.front());
+    finished_order_.pop_front();
   }
   const auto record = records_.find(fingerprint);
   if (record != records_.end() && !record->second.quarantined) {
@@ -104,7 +107,7 @@
   }
 }
 
-void Quarantine::OnBroken(const AttemptId& attempt) {
+void Quarantine::OnFailed(const AttemptId& attempt) {
   const auto it = running_.find(attempt);
   if (it == running_.end()) {
     return;
@@ -117,16 +120,16 @@
   running_.erase(it);
 }
 
-void Quarantine::Rest(Fingerprint fingerprint, TimePoint until) {
+void Quarantine::DeferUntil(Fingerprint fingerprint, TimePoint until) {
   const auto it = records_.find(fingerprint);
   if (it != records_.end()) {
-    it->second.rest_until = std::max(it->second.rest_until, until);
+    it->second.deferred_until = std::max(it->second.deferred_until, until);
   }
 }
 
-void Quarantine::OnKill(const Subject& subject, const std::string& instance,
-                        TimePoint now) {
-  Record* record = Obtain(subject.fingerprint, now);
+void Quarantine::OnCrash(const Subject& subject, const std::string& instance,
+                         TimePoint now) {
+  Record* record = GetOrCreate(subject.fingerprint, now);
   record->client_account = subject.client_account;
   record->deployment = subject.deployment;
   // Copies that were running in the same crash count it once. A copy that was
@@ -141,32 +144,36 @@
       }
     }
   }
-  for (const Kill& it : record->kills) {
+  for (const ObservedCrash& it : record->observed_crashes) {
     if (it.instance == instance && started < it.at) {
       return;
     }
   }
-  AddKill(record, {instance, now}, now);
-  Judge(record, subject.policy, now);
+  AddCrash(record, {instance, now}, now);
+  QuarantineIfDue(record, subject.policy, now);
   Announce(subject.fingerprint, *record, now);
 }
 
-void Quarantine::AddKill(Record* record, const Kill& kill, TimePoint now) {
-  if (record->kills.size() < kMaxKills) {
-    record->kills.push_back(kill);
+void Quarantine::AddCrash(Record* record, const ObservedCrash& observed_crash,
+                          TimePoint now) {
+  if (record->observed_crashes.size() < kMaxCrashes) {
+    record->observed_crashes.push_back(observed_crash);
   }
-  record->rest_until = std::max(record->rest_until, now + options_.rest);
+  record->deferred_until =
+      std::max(record->deferred_until, now + options_.crash_delay);
   record->until = std::max(record->until, now + options_.suspect_time);
 }
 
-void Quarantine::Judge(Record* record, const Policy& policy, TimePoint now) {
-  if (record->quarantined || record->kills.size() < policy.kills) {
+void Quarantine::QuarantineIfDue(Record* record, const Policy& policy,
+                                 TimePoint now) {
+  if (record->quarantined ||
+      record->observed_crashes.size() < policy.observed_crashes) {
     return;
   }
   record->quarantined = true;
   record->until = now + policy.time;
   record->reason = "in flight when these targets died:";
-  for (const Kill& it : record->kills) {
+  for (const ObservedCrash& it : record->observed_crashes) {
     record->reason += " " + it.instance;
   }
 }
@@ -177,22 +184,27 @@
     records_.erase(notice.fingerprint);
     return;
   }
-  Record* record = Obtain(notice.fingerprint, now);
+  Record* record = GetOrCreate(notice.fingerprint, now);
   record->client_account = notice.client_account;
   record->deployment = notice.deployment;
   for (const TargetDeath& it : notice.deaths) {
     const TimePoint at = now - it.age;
     const bool known = std::any_of(
-        record->kills.begin(), record->kills.end(), [&](const Kill& kill) {
-          const Duration apart = kill.at > at ? kill.at - at : at - kill.at;
-          return kill.instance == it.instance && apart <= options_.same_death;
+        record->observed_crashes.begin(), record->observed_crashes.end(),
+        [&](const ObservedCrash& observed_crash) {
+          const Duration apart = observed_crash.at > at
+                                     ? observed_crash.at - at
+                                     : at - observed_crash.at;
+          return observed_crash.instance == it.instance &&
+                 apart <= options_.same_crash_window;
         });
     if (!known) {
-      AddKill(record, {it.instance, at}, now);
+      AddCrash(record, {it.instance, at}, now);
     }
   }
   if (notice.in_flight) {
-    record->rest_until = std::max(record->rest_until, now + options_.busy);
+    record->deferred_until =
+        std::max(record->deferred_until, now + options_.in_flight_delay);
   }
   record->until = std::max(record->until, now + notice.remaining);
   if (notice.quarantined) {
@@ -200,7 +212,7 @@
     record->reason = notice.reason;
   }
   // Each of the two entries may have observed a different crash.
-  Judge(record, policy, now);
+  QuarantineIfDue(record, policy, now);
   if (!record->quarantined && FindRunning(notice.fingerprint) &&
       !notice.in_flight) {
     // The sender may be about to retry the request and must first learn that a
@@ -254,7 +266,8 @@
   return all;
 }
 
-Quarantine::Record* Quarantine::Obtain(Fingerprint fingerprint, TimePoint now) {
+Quarantine::Record* Quarantine::GetOrCreate(Fingerprint fingerprint,
+                                            TimePoint now) {
   if (records_.size() >= options_.max_records &&
       records_.count(fingerprint) == 0) {
     // Evicts the record that expires first.
@@ -283,7 +296,7 @@
   notice.fingerprint = fingerprint;
   notice.client_account = record.client_account;
   notice.deployment = record.deployment;
-  for (const Kill& it : record.kills) {
+  for (const ObservedCrash& it : record.observed_crashes) {
     notice.deaths.push_back({it.instance, now - it.at});
   }
   notice.quarantined = record.quarantined;
--- a/src/core/request/quarantine.h
+++ b/src/core/request/quarantine.h
@@ -59,23 +59,23 @@
  public:
   struct Options {
     std::size_t max_records = 4096;
-    std::size_t max_proven = 65536;
+    std::size_t max_finished = 65536;
     Duration suspect_time = std::chrono::minutes(10);
     /// Crashes of one target that two entries report within this time are the
     /// same crash. Longer than the delay of a notice, shorter than the restart
     /// of a target.
-    Duration same_death = std::chrono::milliseconds(500);
-    /// How long a suspect is not retried after a crash (`rest`), so that other
-    /// entries can report running copies, and after each such report
-    /// (`busy`).
-    Duration rest = std::chrono::milliseconds(300);
-    Duration busy = std::chrono::milliseconds(1500);
+    Duration same_crash_window = std::chrono::milliseconds(500);
+    /// How long a suspect is not retried after a crash (`crash_delay`), so that
+    /// other entries can report running copies, and after each such report
+    /// (`in_flight_delay`).
+    Duration crash_delay = std::chrono::milliseconds(300);
+    Duration in_flight_delay = std::chrono::milliseconds(1500);
     Duration announce_interval = std::chrono::milliseconds(400);
   };
 
   /// Quarantine limits of the request's deployment.
   struct Policy {
-    std::uint32_t kills = 2;
+    std::uint32_t observed_crashes = 2;
     Duration time = std::chrono::minutes(30);
   };
 
@@ -109,14 +109,14 @@
   void OnStarted(const Subject& subject, const AttemptId& attempt,
                  const std::string& instance, TimePoint now);
   void OnFinished(const AttemptId& attempt, TimePoint now);
-  void OnBroken(const AttemptId& attempt);
+  void OnFailed(const AttemptId& attempt);
 
   /// Prevents this entry from starting a suspect before `until`.
-  void Rest(Fingerprint fingerprint, TimePoint until);
+  void DeferUntil(Fingerprint fingerprint, TimePoint until);
 
   /// Records that a target crashed with the request in flight.
-  void OnKill(const Subject& subject, const std::string& instance,
-              TimePoint now);
+  void OnCrash(const Subject& subject, const std::string& instance,
+               TimePoint now);
 
   /// Applies a notice from another entry.
   void OnNotice(const SuspicionNotice& notice, const Policy& policy,
@@ -138,17 +138,17 @@
   std::size_t size() const { return records_.size(); }
 
  private:
-  struct Kill {
+  struct ObservedCrash {
     std::string instance;
     TimePoint at;
   };
   struct Record {
     std::string client_account;
     std::string deployment;
-    std::vector<Kill> kills;
+    std::vector<ObservedCrash> observed_crashes;
     bool quarantined = false;
     TimePoint until;
-    TimePoint rest_until;  ///< Not started by this entry before this time.
+    TimePoint deferred_until;  ///< Not started by this entry before this time.
     std::string reason;
   };
   struct Running {
@@ -158,12 +158,13 @@
     TimePoint started;
   };
 
-  Record* Obtain(Fingerprint fingerprint, TimePoint now);
-  void AddKill(Record* record, const Kill& kill, TimePoint now);
-  std::string PlaceFor(Fingerprint fingerprint, const Record& record,
-                       const std::vector<std::string>& targets,
-                       TimePoint now) const;
-  void Judge(Record* record, const Policy& policy, TimePoint now);
+  Record* GetOrCreate(Fingerprint fingerprint, TimePoint now);
+  void AddCrash(Record* record, const ObservedCrash& observed_crash,
+                TimePoint now);
+  std::string ChooseTarget(Fingerprint fingerprint, const Record& record,
+                           const std::vector<std::string>& targets,
+                           TimePoint now) const;
+  void QuarantineIfDue(Record* record, const Policy& policy, TimePoint now);
   void Announce(Fingerprint fingerprint, const Record& record, TimePoint now);
   void Clear(Fingerprint fingerprint, TimePoint now);
   SuspicionNotice NoticeOf(Fingerprint fingerprint, const Record& record,
@@ -176,8 +177,8 @@
   std::unordered_map<Fingerprint, Record> records_;
   std::unordered_map<AttemptId, Running> running_;
   std::unordered_map<Fingerprint, std::set<AttemptId>> by_fingerprint_;
-  std::unordered_set<Fingerprint> proven_;
-  std::deque<Fingerprint> proven_order_;
+  std::unordered_set<Fingerprint> finished_;
+  std::deque<Fingerprint> finished_order_;
   std::vector<SuspicionNotice> notices_;
   TimePoint next_announce_;
 };
--- a/src/core/request/request_flow.cc
+++ b/src/core/request/request_flow.cc
@@ -254,7 +254,7 @@
   it.tried.back() = instance;
   AttemptRef ref = it.attempt->ref();
   ref.side_incarnation = to->info.incarnation;
-  it.attempt->MoveTo(ref, instance);
+  it.attempt->ReassignTo(ref, instance);
   return to->link;
 }
 
@@ -275,14 +275,14 @@
 bool RequestFlow::AcceptFrame(Request& it, SideLink link,
                               std::uint64_t sequence, TimePoint now) {
   switch (it.attempt->Accept(sequence, now)) {
-    case FrameVerdict::kTake:
+    case FrameDisposition::kAccept:
       return true;
-    case FrameVerdict::kDuplicate:
+    case FrameDisposition::kDuplicate:
       ++counts_.duplicate_frames;
       return false;
-    case FrameVerdict::kGap:
+    case FrameDisposition::kGap:
       ++counts_.gap_frames;
-      if (now - it.attempt->asked_at >= kLeastAskInterval) {
+      if (now - it.attempt->resume_requested_at >= kLeastAskInterval) {
         AskAgain(it, link, now);
       }
       return false;
@@ -292,7 +292,7 @@
 
 void RequestFlow::AskAgain(Request& it, SideLink link, TimePoint now) {
   Attempt& attempt = *it.attempt;
-  attempt.asked_at = now;
+  attempt.resume_requested_at = now;
   attempt.unsent_credit = 0;
   ++counts_.resumes;
   actions_.push_back(SendResume{link, attempt.ref(), attempt.next_sequence(),
@@ -363,7 +363,7 @@
     return;
   }
   if (it.cursor) {
-    data = it.cursor->Take(data);
+    data = it.cursor->Feed(data);
     if (it.cursor->held_bytes() > options_.stream_window_bytes / 2) {
       // Buffered bytes earn no credit, so an event larger than the window would
       // block the stream. Send the partial event and give up on resuming, which
--- a/src/core/request/request_flow_ends.cc
+++ b/src/core/request/request_flow_ends.cc
@@ -113,7 +113,7 @@
   switch (known) {
     case AttemptKnowledge::kRunning:
     case AttemptKnowledge::kFinished:
-      it->attempt->heard_at = now;
+      it->attempt->last_message_at = now;
       if (next_sequence > it->attempt->next_sequence()) {
         EndAttempt(*it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
                    Because("frames_lost",
@@ -171,7 +171,8 @@
 
 bool RequestFlow::MayRetry(const Request& it, Ending ending, AttemptReach reach,
                            TimePoint now) {
-  const bool resumable = it.cursor && it.cursor->can_go_on() && !it.caller_gone;
+  const bool resumable =
+      it.cursor && it.cursor->can_continue() && !it.caller_gone;
   if ((it.head_delivered && !resumable) || now >= it.request->deadline ||
       it.forwards >= options_.max_forwards) {
     return false;
--- a/src/core/request/request_flow_time.cc
+++ b/src/core/request/request_flow_time.cc
@@ -30,7 +30,7 @@
   }
   for (const AttemptId& id : up.side->attempts) {
     Request& it = requests_.at(attempts_.at(id));
-    it.attempt->heard_at = now;
+    it.attempt->last_message_at = now;
     AskAgain(it, link, now);
   }
 }
@@ -163,15 +163,15 @@
     return;
   }
   GrantCredit(it, 0);  // Resends credit that a full queue refused.
-  if (now - attempt.heard_at < options_.probe_interval) {
+  if (now - attempt.last_message_at < options_.probe_interval) {
     return;
   }
-  if (now - attempt.heard_at >= options_.resume_timeout) {
+  if (now - attempt.last_message_at >= options_.resume_timeout) {
     EndAttempt(
         it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
         Because("side_silent", "The side stopped reporting on the request."),
         now);
-  } else if (now - attempt.asked_at >= options_.probe_interval) {
+  } else if (now - attempt.resume_requested_at >= options_.probe_interval) {
     AskAgain(it, *side->link, now);
   }
 }
--- a/src/entry/crash_service.cc
+++ b/src/entry/crash_service.cc
@@ -55,7 +55,7 @@
     if (!IsOk(report)) {
       log_(kCrashReportUnreadable, {{"error", ToString(ErrorOf(report))}});
     } else if (is_own) {
-      ledger_.OnEarlierReport(ValueOf(report), clock_());
+      ledger_.RestoreOwnReport(ValueOf(report), clock_());
     } else {
       others.push_back(ValueOf(report));
     }
@@ -74,13 +74,13 @@
 
 void CrashService::OnAnswered(Fingerprint request) {
   switch (ledger_.OnAnswered(request, clock_())) {
-    case CrashLedger::Telling::kNow:
+    case CrashLedger::ReportUrgency::kNow:
       Tell();
       break;
-    case CrashLedger::Telling::kSoon:
+    case CrashLedger::ReportUrgency::kSoon:
       tell_at_ = tell_at_.value_or(clock_() + options_.clear_together);
       break;
-    case CrashLedger::Telling::kNot:
+    case CrashLedger::ReportUrgency::kNone:
       break;
   }
 }
--- a/src/entry/direct_carrier.cc
+++ b/src/entry/direct_carrier.cc
@@ -384,7 +384,7 @@
 
 void DirectCarrier::OnBodyEnd(const AttemptId& id, const AnswerBodyEnd& end) {
   const Run* run = Find(id);
-  if (!run || !IsDoubtful(end)) {
+  if (!run || !MayBeTruncated(end)) {
     return;
   }
   log_(kAnswerEndDoubtful,
--- a/src/entry/quarantine_service.cc
+++ b/src/entry/quarantine_service.cc
@@ -84,10 +84,10 @@
   if (outcome == AttemptOutcome::kComplete) {
     quarantine_.OnFinished(attempt, now);
   } else {
-    quarantine_.OnBroken(attempt);
+    quarantine_.OnFailed(attempt);
   }
   if (outcome == AttemptOutcome::kNotStarted) {
-    quarantine_.Rest(request.fingerprint, now + options_.apart_rest);
+    quarantine_.DeferUntil(request.fingerprint, now + options_.apart_rest);
   }
   SendNotices();
 }
@@ -95,7 +95,7 @@
 void QuarantineService::ReportKill(const CallerRequest& request,
                                    const std::string& instance, TimePoint now) {
   kills_.Add();
-  quarantine_.OnKill(SubjectOf(request), instance, now);
+  quarantine_.OnCrash(SubjectOf(request), instance, now);
   log_(kTargetKilled, {{"target", instance},
                        {"client_account", request.client_account},
                        {"fingerprint", std::to_string(request.fingerprint)}});
--- a/src/side/attempt_service.cc
+++ b/src/side/attempt_service.cc
@@ -256,7 +256,7 @@
   const auto& counts = table_.counts();
   started_counter_.Add(counts.started - exported_.started);
   refused_counter_.Add(counts.refused - exported_.refused);
-  foreign_counter_.Add(counts.foreign - exported_.foreign);
+  foreign_counter_.Add(counts.unexpected - exported_.unexpected);
   resumed_counter_.Add(counts.resumed - exported_.resumed);
   exported_ = counts;
 }
--- a/src/side/target_worker.cc
+++ b/src/side/target_worker.cc
@@ -161,7 +161,7 @@
 }
 
 void TargetWorker::OnBodyEnd(const AttemptId& id, const AnswerBodyEnd& end) {
-  if (IsDoubtful(end)) {
+  if (MayBeTruncated(end)) {
     log_(
         kTargetAnswerEndDoubtful,
         {{"attempt", ToHex(id.value)},
@@ -268,7 +268,10 @@
   if (written) {
     StopEngineStream(it->second.stream_id);
   }
-  EndCall(id, written ? CallOutcome::kCancelled : CallOutcome::kStopped, "");
+  EndCall(
+      id,
+      written ? CallOutcome::kCancelled : CallOutcome::kCancelledBeforeWrite,
+      "");
 }
 
 void TargetWorker::StopEngineStream(const std::string& stream_id) {
--- a/src/target/http_target_client.cc
+++ b/src/target/http_target_client.cc
@@ -411,7 +411,7 @@
     if (hooks_.on_body_end) {
       hooks_.on_body_end(end);
     }
-    if (const auto why = WhyBrokenOff(end)) {
+    if (const auto why = FindTruncation(end)) {
       Finish(ErrorCode::kUnknownEffect, "body: " + *why);
       return;
     }
--- a/tests/core/request/answer_end_test.cc
+++ b/tests/core/request/answer_end_test.cc
@@ -10,7 +10,7 @@
 
 struct Row {
   AnswerBodyEnd end;
-  bool broken_off;
+  bool is_truncated;
 };
 
 TEST_CASE("Truncated answers are detected by framing and events") {
@@ -37,7 +37,7 @@
   INFO(row.end.status << ", framed by " << NameOf(row.end.framing) << ", "
                       << (row.end.position ? NameOf(*row.end.position)
                                            : "no stream"));
-  CHECK(WhyBrokenOff(row.end).has_value() == row.broken_off);
+  CHECK(FindTruncation(row.end).has_value() == row.is_truncated);
 }
 
 }  // namespace
--- a/tests/core/request/attempt_table_fixture.h
+++ b/tests/core/request/attempt_table_fixture.h
@@ -61,13 +61,13 @@
     table_.OnCallEnd(AttemptId{{1, n}}, outcome, "", now_);
   }
 
-  void Pass(Duration time) {
+  void AdvanceTime(Duration time) {
     now_ += time;
     table_.Tick(now_);
   }
 
   /// Returns how often attempt `n` was passed to the target's thread.
-  int RunsOf(std::uint64_t n) const {
+  int RunCount(std::uint64_t n) const {
     const auto it = runs_.find(AttemptId{{1, n}});
     return it == runs_.end() ? 0 : it->second;
   }
@@ -95,8 +95,8 @@
   TimePoint now_{std::chrono::seconds(1000)};
   AttemptTable::Options options_;
   bool link_full_ = false;
-  bool ring_full_ = false;
-  RefusalReason target_says_ = RefusalReason::kUnspecified;
+  bool queue_full_ = false;
+  RefusalReason check_result_ = RefusalReason::kUnspecified;
   std::map<AttemptId, int> runs_;
   std::vector<AttemptId> cancelled_;
   std::vector<bool> pauses_;
@@ -124,7 +124,7 @@
     };
     hooks.start_call = [this](const AttemptId& id, AttemptRequest&&, TimePoint,
                               TimePoint) {
-      if (ring_full_) {
+      if (queue_full_) {
         return false;
       }
       ++runs_[id];
@@ -136,7 +136,7 @@
     hooks.pause_call = [this](const AttemptId&, bool pause) {
       pauses_.push_back(pause);
     };
-    hooks.check = [this](const AttemptStart&) { return target_says_; };
+    hooks.check = [this](const AttemptStart&) { return check_result_; };
     return hooks;
   }
 };
--- a/tests/core/request/attempt_table_random_test.cc
+++ b/tests/core/request/attempt_table_random_test.cc
@@ -13,9 +13,9 @@
 using Fixture = AttemptTableFixture;
 
 /// Simulates an entry whose messages are lost, repeated and reordered.
-class ChaosRun {
+class RandomizedRun {
  public:
-  ChaosRun() : f_(MakeOptions()) {}
+  RandomizedRun() : f_(MakeOptions()) {}
 
   void Step() {
     const auto n = *rc::gen::inRange<std::uint64_t>(1, 40);
@@ -37,7 +37,7 @@
         EndCall(n);
         break;
       case 6:
-        f_.Pass(std::chrono::seconds(*rc::gen::inRange(0, 40)));
+        f_.AdvanceTime(std::chrono::seconds(*rc::gen::inRange(0, 40)));
         break;
       case 7:
         f_.table_.SetLeaving(*rc::gen::arbitrary<bool>());
@@ -63,15 +63,15 @@
   /// Ends a call as the target's thread would, with the request written or not.
   void EndCall(std::uint64_t n) {
     const AttemptId id{{1, n}};
-    if (f_.RunsOf(n) == 0 || ended_.contains(id)) {
+    if (f_.RunCount(n) == 0 || ended_.contains(id)) {
       return;
     }
     ended_.insert(id);
-    const bool wrote = *rc::gen::arbitrary<bool>();
-    if (wrote) {
-      wrote_.insert(id);
+    const bool was_written = *rc::gen::arbitrary<bool>();
+    if (was_written) {
+      written_.insert(id);
     }
-    f_.End(n, wrote ? CallOutcome::kComplete : CallOutcome::kNotWritten);
+    f_.End(n, was_written ? CallOutcome::kComplete : CallOutcome::kNotWritten);
   }
 
   void Check() {
@@ -79,17 +79,17 @@
       RC_ASSERT(runs == 1);
     }
     for (const auto& it : f_.refusals_) {
-      RC_ASSERT(!wrote_.contains(it.id));
-      said_not_run_.insert(it.id);
+      RC_ASSERT(!written_.contains(it.id));
+      reported_not_run_.insert(it.id);
     }
     for (const auto& it : f_.states_) {
       if (it.knowledge == SideKnowledge::kNotStarted) {
-        RC_ASSERT(!wrote_.contains(it.id));
-        said_not_run_.insert(it.id);
+        RC_ASSERT(!written_.contains(it.id));
+        reported_not_run_.insert(it.id);
       }
     }
     // An attempt reported as "not run" must not be running now.
-    for (const auto& id : said_not_run_) {
+    for (const auto& id : reported_not_run_) {
       RC_ASSERT(!f_.runs_.contains(id) || ended_.contains(id));
     }
     RC_ASSERT(f_.table_.running() <= f_.options_.max_attempts);
@@ -98,8 +98,8 @@
 
   Fixture f_;
   std::set<AttemptId> ended_;
-  std::set<AttemptId> wrote_;
-  std::set<AttemptId> said_not_run_;
+  std::set<AttemptId> written_;
+  std::set<AttemptId> reported_not_run_;
 };
 
 // Guards against attempts that run twice or that run although they were
@@ -108,7 +108,7 @@
 // them.
 TEST_CASE("AttemptTable runs attempts at most once, refused ones never") {
   CHECK(rc::check("at most one run, none after a refusal", [] {
-    ChaosRun run;
+    RandomizedRun run;
     const int steps = *rc::gen::inRange(50, 300);
     for (int i = 0; i < steps; ++i) {
       run.Step();
@@ -156,7 +156,7 @@
     start.initial_credit_bytes = *rc::gen::inRange<std::uint64_t>(1, 40);
     f.table_.OnStart(Fixture::kLink, start, f.now_);
     Delivery delivery;
-    std::string whole;
+    std::string expected_body;
     std::uint64_t granted = start.initial_credit_bytes;
     LinkNumber link = Fixture::kLink;
     f.table_.OnCallHead(start.id, 200, {});
@@ -164,7 +164,7 @@
     for (int i = 0; i < parts; ++i) {
       const std::string chunk(*rc::gen::inRange<std::size_t>(1, 30),
                               static_cast<char>('a' + i));
-      whole += chunk;
+      expected_body += chunk;
       f.table_.OnCallBody(start.id, std::string(chunk));
       const auto taken = Receive(f, link, true, &delivery);
       granted += taken;
@@ -183,7 +183,7 @@
       granted += Receive(f, link, false, &delivery);
     }
     RC_ASSERT(delivery.ended);
-    RC_ASSERT(delivery.received == whole);
+    RC_ASSERT(delivery.received == expected_body);
   }));
 }
 
--- a/tests/core/request/attempt_table_test.cc
+++ b/tests/core/request/attempt_table_test.cc
@@ -54,16 +54,16 @@
        },
        RefusalReason::kOverloaded},
       {"target's queue full",
-       [](Fixture* f, AttemptStart*) { f->ring_full_ = true; },
+       [](Fixture* f, AttemptStart*) { f->queue_full_ = true; },
        RefusalReason::kOverloaded},
       {"target down",
        [](Fixture* f, AttemptStart*) {
-         f->target_says_ = RefusalReason::kTargetDown;
+         f->check_result_ = RefusalReason::kTargetDown;
        },
        RefusalReason::kTargetDown},
       {"quarantined",
        [](Fixture* f, AttemptStart*) {
-         f->target_says_ = RefusalReason::kQuarantined;
+         f->check_result_ = RefusalReason::kQuarantined;
        },
        RefusalReason::kQuarantined},
       {"cancelled before it came",
@@ -79,13 +79,13 @@
       it.arrange(&f, &start);
       f.table_.OnStart(Fixture::kLink, start, f.now_);
       CHECK(f.last_refusal() == it.expected);
-      CHECK(f.RunsOf(1) == 0);
+      CHECK(f.RunCount(1) == 0);
 
       f.table_.SetLeaving(false);
-      f.ring_full_ = false;
-      f.target_says_ = RefusalReason::kUnspecified;
+      f.queue_full_ = false;
+      f.check_result_ = RefusalReason::kUnspecified;
       f.table_.OnStart(Fixture::kLink, Fixture::MakeStart(1), f.now_);
-      CHECK(f.RunsOf(1) == 0);
+      CHECK(f.RunCount(1) == 0);
     }
   }
 }
@@ -116,7 +116,7 @@
         CHECK(f.sent_.back().second.outcome == *it.end);
       }
       f.Start(1);
-      CHECK(f.RunsOf(1) == 1);
+      CHECK(f.RunCount(1) == 1);
       CHECK(f.table_.running() == 0);
     }
   }
@@ -151,7 +151,7 @@
   }
 
   SECTION("drops the frames of a finished attempt after the retention") {
-    f.Pass(std::chrono::seconds(31));
+    f.AdvanceTime(std::chrono::seconds(31));
     f.table_.OnResume(Fixture::kNewLink, f.QueryOf(1), 2, 1028, f.now_);
     CHECK(f.SequencesOn(Fixture::kNewLink).empty());
     CHECK(f.last_knowledge() == SideKnowledge::kLost);
@@ -192,7 +192,7 @@
   f.End(1, CallOutcome::kComplete);
   CHECK_FALSE(f.table_.Idle());
   f.link_full_ = false;
-  f.Pass(std::chrono::milliseconds(20));
+  f.AdvanceTime(std::chrono::milliseconds(20));
   CHECK(f.SequencesOn(Fixture::kLink) == std::vector<std::uint64_t>{0, 1, 2});
   CHECK(f.table_.Idle());
 }
@@ -206,7 +206,7 @@
     f.table_.OnResume(Fixture::kLink, f.QueryOf(1), 0, 0, f.now_);
     CHECK(f.last_knowledge() == SideKnowledge::kNotStarted);
     f.Start(1);
-    CHECK(f.RunsOf(1) == 0);
+    CHECK(f.RunCount(1) == 0);
     CHECK(f.last_refusal() == RefusalReason::kCancelledEarlier);
   }
 
@@ -228,13 +228,13 @@
     f.Start(1);
     f.Answer(1, {});
     f.End(1, CallOutcome::kComplete);
-    f.Pass(std::chrono::seconds(31));
-    f.Pass(std::chrono::seconds(31));
+    f.AdvanceTime(std::chrono::seconds(31));
+    f.AdvanceTime(std::chrono::seconds(31));
     CHECK(f.table_.held() == 0);
     f.table_.OnResume(Fixture::kLink, f.QueryOf(1), 0, 0, f.now_);
     CHECK(f.last_knowledge() == SideKnowledge::kLost);
     f.Start(1);
-    CHECK(f.RunsOf(1) == 1);
+    CHECK(f.RunCount(1) == 1);
     CHECK(f.refusals_.empty());
   }
 
@@ -244,7 +244,7 @@
     CHECK(f.states_.empty());
     REQUIRE(f.cancelled_.size() == 1);
     SECTION("a request that was not written is refused") {
-      f.End(1, CallOutcome::kStopped);
+      f.End(1, CallOutcome::kCancelledBeforeWrite);
       CHECK(f.last_refusal() == RefusalReason::kCancelledEarlier);
     }
     SECTION("a request that was written ends as cancelled") {
@@ -257,7 +257,7 @@
   SECTION("a repeated start of a running attempt is not refused") {
     f.Start(1);
     f.Start(1);
-    CHECK(f.RunsOf(1) == 1);
+    CHECK(f.RunCount(1) == 1);
     CHECK(f.refusals_.empty());
     CHECK(f.last_knowledge() == SideKnowledge::kRunning);
   }
@@ -267,7 +267,7 @@
   Fixture f;
   f.Start(1);
   f.Answer(1, {"half"});
-  f.Pass(std::chrono::seconds(61));
+  f.AdvanceTime(std::chrono::seconds(61));
   REQUIRE(f.cancelled_.size() == 1);
   f.End(1, CallOutcome::kCancelled);
   CHECK(f.sent_.back().second.outcome == RunOutcome::kDeadline);
@@ -281,21 +281,21 @@
   start.body_continues = true;
   start.request.body = "one ";
   f.table_.OnStart(Fixture::kLink, start, f.now_);
-  CHECK(f.RunsOf(1) == 0);
+  CHECK(f.RunCount(1) == 0);
 
   SECTION("a complete body starts the request") {
     f.table_.OnBodyChunk(Fixture::kLink, start.id, 0, "two ", false, f.now_);
     f.table_.OnBodyChunk(Fixture::kLink, start.id, 1, "three", true, f.now_);
-    CHECK(f.RunsOf(1) == 1);
+    CHECK(f.RunCount(1) == 1);
   }
   SECTION("a missing chunk causes a refusal") {
     f.table_.OnBodyChunk(Fixture::kLink, start.id, 1, "three", true, f.now_);
-    CHECK(f.RunsOf(1) == 0);
+    CHECK(f.RunCount(1) == 0);
     CHECK(f.last_refusal() == RefusalReason::kOverloaded);
   }
   SECTION("an incomplete body is refused at the deadline") {
-    f.Pass(std::chrono::seconds(61));
-    CHECK(f.RunsOf(1) == 0);
+    f.AdvanceTime(std::chrono::seconds(61));
+    CHECK(f.RunCount(1) == 0);
     CHECK(f.last_refusal() == RefusalReason::kTooLate);
   }
 }
--- a/tests/core/request/event_scanner_test.cc
+++ b/tests/core/request/event_scanner_test.cc
@@ -13,7 +13,7 @@
 /// Result of scanning a stream.
 struct Scanned {
   Position position = Position::kNoEvent;
-  std::size_t whole = 0;  ///< Bytes before the incomplete event.
+  std::size_t complete_bytes = 0;  ///< Bytes before the incomplete event.
 };
 
 /// Scans `stream` in parts of `part` bytes.
@@ -23,7 +23,7 @@
   for (std::size_t at = 0; at < stream.size(); at += part) {
     const std::size_t n = scanner.Scan(stream.substr(at, part));
     if (n > 0) {
-      scanned.whole = at + n;
+      scanned.complete_bytes = at + n;
     }
   }
   scanned.position = scanner.position();
@@ -33,7 +33,7 @@
 struct Row {
   std::string stream;
   Position position;
-  std::size_t whole;
+  std::size_t complete_bytes;
 };
 
 TEST_CASE("EventScanner reports the position in an event stream") {
@@ -68,7 +68,7 @@
   INFO("in parts of " << part << " bytes");
   const Scanned scanned = Scan(row.stream, part);
   CHECK(scanned.position == row.position);
-  CHECK(scanned.whole == row.whole);
+  CHECK(scanned.complete_bytes == row.complete_bytes);
 }
 
 TEST_CASE("IsEventStream checks content type and encoding") {
@@ -83,15 +83,15 @@
 TEST_CASE("An end is uncertain unless framing and events prove it") {
   AnswerBodyEnd end;
   end.status = 200;
-  CHECK_FALSE(IsDoubtful(end));
+  CHECK_FALSE(MayBeTruncated(end));
   end.framing = BodyFraming::kClose;
-  CHECK(IsDoubtful(end));
+  CHECK(MayBeTruncated(end));
   end.framing = BodyFraming::kChunks;
-  CHECK_FALSE(IsDoubtful(end));
+  CHECK_FALSE(MayBeTruncated(end));
   end.position = Position::kInsideEvent;
-  CHECK(IsDoubtful(end));
+  CHECK(MayBeTruncated(end));
   end.position = Position::kBetweenEvents;
-  CHECK_FALSE(IsDoubtful(end));
+  CHECK_FALSE(MayBeTruncated(end));
 }
 
 }  // namespace
--- a/tests/core/request/quarantine_test.cc
+++ b/tests/core/request/quarantine_test.cc
@@ -24,7 +24,7 @@
 AttemptId MakeAttempt(std::uint64_t n) { return AttemptId{{0, n}}; }
 
 template <typename T>
-bool Says(const Quarantine::Verdict& verdict) {
+bool IsVerdict(const Quarantine::Verdict& verdict) {
   return std::holds_alternative<T>(verdict);
 }
 
@@ -33,57 +33,60 @@
 // other crashes a second target and is quarantined.
 TEST_CASE("Quarantine blocks a request after two crashes, clears the other") {
   Quarantine quarantine({});
-  const auto poison = MakeSubject(1);
-  const auto innocent = MakeSubject(2);
-  quarantine.OnStarted(poison, MakeAttempt(1), "a", kStart);
-  quarantine.OnStarted(innocent, MakeAttempt(2), "a", kStart);
-  for (const auto& it : {poison, innocent}) {
-    quarantine.OnKill(it, "a", kStart);
+  const auto crashing_request = MakeSubject(1);
+  const auto harmless_request = MakeSubject(2);
+  quarantine.OnStarted(crashing_request, MakeAttempt(1), "a", kStart);
+  quarantine.OnStarted(harmless_request, MakeAttempt(2), "a", kStart);
+  for (const auto& it : {crashing_request, harmless_request}) {
+    quarantine.OnCrash(it, "a", kStart);
   }
-  quarantine.OnBroken(MakeAttempt(1));
-  quarantine.OnBroken(MakeAttempt(2));
-  CHECK(Says<Quarantine::Hold>(quarantine.Check(poison, kTargets, kStart)));
+  quarantine.OnFailed(MakeAttempt(1));
+  quarantine.OnFailed(MakeAttempt(2));
+  CHECK(IsVerdict<Quarantine::Hold>(
+      quarantine.Check(crashing_request, kTargets, kStart)));
   const TimePoint later = kStart + seconds(1);
-  REQUIRE(
-      Says<Quarantine::OnlyTo>(quarantine.Check(innocent, kTargets, later)));
-  const auto place = quarantine.Check(poison, kTargets, later);
+  REQUIRE(IsVerdict<Quarantine::OnlyTo>(
+      quarantine.Check(harmless_request, kTargets, later)));
+  const auto place = quarantine.Check(crashing_request, kTargets, later);
   const std::string second = std::get<Quarantine::OnlyTo>(place).instance;
-  quarantine.OnStarted(innocent, MakeAttempt(3), second, later);
+  quarantine.OnStarted(harmless_request, MakeAttempt(3), second, later);
 
   SECTION("suspects run one at a time on a target") {
-    CHECK(Says<Quarantine::Hold>(quarantine.Check(poison, kTargets, later)));
+    CHECK(IsVerdict<Quarantine::Hold>(
+        quarantine.Check(crashing_request, kTargets, later)));
     quarantine.OnFinished(MakeAttempt(3), later);
-    CHECK(Says<Quarantine::OnlyTo>(quarantine.Check(poison, kTargets, later)));
+    CHECK(IsVerdict<Quarantine::OnlyTo>(
+        quarantine.Check(crashing_request, kTargets, later)));
     CHECK(quarantine.List(later).size() == 1);
   }
   SECTION("the second crash quarantines the request") {
     quarantine.OnFinished(MakeAttempt(3), later);
-    quarantine.OnStarted(poison, MakeAttempt(4), second, later);
-    quarantine.OnKill(poison, second, later);
-    const auto verdict = quarantine.Check(poison, kTargets, later);
-    REQUIRE(Says<Quarantine::Quarantined>(verdict));
+    quarantine.OnStarted(crashing_request, MakeAttempt(4), second, later);
+    quarantine.OnCrash(crashing_request, second, later);
+    const auto verdict = quarantine.Check(crashing_request, kTargets, later);
+    REQUIRE(IsVerdict<Quarantine::Quarantined>(verdict));
     CHECK(std::get<Quarantine::Quarantined>(verdict).reason ==
           "in flight when these targets died: a " + second);
 
     SECTION("for a bounded time") {
-      CHECK(Says<Quarantine::Quarantined>(
-          quarantine.Check(poison, kTargets, later + minutes(29))));
-      CHECK_FALSE(Says<Quarantine::Quarantined>(
-          quarantine.Check(poison, kTargets, later + minutes(30))));
+      CHECK(IsVerdict<Quarantine::Quarantined>(
+          quarantine.Check(crashing_request, kTargets, later + minutes(29))));
+      CHECK_FALSE(IsVerdict<Quarantine::Quarantined>(
+          quarantine.Check(crashing_request, kTargets, later + minutes(30))));
     }
     SECTION("until an operator lifts it on all entries") {
       Quarantine other({});
       for (const auto& it : quarantine.TakeNotices()) {
         other.OnNotice(it, {}, later);
       }
-      CHECK(
-          Says<Quarantine::Quarantined>(other.Check(poison, kTargets, later)));
+      CHECK(IsVerdict<Quarantine::Quarantined>(
+          other.Check(crashing_request, kTargets, later)));
       quarantine.Lift(1, later);
       for (const auto& it : quarantine.TakeNotices()) {
         other.OnNotice(it, {}, later);
       }
-      CHECK_FALSE(
-          Says<Quarantine::Quarantined>(other.Check(poison, kTargets, later)));
+      CHECK_FALSE(IsVerdict<Quarantine::Quarantined>(
+          other.Check(crashing_request, kTargets, later)));
       CHECK(other.List(later).empty());
     }
   }
@@ -94,18 +97,19 @@
   const auto subject = MakeSubject(1);
   quarantine.OnStarted(subject, MakeAttempt(1), "a", kStart);
   quarantine.OnStarted(subject, MakeAttempt(2), "a", kStart);
-  const TimePoint death = kStart + seconds(1);
-  quarantine.OnKill(subject, "a", death);
-  quarantine.OnBroken(MakeAttempt(1));
-  quarantine.OnKill(subject, "a", death + milliseconds(2));
-  quarantine.OnBroken(MakeAttempt(2));
-  const TimePoint later = death + seconds(1);
-  CHECK(Says<Quarantine::OnlyTo>(quarantine.Check(subject, kTargets, later)));
+  const TimePoint crash_time = kStart + seconds(1);
+  quarantine.OnCrash(subject, "a", crash_time);
+  quarantine.OnFailed(MakeAttempt(1));
+  quarantine.OnCrash(subject, "a", crash_time + milliseconds(2));
+  quarantine.OnFailed(MakeAttempt(2));
+  const TimePoint later = crash_time + seconds(1);
+  CHECK(IsVerdict<Quarantine::OnlyTo>(
+      quarantine.Check(subject, kTargets, later)));
 
   SECTION("the next crash of the same target counts again") {
     quarantine.OnStarted(subject, MakeAttempt(3), "a", later);
-    quarantine.OnKill(subject, "a", later + milliseconds(10));
-    CHECK(Says<Quarantine::Quarantined>(
+    quarantine.OnCrash(subject, "a", later + milliseconds(10));
+    CHECK(IsVerdict<Quarantine::Quarantined>(
         quarantine.Check(subject, kTargets, later + seconds(1))));
   }
   SECTION("another entry's report of the same crash does not count again") {
@@ -113,7 +117,8 @@
     notice.fingerprint = 1;
     notice.deaths = {{"a", milliseconds(900)}};
     quarantine.OnNotice(notice, {}, later);
-    CHECK(Says<Quarantine::OnlyTo>(quarantine.Check(subject, kTargets, later)));
+    CHECK(IsVerdict<Quarantine::OnlyTo>(
+        quarantine.Check(subject, kTargets, later)));
   }
 }
 
@@ -122,19 +127,19 @@
   const auto subject = MakeSubject(7);
   quarantine.OnStarted(subject, MakeAttempt(1), "a", kStart);
   const auto verdict = quarantine.Check(subject, kTargets, kStart);
-  REQUIRE(Says<Quarantine::OnlyTo>(verdict));
+  REQUIRE(IsVerdict<Quarantine::OnlyTo>(verdict));
   CHECK(std::get<Quarantine::OnlyTo>(verdict).instance == "a");
   quarantine.OnFinished(MakeAttempt(1), kStart);
   quarantine.OnStarted(subject, MakeAttempt(2), "b", kStart);
-  CHECK(
-      Says<Quarantine::Anywhere>(quarantine.Check(subject, kTargets, kStart)));
+  CHECK(IsVerdict<Quarantine::Anywhere>(
+      quarantine.Check(subject, kTargets, kStart)));
 }
 
 /// Simulates two entries, eight targets, one request that crashes every target
 /// it runs on, and harmless requests. Notices between entries are delayed by up
 /// to 100 ms.
-struct PoisonWorld {
-  explicit PoisonWorld(std::uint64_t seed) : random(seed) {
+struct CrashSimulation {
+  explicit CrashSimulation(std::uint64_t seed) : random(seed) {
     for (int it = 0; it < 8; ++it) {
       targets.push_back("t" + std::to_string(it));
     }
@@ -156,10 +161,10 @@
 
   void Start(Job* job) {
     const auto verdict = entries[job->entry].Check(job->subject, targets, now);
-    if (Says<Quarantine::Quarantined>(verdict)) {
+    if (IsVerdict<Quarantine::Quarantined>(verdict)) {
       job->done = job->refused = true;
     }
-    if (job->done || Says<Quarantine::Hold>(verdict)) {
+    if (job->done || IsVerdict<Quarantine::Hold>(verdict)) {
       return;
     }
     const auto* only = std::get_if<Quarantine::OnlyTo>(&verdict);
@@ -175,12 +180,12 @@
     entries[job->entry].OnStarted(job->subject, job->attempt, job->target, now);
   }
 
-  void Die(const std::string target) {
+  void CrashTarget(const std::string target) {
     ++deaths;
     for (Job& it : jobs) {
       if (!it.done && it.target == target) {
-        entries[it.entry].OnKill(it.subject, target, now);
-        entries[it.entry].OnBroken(it.attempt);
+        entries[it.entry].OnCrash(it.subject, target, now);
+        entries[it.entry].OnFailed(it.attempt);
         it.target.clear();
       }
     }
@@ -206,7 +211,7 @@
       if (jobs[it].target.empty()) {
         Start(&jobs[it]);
       } else if (now >= jobs[it].ends && jobs[it].subject.fingerprint == 1) {
-        Die(jobs[it].target);
+        CrashTarget(jobs[it].target);
       } else if (now >= jobs[it].ends) {
         entries[jobs[it].entry].OnFinished(jobs[it].attempt, now);
         jobs[it].done = true;
@@ -216,16 +221,16 @@
     for (std::size_t it = 0; it < 2; ++it) {
       entries[it].Tick(now);
       for (const auto& notice : entries[it].TakeNotices()) {
-        mail.emplace(now + milliseconds(random() % 100),
-                     std::pair(1 - it, notice));
+        in_transit.emplace(now + milliseconds(random() % 100),
+                           std::pair(1 - it, notice));
         for (const auto& target : targets) {
           gates[target].OnNotice(notice, now);
         }
       }
     }
-    while (!mail.empty() && mail.begin()->first <= now) {
-      const auto [to, notice] = mail.begin()->second;
-      mail.erase(mail.begin());
+    while (!in_transit.empty() && in_transit.begin()->first <= now) {
+      const auto [to, notice] = in_transit.begin()->second;
+      in_transit.erase(in_transit.begin());
       entries[to].OnNotice(notice, {}, now);
     }
   }
@@ -236,7 +241,7 @@
   std::map<std::string, SuspectGate> gates;
   Quarantine entries[2] = {Quarantine({}), Quarantine({})};
   std::vector<Job> jobs;
-  std::multimap<TimePoint, std::pair<std::size_t, SuspicionNotice>> mail;
+  std::multimap<TimePoint, std::pair<std::size_t, SuspicionNotice>> in_transit;
   std::uint64_t attempts = 0;
   int deaths = 0;
 };
@@ -246,29 +251,30 @@
 // two targets may crash, every harmless request must be answered, and the
 // remaining copies must be refused.
 TEST_CASE("Quarantine limits one request to two target crashes") {
-  int worst = 0;
-  int over = 0;
+  int max_deaths = 0;
+  int over_limit = 0;
   int wrongly_refused = 0;
   for (std::uint64_t seed = 0; seed < 300; ++seed) {
-    PoisonWorld world(seed);
+    CrashSimulation simulation(seed);
     for (int step = 0; step < 1500; ++step) {
       if (step < 600 && step % 10 == 0) {
-        world.Add(world.random() % 2, 100 + world.random() % 1000000);
+        simulation.Add(simulation.random() % 2,
+                       100 + simulation.random() % 1000000);
       }
       if (step < 600 && step % 70 == 35) {
-        world.Add(world.random() % 2, 1);
+        simulation.Add(simulation.random() % 2, 1);
       }
-      world.Step();
+      simulation.Step();
     }
-    for (const auto& it : world.jobs) {
+    for (const auto& it : simulation.jobs) {
       wrongly_refused += it.refused && it.subject.fingerprint != 1;
       CHECK(it.done);
     }
-    worst = std::max(worst, world.deaths);
-    over += world.deaths > 2;
+    max_deaths = std::max(max_deaths, simulation.deaths);
+    over_limit += simulation.deaths > 2;
   }
-  INFO("runs with more than two crashes: " << over << " of 300");
-  CHECK(worst <= 2);
+  INFO("runs with more than two crashes: " << over_limit << " of 300");
+  CHECK(max_deaths <= 2);
   CHECK(wrongly_refused == 0);
 }
 
--- a/tests/core/request/stream_resume_test.cc
+++ b/tests/core/request/stream_resume_test.cc
@@ -11,24 +11,24 @@
 
 TEST_CASE("EventCursor returns complete events and keeps the last id") {
   EventCursor cursor;
-  CHECK(cursor.Take("id: 1\ndata: gel\n\nid: 2\nda") == "id: 1\ndata: gel\n\n");
+  CHECK(cursor.Feed("id: 1\ndata: gel\n\nid: 2\nda") == "id: 1\ndata: gel\n\n");
   CHECK(cursor.last_id() == "1");
 
   SECTION("a partial event is completed by the following data") {
-    CHECK(cursor.Take("ta: 22\n\n") == "id: 2\ndata: 22\n\n");
+    CHECK(cursor.Feed("ta: 22\n\n") == "id: 2\ndata: 22\n\n");
     CHECK(cursor.last_id() == "2");
   }
   SECTION("DropPartial discards a partial event") {
     cursor.DropPartial();
-    CHECK(cursor.Take("id: 2\ndata: 22\n\n") == "id: 2\ndata: 22\n\n");
+    CHECK(cursor.Feed("id: 2\ndata: 22\n\n") == "id: 2\ndata: 22\n\n");
   }
   SECTION("is_inside_event reports a partial event") {
     CHECK(cursor.is_inside_event());
-    CHECK(cursor.Take("ta: 22\n\n") == "id: 2\ndata: 22\n\n");
+    CHECK(cursor.Feed("ta: 22\n\n") == "id: 2\ndata: 22\n\n");
     CHECK_FALSE(cursor.is_inside_event());
   }
   SECTION("LF and CRLF line ends end an event") {
-    CHECK(cursor.Take("ta: x\r\n\r\n") == "id: 2\ndata: x\r\n\r\n");
+    CHECK(cursor.Feed("ta: x\r\n\r\n") == "id: 2\ndata: x\r\n\r\n");
   }
 }
 
@@ -37,30 +37,30 @@
 TEST_CASE("EventCursor recognizes every line end that the format allows") {
   EventCursor cursor;
   SECTION("CR only") {
-    CHECK(cursor.Take("id: 1\rdata: gel\r\rid: 2\rda") ==
+    CHECK(cursor.Feed("id: 1\rdata: gel\r\rid: 2\rda") ==
           "id: 1\rdata: gel\r\r");
     CHECK(cursor.last_id() == "1");
   }
   SECTION("mixed line ends") {
-    CHECK(cursor.Take("id: 1\r\ndata: gel\n\r\nid: 2") ==
+    CHECK(cursor.Feed("id: 1\r\ndata: gel\n\r\nid: 2") ==
           "id: 1\r\ndata: gel\n\r\n");
     CHECK(cursor.last_id() == "1");
   }
   SECTION("a CRLF split across two chunks") {
-    CHECK(cursor.Take("id: 1\r\n\r") == "id: 1\r\n\r");
-    CHECK(cursor.Take("\nid: 2\r\n\r\n") == "\nid: 2\r\n\r\n");
+    CHECK(cursor.Feed("id: 1\r\n\r") == "id: 1\r\n\r");
+    CHECK(cursor.Feed("\nid: 2\r\n\r\n") == "\nid: 2\r\n\r\n");
     CHECK(cursor.last_id() == "2");
   }
   SECTION("a stream that begins with a byte order mark") {
-    CHECK(cursor.Take("\xEF\xBB\xBFid: 1\n\n") == "\xEF\xBB\xBFid: 1\n\n");
+    CHECK(cursor.Feed("\xEF\xBB\xBFid: 1\n\n") == "\xEF\xBB\xBFid: 1\n\n");
     CHECK(cursor.last_id() == "1");
   }
   SECTION("comments between events are passed on at once") {
-    CHECK(cursor.Take(": ping\n") == ": ping\n");
+    CHECK(cursor.Feed(": ping\n") == ": ping\n");
     CHECK(cursor.last_id().empty());
   }
   SECTION("an id that a header cannot carry is ignored") {
-    CHECK(cursor.Take("id: 1\n\nid: 2\x01\n\n").size() == 15);
+    CHECK(cursor.Feed("id: 1\n\nid: 2\x01\n\n").size() == 15);
     CHECK(cursor.last_id() == "1");
   }
 }
