--- a/src/core/request/api_keys.cc
+++ b/src/core/request/api_keys.cc
@@ -50,7 +50,7 @@
 
 namespace internal {
 
-std::size_t KeyHashBucket::operator()(const KeyHash& hash) const {
+std::size_t KeyHashHasher::operator()(const KeyHash& hash) const {
   std::size_t bucket = 0;
   std::memcpy(&bucket, hash.data(), sizeof(bucket));
   return bucket;
--- a/src/core/request/api_keys.h
+++ b/src/core/request/api_keys.h
@@ -32,7 +32,7 @@
 namespace internal {
 
 /// Uses the first bytes of the SHA-256, which are uniformly distributed.
-struct KeyHashBucket {
+struct KeyHashHasher {
   std::size_t operator()(const KeyHash& hash) const;
 };
 
@@ -67,7 +67,7 @@
   std::size_t size() const { return values_.size(); }
 
  private:
-  std::unordered_map<KeyHash, std::vector<T>, internal::KeyHashBucket,
+  std::unordered_map<KeyHash, std::vector<T>, internal::KeyHashHasher,
                      internal::KeyHashEqual>
       values_;
 };
--- a/src/core/request/header_fields.cc
+++ b/src/core/request/header_fields.cc
@@ -24,7 +24,7 @@
   return text;
 }
 
-bool ListNames(std::string_view list, std::string_view name) {
+bool ListContains(std::string_view list, std::string_view name) {
   while (!list.empty()) {
     const std::size_t comma = list.find(',');
     if (EqualsIgnoringCase(Trim(list.substr(0, comma)), name)) {
@@ -62,7 +62,7 @@
   const bool always = std::any_of(
       kHopByHop.begin(), kHopByHop.end(),
       [name](std::string_view it) { return EqualsIgnoringCase(it, name); });
-  return always || ListNames(connection, name);
+  return always || ListContains(connection, name);
 }
 
 }  // namespace indigolead
--- a/src/core/request/request_flow.cc
+++ b/src/core/request/request_flow.cc
@@ -11,7 +11,7 @@
 constexpr int kOk = 200;
 
 /// Minimum time after a resume request before a frame gap causes another.
-constexpr Duration kLeastAskInterval = std::chrono::milliseconds(100);
+constexpr Duration kMinResumeInterval = std::chrono::milliseconds(100);
 
 /// Returns true if the answer is an event stream, which is passed on as it
 /// arrives. Any other answer is buffered and preferably sent complete.
@@ -121,7 +121,7 @@
   const auto it = requests_.find(id);
   if (it != requests_.end() && it->second.stage == Stage::kClaim) {
     actions_.push_back(AnswerWhole{id, std::move(answer)});
-    Forget(it->second, now);
+    EraseRequest(it->second, now);
   }
 }
 
@@ -193,12 +193,12 @@
   // yet known to this entry, and be refused while another target could serve.
   if (!it.tried.empty()) {
     it.tried.clear();
-    it.route_after = now + options_.second_chance_delay;
+    it.next_route_at = now + options_.retry_round_delay;
   }
-  if (it.route_until == TimePoint{}) {
-    it.route_until = now + options_.no_target_wait;
+  if (it.no_target_deadline == TimePoint{}) {
+    it.no_target_deadline = now + options_.no_target_wait;
   }
-  if (now >= it.route_until) {
+  if (now >= it.no_target_deadline) {
     Refuse(it,
            {503, RunState::kNotRun, "no_target",
             "No target of deployment " + it.request->deployment +
@@ -216,8 +216,8 @@
   const AttemptRef ref{id, side.info.incarnation, ++last_start_sequence_};
   it.attempt.emplace(ref, instance, options_.stream_window_bytes, now);
   it.tried.push_back(instance);
-  it.route_until = {};
-  it.head_taken = false;
+  it.no_target_deadline = {};
+  it.head_received = false;
   it.keep_answer = it.request->repeatability == Repeatability::kKeyed;
   it.answer = {};
   if (it.forwards++ == 0) {
@@ -240,7 +240,8 @@
                                                  const std::string& instance) {
   const auto found = attempts_.find(id);
   SideTable::Side* to = sides_.Find(instance);
-  if (found == attempts_.end() || to == nullptr || !SideTable::TakesWork(*to)) {
+  if (found == attempts_.end() || to == nullptr ||
+      !SideTable::AcceptsAttempts(*to)) {
     return std::nullopt;
   }
   Request& it = requests_.at(found->second);
@@ -282,15 +283,15 @@
       return false;
     case FrameDisposition::kGap:
       ++counts_.gap_frames;
-      if (now - it.attempt->resume_requested_at >= kLeastAskInterval) {
-        AskAgain(it, link, now);
+      if (now - it.attempt->resume_requested_at >= kMinResumeInterval) {
+        RequestResume(it, link, now);
       }
       return false;
   }
   return false;
 }
 
-void RequestFlow::AskAgain(Request& it, SideLink link, TimePoint now) {
+void RequestFlow::RequestResume(Request& it, SideLink link, TimePoint now) {
   Attempt& attempt = *it.attempt;
   attempt.resume_requested_at = now;
   attempt.unsent_credit = 0;
@@ -313,8 +314,8 @@
     OnResumedHead(*it, status, headers, now);
     return;
   }
-  it->head_taken = true;
-  it->held_since = now;
+  it->head_received = true;
+  it->head_received_at = now;
   it->answer.status = status;
   it->answer.headers = std::move(headers);
   if (IsStreamed(it->answer.headers)) {
@@ -331,7 +332,7 @@
                                 TimePoint now) {
   if (status == kOk && HasReadableEvents(headers)) {
     // The caller already has the head of the first target.
-    it.head_taken = true;
+    it.head_received = true;
     return;
   }
   SideRefusal why;
@@ -357,7 +358,7 @@
   }
   if (!it.head_delivered) {
     it.answer.body += data;
-    if (it.answer.body.size() > options_.max_held_bytes) {
+    if (it.answer.body.size() > options_.max_buffered_bytes) {
       DeliverHead(it);
     }
     return;
@@ -390,7 +391,7 @@
 }
 
 void RequestFlow::DeliverHead(Request& it) {
-  if (it.head_delivered || !it.head_taken) {
+  if (it.head_delivered || !it.head_received) {
     return;
   }
   it.head_delivered = true;
--- a/src/core/request/request_flow.h
+++ b/src/core/request/request_flow.h
@@ -67,10 +67,10 @@
   std::uint64_t stream_window_bytes = 256U << 10;
   /// Answers that are not streamed are buffered up to this size until their end
   /// frame is checked, so that a failure can still become a retry or an error.
-  std::uint64_t max_held_bytes = 64U << 10;
+  std::uint64_t max_buffered_bytes = 64U << 10;
   std::uint64_t max_stored_answer_bytes = 1U << 20;
   /// Longest time to buffer an answer that has no Content-Length.
-  Duration max_hold = std::chrono::milliseconds(250);
+  Duration max_buffer_time = std::chrono::milliseconds(250);
   std::uint32_t max_forwards = 8;
   Duration resume_timeout = std::chrono::seconds(10);
   /// Time that a side may be absent before an idempotent request that can still
@@ -80,7 +80,7 @@
   Duration no_target_wait = std::chrono::seconds(1);
   /// Delay before the tried targets are tried again. Several such delays are
   /// longer than the heartbeat interval after which a changed target is known.
-  Duration second_chance_delay = std::chrono::milliseconds(200);
+  Duration retry_round_delay = std::chrono::milliseconds(200);
   /// Time without news of an attempt after which its side is probed.
   Duration probe_interval = std::chrono::seconds(1);
   /// Retries an idempotent request that a target answered with a 5xx status at
@@ -135,7 +135,7 @@
   /// Called when a target died while it ran the request.
   std::function<void(const CallerRequest&, const std::string& instance,
                      TimePoint)>
-      report_kill;
+      report_target_death;
   /// Called when the request has its final answer or its caller has left.
   std::function<void(const CallerRequest&, TimePoint)> on_done;
 };
@@ -248,13 +248,13 @@
     bool may_have_run = false;
     bool claimed = false;
     bool caller_gone = false;
-    bool head_taken = false;      ///< From the current attempt.
+    bool head_received = false;   ///< From the current attempt.
     bool head_delivered = false;  ///< To the caller; only a resume can follow.
     bool keep_answer = false;     ///< Keyed and still small enough to store.
     WholeAnswer answer;           ///< Buffered or stored part of the answer.
-    TimePoint route_until;
-    TimePoint route_after;  ///< When tried targets may be used again.
-    TimePoint held_since;   ///< When the buffered head arrived.
+    TimePoint no_target_deadline;
+    TimePoint next_route_at;     ///< When tried targets may be used again.
+    TimePoint head_received_at;  ///< When the buffered head arrived.
     /// Position in a stream that may resume at another target.
     std::optional<EventCursor> cursor;
   };
@@ -273,7 +273,7 @@
   void OnResumedHead(Request& it, int status,
                      const std::vector<HeaderField>& headers, TimePoint now);
   void GrantCredit(Request& it, std::uint64_t bytes);
-  void AskAgain(Request& it, SideLink link, TimePoint now);
+  void RequestResume(Request& it, SideLink link, TimePoint now);
 
   // Ends of attempts and requests (request_flow_ends.cc) and their timeouts
   // (request_flow_time.cc).
@@ -290,10 +290,10 @@
   bool IsFailedAnswer(const Request& it) const;
   void CompleteAnswer(Request& it, TimePoint now);
   void Refuse(Request& it, Refusal refusal, TimePoint now);
-  void Settle(Request& it, ClaimSettlement settlement,
-              const WholeAnswer* answer, TimePoint now);
-  void Forget(Request& it, TimePoint now);
-  void LoseAttempts(const std::vector<AttemptId>& ids, TimePoint now);
+  void SettleClaim(Request& it, ClaimSettlement settlement,
+                   const WholeAnswer* answer, TimePoint now);
+  void EraseRequest(Request& it, TimePoint now);
+  void FailLostAttempts(const std::vector<AttemptId>& ids, TimePoint now);
   bool MayHaveStarted(const Request& it) const;
   void TickRequest(Request& it, TimePoint now);
   void TickAttempt(Request& it, TimePoint now);
--- a/src/core/request/request_flow_ends.cc
+++ b/src/core/request/request_flow_ends.cc
@@ -8,29 +8,30 @@
 
 /// Retries that a deployment has before its traffic has earned any, and the
 /// most that it can accumulate.
-constexpr double kFirstRetries = 20;
-constexpr double kMostRetries = 100;
+constexpr double kInitialRetries = 20;
+constexpr double kMaxSavedRetries = 100;
 
 SideRefusal CauseOf(const AttemptEnd& end) {
   switch (end.outcome) {
     case AttemptOutcome::kTargetDied:
-      return Because("target_died",
-                     "The target died while it ran the request.");
+      return MakeSideRefusal("target_died",
+                             "The target died while it ran the request.");
     case AttemptOutcome::kDeadline:
-      return Because("deadline",
-                     "The target did not finish before the deadline.");
+      return MakeSideRefusal("deadline",
+                             "The target did not finish before the deadline.");
     case AttemptOutcome::kCancelled:
-      return Because("cancelled", "The attempt was cancelled.");
+      return MakeSideRefusal("cancelled", "The attempt was cancelled.");
     case AttemptOutcome::kNotStarted:
-      return Because("target_unreachable", "The target could not be reached.");
+      return MakeSideRefusal("target_unreachable",
+                             "The target could not be reached.");
     case AttemptOutcome::kComplete:
-      return Because("corrupt_answer",
-                     "The answer does not match its end frame.");
+      return MakeSideRefusal("corrupt_answer",
+                             "The answer does not match its end frame.");
     case AttemptOutcome::kTargetFailed:
       break;
   }
-  return Because("target_failed",
-                 "The target failed before its answer was complete.");
+  return MakeSideRefusal("target_failed",
+                         "The target failed before its answer was complete.");
 }
 
 }  // namespace
@@ -42,19 +43,21 @@
     return;
   }
   const bool agrees = end.outcome == AttemptOutcome::kComplete &&
-                      it->head_taken && it->attempt->Matches(end);
+                      it->head_received && it->attempt->Matches(end);
   if (agrees && it->cursor && it->cursor->is_inside_event()) {
-    EndAttempt(*it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
-               Because("stream_cut", "The stream ended inside an event."), now);
+    EndAttempt(
+        *it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
+        MakeSideRefusal("stream_cut", "The stream ended inside an event."),
+        now);
     return;
   }
   if (agrees) {
     if (IsFailedAnswer(*it) &&
         MayRetry(*it, Ending::kAmbiguous, AttemptReach::kTarget, now)) {
-      FinishAttempt(
-          *it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
-          Because("target_failed", "The target answered with a 5xx status."),
-          /*retry=*/true, now);
+      FinishAttempt(*it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
+                    MakeSideRefusal("target_failed",
+                                    "The target answered with a 5xx status."),
+                    /*retry=*/true, now);
       return;
     }
     CompleteAnswer(*it, now);
@@ -63,12 +66,13 @@
   if (end.outcome == AttemptOutcome::kComplete) {
     ++counts_.corrupt_answers;
   }
-  if (end.outcome == AttemptOutcome::kTargetDied && hooks_.report_kill) {
-    hooks_.report_kill(*it->request, it->attempt->instance(), now);
+  if (end.outcome == AttemptOutcome::kTargetDied &&
+      hooks_.report_target_death) {
+    hooks_.report_target_death(*it->request, it->attempt->instance(), now);
   }
   // A head proves a start, whatever the end frame states.
   const bool not_started =
-      end.outcome == AttemptOutcome::kNotStarted && !it->head_taken;
+      end.outcome == AttemptOutcome::kNotStarted && !it->head_received;
   EndAttempt(*it, not_started ? Ending::kNotStarted : Ending::kAmbiguous,
              end.outcome, CauseOf(end), now);
 }
@@ -92,7 +96,8 @@
   if (found == attempts_.end()) {
     return;
   }
-  SideRefusal why = Because("side_busy", "The send queue to the side is full.");
+  SideRefusal why =
+      MakeSideRefusal("side_busy", "The send queue to the side is full.");
   why.overloaded = true;
   EndAttempt(requests_.at(found->second), Ending::kNotStarted,
              AttemptOutcome::kNotStarted, why, now);
@@ -115,10 +120,11 @@
     case AttemptKnowledge::kFinished:
       it->attempt->last_message_at = now;
       if (next_sequence > it->attempt->next_sequence()) {
-        EndAttempt(*it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
-                   Because("frames_lost",
-                           "The side no longer has a part of the answer."),
-                   now);
+        EndAttempt(
+            *it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
+            MakeSideRefusal("frames_lost",
+                            "The side no longer has a part of the answer."),
+            now);
       }
       return;
     case AttemptKnowledge::kNotStarted:
@@ -126,12 +132,15 @@
           *it,
           it->attempt->started() ? Ending::kAmbiguous : Ending::kNotStarted,
           AttemptOutcome::kNotStarted,
-          Because("not_started", "The side did not receive the request."), now);
+          MakeSideRefusal("not_started",
+                          "The side did not receive the request."),
+          now);
       return;
     case AttemptKnowledge::kLost:
-      EndAttempt(*it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
-                 Because("side_lost", "The side no longer knows the request."),
-                 now);
+      EndAttempt(
+          *it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
+          MakeSideRefusal("side_lost", "The side no longer knows the request."),
+          now);
       return;
   }
 }
@@ -161,8 +170,8 @@
 
 RetryBudget& RequestFlow::BudgetOf(const CallerRequest& request) {
   RetryBudget::Options options;
-  options.initial = kFirstRetries;
-  options.burst = kMostRetries;
+  options.initial = kInitialRetries;
+  options.burst = kMaxSavedRetries;
   RetryBudget& budget =
       retry_budgets_.try_emplace(request.deployment, options).first->second;
   budget.SetShare(request.retry_budget_share);
@@ -236,8 +245,8 @@
   ReleaseAttempt(it, AttemptOutcome::kComplete, false, now);
   const bool whole = !it.head_delivered;
   if (it.claimed) {
-    Settle(it, ClaimSettlement::kFinished,
-           it.keep_answer ? &it.answer : nullptr, now);
+    SettleClaim(it, ClaimSettlement::kFinished,
+                it.keep_answer ? &it.answer : nullptr, now);
   }
   if (!it.caller_gone) {
     if (whole) {
@@ -246,7 +255,7 @@
       actions_.push_back(AnswerEnd{it.request->id});
     }
   }
-  Forget(it, now);
+  EraseRequest(it, now);
 }
 
 void RequestFlow::Refuse(Request& it, Refusal refusal, TimePoint now) {
@@ -260,27 +269,27 @@
   } else if (refusal.run == RunState::kNotRun) {
     ++counts_.not_run_refusals;
   }
-  Settle(it,
-         refusal.run == RunState::kNotRun ? ClaimSettlement::kNotRun
-                                          : ClaimSettlement::kUnknown,
-         nullptr, now);
+  SettleClaim(it,
+              refusal.run == RunState::kNotRun ? ClaimSettlement::kNotRun
+                                               : ClaimSettlement::kUnknown,
+              nullptr, now);
   if (!it.caller_gone && it.head_delivered) {
     actions_.push_back(AnswerAbort{it.request->id, std::move(refusal)});
   } else if (!it.caller_gone) {
     actions_.push_back(AnswerRefusal{it.request->id, std::move(refusal)});
   }
-  Forget(it, now);
+  EraseRequest(it, now);
 }
 
-void RequestFlow::Settle(Request& it, ClaimSettlement settlement,
-                         const WholeAnswer* answer, TimePoint now) {
+void RequestFlow::SettleClaim(Request& it, ClaimSettlement settlement,
+                              const WholeAnswer* answer, TimePoint now) {
   if (it.claimed && hooks_.settle_claim) {
     hooks_.settle_claim(*it.request, settlement, answer, now);
   }
   it.claimed = false;
 }
 
-void RequestFlow::Forget(Request& it, TimePoint now) {
+void RequestFlow::EraseRequest(Request& it, TimePoint now) {
   if (hooks_.on_done) {
     hooks_.on_done(*it.request, now);
   }
@@ -307,10 +316,11 @@
     it.may_have_run = true;
     ReleaseAttempt(it, AttemptOutcome::kCancelled, true, now);
   }
-  Settle(it,
-         it.may_have_run ? ClaimSettlement::kUnknown : ClaimSettlement::kNotRun,
-         nullptr, now);
-  Forget(it, now);
+  SettleClaim(
+      it,
+      it.may_have_run ? ClaimSettlement::kUnknown : ClaimSettlement::kNotRun,
+      nullptr, now);
+  EraseRequest(it, now);
 }
 
 }  // namespace indigolead
--- a/src/core/request/request_flow_time.cc
+++ b/src/core/request/request_flow_time.cc
@@ -10,28 +10,29 @@
 namespace {
 
 /// Absence after which a side without attempts is dropped.
-constexpr Duration kForgetSideAfter = std::chrono::minutes(5);
+constexpr Duration kAbsentSideRetention = std::chrono::minutes(5);
 
-bool StatesLength(const std::vector<HeaderField>& headers) {
+bool HasContentLength(const std::vector<HeaderField>& headers) {
   return !FindHeader(headers, "content-length").empty();
 }
 
 }  // namespace
 
 void RequestFlow::OnSideUp(SideLink link, SideInfo info, TimePoint now) {
-  const SideTable::UpResult up = sides_.Up(link, std::move(info));
-  if (up.side == nullptr) {
+  const SideTable::ConnectResult connected =
+      sides_.Connect(link, std::move(info));
+  if (connected.side == nullptr) {
     return;
   }
-  LoseAttempts(up.lost, now);
-  SendPendingCancels(*up.side);
-  if (!up.lost.empty()) {
+  FailLostAttempts(connected.lost, now);
+  SendPendingCancels(*connected.side);
+  if (!connected.lost.empty()) {
     return;
   }
-  for (const AttemptId& id : up.side->attempts) {
+  for (const AttemptId& id : connected.side->attempts) {
     Request& it = requests_.at(attempts_.at(id));
     it.attempt->last_message_at = now;
-    AskAgain(it, link, now);
+    RequestResume(it, link, now);
   }
 }
 
@@ -50,20 +51,21 @@
   }
 }
 
-void RequestFlow::LoseAttempts(const std::vector<AttemptId>& ids,
-                               TimePoint now) {
+void RequestFlow::FailLostAttempts(const std::vector<AttemptId>& ids,
+                                   TimePoint now) {
   for (const AttemptId& id : ids) {
     const auto found = attempts_.find(id);
     if (found != attempts_.end()) {
       EndAttempt(requests_.at(found->second), Ending::kAmbiguous,
                  AttemptOutcome::kTargetFailed,
-                 Because("side_lost", "The target's side restarted."), now);
+                 MakeSideRefusal("side_lost", "The target's side restarted."),
+                 now);
     }
   }
 }
 
 void RequestFlow::OnSideDown(SideLink link, TimePoint now) {
-  sides_.Down(link, now);
+  sides_.Disconnect(link, now);
 }
 
 void RequestFlow::OnSideChanged(SideLink link, const SideInfo& info,
@@ -104,7 +106,7 @@
       TickRequest(found->second, now);
     }
   }
-  sides_.DropAbsent(kForgetSideAfter, now);
+  sides_.DropAbsent(kAbsentSideRetention, now);
 }
 
 bool RequestFlow::MayHaveStarted(const Request& it) const {
@@ -119,9 +121,10 @@
   if (now >= it.request->deadline) {
     // While the claim on the key is unanswered, an earlier request with the
     // same key may have run, so "not-run" is not proven.
-    const bool unasked = it.stage == Stage::kClaim &&
-                         it.request->repeatability == Repeatability::kKeyed;
-    it.may_have_run = it.may_have_run || unasked || MayHaveStarted(it);
+    const bool claim_unanswered =
+        it.stage == Stage::kClaim &&
+        it.request->repeatability == Repeatability::kKeyed;
+    it.may_have_run = it.may_have_run || claim_unanswered || MayHaveStarted(it);
     ReleaseAttempt(it, AttemptOutcome::kDeadline, true, now);
     Refuse(it,
            {504, RunState::kNotRun, "deadline",
@@ -130,14 +133,14 @@
     return;
   }
   if (it.stage == Stage::kRoute) {
-    if (now >= it.route_after) {
+    if (now >= it.next_route_at) {
       Route(it, now);
     }
     return;
   }
-  if (it.head_taken && !it.head_delivered &&
-      now - it.held_since >= options_.max_hold &&
-      !StatesLength(it.answer.headers)) {
+  if (it.head_received && !it.head_delivered &&
+      now - it.head_received_at >= options_.max_buffer_time &&
+      !HasContentLength(it.answer.headers)) {
     DeliverHead(it);
   }
   if (it.attempt) {
@@ -156,9 +159,10 @@
         absent >= options_.absence_grace &&
         MayRetry(it, Ending::kAmbiguous, AttemptReach::kTarget, now);
     if (retry || absent >= options_.resume_timeout) {
-      FinishAttempt(it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
-                    Because("side_absent", "The target's side is unreachable."),
-                    retry, now);
+      FinishAttempt(
+          it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
+          MakeSideRefusal("side_absent", "The target's side is unreachable."),
+          retry, now);
     }
     return;
   }
@@ -167,12 +171,12 @@
     return;
   }
   if (now - attempt.last_message_at >= options_.resume_timeout) {
-    EndAttempt(
-        it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
-        Because("side_silent", "The side stopped reporting on the request."),
-        now);
+    EndAttempt(it, Ending::kAmbiguous, AttemptOutcome::kTargetFailed,
+               MakeSideRefusal("side_silent",
+                               "The side stopped reporting on the request."),
+               now);
   } else if (now - attempt.resume_requested_at >= options_.probe_interval) {
-    AskAgain(it, *side->link, now);
+    RequestResume(it, *side->link, now);
   }
 }
 
--- a/src/core/request/request_reader.cc
+++ b/src/core/request/request_reader.cc
@@ -15,7 +15,7 @@
 namespace indigolead {
 namespace {
 
-constexpr std::size_t kMostKeyBytes = 255;
+constexpr std::size_t kMaxKeyBytes = 255;
 /// Typical size of a token of text; used only to estimate tokens for routing.
 constexpr std::uint64_t kBytesPerToken = 4;
 constexpr std::uint64_t kDefaultOutputTokens = 256;
@@ -45,13 +45,13 @@
   return headers;
 }
 
-/// Returns the shorter of the caller's deadline and `most`, the deployment's;
-/// nothing if the caller's is malformed.
+/// Returns the shorter of the caller's deadline and `max_deadline`, the
+/// deployment's; nothing if the caller's is malformed.
 std::optional<Duration> ReadDeadline(const std::vector<HeaderField>& headers,
-                                     Duration most) {
+                                     Duration max_deadline) {
   const std::string_view text = FindHeader(headers, "indigolead-deadline-ms");
   if (text.empty()) {
-    return most;
+    return max_deadline;
   }
   std::uint32_t ms = 0;
   const auto [end, ec] =
@@ -59,7 +59,7 @@
   if (ec != std::errc() || end != text.data() + text.size() || ms == 0) {
     return std::nullopt;
   }
-  return std::min<Duration>(most, std::chrono::milliseconds(ms));
+  return std::min<Duration>(max_deadline, std::chrono::milliseconds(ms));
 }
 
 Repeatability RepeatabilityOf(const IncomingRequest& incoming,
@@ -141,7 +141,7 @@
                        std::to_string(spec.request.max_body_bytes) + " bytes."};
   }
   const std::string_view key = FindHeader(incoming.headers, "idempotency-key");
-  if (key.size() > kMostKeyBytes) {
+  if (key.size() > kMaxKeyBytes) {
     return BadRequest("key_too_long",
                       "An Idempotency-Key has at most 255 bytes.");
   }
--- a/src/core/request/request_types.h
+++ b/src/core/request/request_types.h
@@ -235,10 +235,10 @@
 /// retry costs where the targets' operator counts each arrival beyond a
 /// request's first.
 enum class AttemptReach {
-  kNothing,  ///< Nothing was written to any target.
-  kReader,   ///< Only a prefill engine was called. One such call is part of a
-             ///< first attempt.
-  kTarget,   ///< The answering target was reached, or may have been.
+  kNothing,        ///< Nothing was written to any target.
+  kPrefillEngine,  ///< Only a prefill engine was called. One such call is part
+                   ///< of a first attempt.
+  kTarget,  ///< The answering target was reached, or may have been.
 };
 
 /// Why an attempt ended without a complete answer, such as a refusal by its
@@ -253,7 +253,7 @@
 };
 
 /// Returns a refusal with the given code and detail.
-inline SideRefusal Because(std::string code, std::string detail) {
+inline SideRefusal MakeSideRefusal(std::string code, std::string detail) {
   SideRefusal why;
   why.code = std::move(code);
   why.detail = std::move(detail);
--- a/src/core/request/route_table.cc
+++ b/src/core/request/route_table.cc
@@ -25,40 +25,41 @@
     : configuration_(std::move(configuration)) {
   for (std::size_t it = 0; it < configuration_.routes.size(); ++it) {
     const ServiceRoute& route = configuration_.routes[it];
-    places_[HostKey(route.host)].emplace(route.path_prefix, it);
+    route_indexes_[HostKey(route.host)].emplace(route.path_prefix, it);
   }
   if (!configuration_.accounts) {
     return;
   }
   for (std::size_t it = 0; it < configuration_.accounts->size(); ++it) {
     for (const KeyHash& key : (*configuration_.accounts)[it].keys) {
-      keys_.Add(key, it);
+      account_indexes_.Add(key, it);
     }
   }
 }
 
 std::variant<const RouteAccount*, Refusal> RouteTable::Admit(
     const ServiceRoute& route, std::string_view key) const {
-  const RouteAccount* nobody = nullptr;
-  if (!reads_keys()) {
-    return nobody;
+  const RouteAccount* no_account = nullptr;
+  if (!checks_keys()) {
+    return no_account;
   }
   if (!key.empty()) {
-    const std::vector<std::size_t>& places = keys_.Find(HashKey(key));
-    if (!places.empty()) {
-      return &(*configuration_.accounts)[places.front()];
+    const std::vector<std::size_t>& indexes =
+        account_indexes_.Find(HashKey(key));
+    if (!indexes.empty()) {
+      return &(*configuration_.accounts)[indexes.front()];
     }
   }
   if (route.open_to_all) {
-    return nobody;
+    return no_account;
   }
   return UnknownKeyRefusal();
 }
 
 const ServiceRoute* RouteTable::Find(std::string_view host,
                                      std::string_view path) const {
-  const auto prefixes = places_.find(HostKey(host));
-  if (prefixes == places_.end()) {
+  const auto prefixes = route_indexes_.find(HostKey(host));
+  if (prefixes == route_indexes_.end()) {
     return nullptr;
   }
   path = path.substr(0, path.find('?'));
@@ -75,7 +76,7 @@
 const ServiceTraits* RouteTable::FindService(const std::string& service) const {
   const auto it = std::find_if(
       configuration_.services.begin(), configuration_.services.end(),
-      [&](const ServiceTraits& one) { return one.name == service; });
+      [&](const ServiceTraits& traits) { return traits.name == service; });
   return it == configuration_.services.end() ? nullptr : &*it;
 }
 
--- a/src/core/request/route_table.h
+++ b/src/core/request/route_table.h
@@ -114,7 +114,7 @@
 
   /// Returns true if callers' API keys are meant for this system rather than
   /// for the targets.
-  bool reads_keys() const { return configuration_.accounts.has_value(); }
+  bool checks_keys() const { return configuration_.accounts.has_value(); }
 
   /// Returns the traits of `service`, or null.
   const ServiceTraits* FindService(const std::string& service) const;
@@ -131,9 +131,9 @@
   RouteConfiguration configuration_;
   /// Indexes into `configuration_.routes`, by host and prefix.
   std::unordered_map<std::string, std::unordered_map<std::string, std::size_t>>
-      places_;
+      route_indexes_;
   /// Indexes into `configuration_.accounts`, by key.
-  KeyIndex<std::size_t> keys_;
+  KeyIndex<std::size_t> account_indexes_;
 };
 
 }  // namespace indigolead
--- a/src/core/request/side_table.cc
+++ b/src/core/request/side_table.cc
@@ -5,8 +5,8 @@
 
 namespace indigolead {
 
-SideTable::UpResult SideTable::Up(SideLink link, SideInfo info) {
-  UpResult result;
+SideTable::ConnectResult SideTable::Connect(SideLink link, SideInfo info) {
+  ConnectResult result;
   auto it = sides_.find(info.instance);
   if (it == sides_.end()) {
     if (sides_.size() >= max_sides_) {
@@ -24,14 +24,14 @@
   }
   side.info = std::move(info);
   side.link = link;
-  side.told_to_leave = leaving_.count(side.info.instance) > 0;
+  side.leave_requested = leaving_.count(side.info.instance) > 0;
   side.drained = drains_.count(side.info.instance) > 0;
   links_[link] = side.info.instance;
   result.side = &side;
   return result;
 }
 
-SideTable::Side* SideTable::Down(SideLink link, TimePoint now) {
+SideTable::Side* SideTable::Disconnect(SideLink link, TimePoint now) {
   Side* side = FindByLink(link);
   if (side == nullptr) {
     return nullptr;
@@ -69,7 +69,7 @@
     leaving_.insert(instance);
   }
   if (Side* side = Find(instance)) {
-    side->told_to_leave = leaving;
+    side->leave_requested = leaving;
   }
 }
 
@@ -82,9 +82,9 @@
   }
 }
 
-bool SideTable::TakesWork(const Side& side) {
+bool SideTable::AcceptsAttempts(const Side& side) {
   return side.link && side.info.target_up && !side.info.leaving &&
-         !side.told_to_leave && !side.drained;
+         !side.leave_requested && !side.drained;
 }
 
 std::vector<Candidate> SideTable::CandidatesFor(
@@ -92,7 +92,7 @@
     const std::vector<std::string>& tried) const {
   std::vector<Candidate> candidates;
   for (const auto& [name, side] : sides_) {
-    if (side.info.deployment != deployment || !TakesWork(side)) {
+    if (side.info.deployment != deployment || !AcceptsAttempts(side)) {
       continue;
     }
     const bool was_tried =
--- a/src/core/request/side_table.h
+++ b/src/core/request/side_table.h
@@ -26,15 +26,15 @@
     SideInfo info;
     std::optional<SideLink> link;  ///< Absent while not connected.
     TimePoint absent_since;
-    bool told_to_leave = false;  ///< By the platform.
-    bool drained = false;        ///< By an operator.
+    bool leave_requested = false;  ///< By the platform.
+    bool drained = false;          ///< By an operator.
     std::unordered_set<AttemptId> attempts;
     /// Cancels to send when the side reconnects.
     std::vector<AttemptRef> pending_cancels;
   };
 
   /// Result of recording a connected side.
-  struct UpResult {
+  struct ConnectResult {
     Side* side = nullptr;  ///< Null if the table is full.
     /// Attempts at an earlier incarnation of the instance, which are lost.
     std::vector<AttemptId> lost;
@@ -43,10 +43,10 @@
   explicit SideTable(std::size_t max_sides) : max_sides_(max_sides) {}
 
   /// Records that the side described by `info` is connected by `link`.
-  UpResult Up(SideLink link, SideInfo info);
+  ConnectResult Connect(SideLink link, SideInfo info);
   /// Marks the side of `link` absent. Returns it, or null if the link is
   /// unknown or was replaced by a newer one.
-  Side* Down(SideLink link, TimePoint now);
+  Side* Disconnect(SideLink link, TimePoint now);
   Side* FindByLink(SideLink link);
   const Side* FindByLink(SideLink link) const;
   Side* Find(const std::string& instance);
@@ -58,7 +58,7 @@
   void SetDrains(const std::vector<std::string>& instances);
 
   /// Returns true if new attempts may go to the side's target.
-  static bool TakesWork(const Side& side);
+  static bool AcceptsAttempts(const Side& side);
 
   /// Returns the targets of `deployment` that accept new attempts.
   std::vector<Candidate> CandidatesFor(
--- a/src/entry/direct_carrier.cc
+++ b/src/entry/direct_carrier.cc
@@ -230,9 +230,10 @@
     const Error& error = ErrorOf(answer);
     const bool unsent = IsUnsent(error);
     TellBroken(reader, *run, error);
-    RefuseRun(id, {"prefill_failed",
-                   unsent ? AttemptReach::kNothing : AttemptReach::kReader,
-                   ToString(error)});
+    RefuseRun(id,
+              {"prefill_failed",
+               unsent ? AttemptReach::kNothing : AttemptReach::kPrefillEngine,
+               ToString(error)});
     return;
   }
   TellLimit(reader, *run, ValueOf(answer).status, ValueOf(answer).headers);
@@ -243,7 +244,7 @@
                                       reader, "the engine has been removed"});
   if (!IsOk(handle)) {
     const bool full = ErrorOf(handle).code == ErrorCode::kOverloaded;
-    RefuseRun(id, {"prefill_refused", AttemptReach::kReader,
+    RefuseRun(id, {"prefill_refused", AttemptReach::kPrefillEngine,
                    ToString(ErrorOf(handle)), full});
     return;
   }
@@ -252,7 +253,7 @@
   if (MoveToRunner(id, run)) {
     StartRun(id);
   } else {
-    RefuseRun(id, {"no_runner", AttemptReach::kReader,
+    RefuseRun(id, {"no_runner", AttemptReach::kPrefillEngine,
                    "no engine can make the answer now", true});
   }
 }
@@ -461,7 +462,8 @@
 }
 
 AttemptReach DirectCarrier::ReachBeforeRun(const Run& run) {
-  return run.reader.empty() ? AttemptReach::kNothing : AttemptReach::kReader;
+  return run.reader.empty() ? AttemptReach::kNothing
+                            : AttemptReach::kPrefillEngine;
 }
 
 void DirectCarrier::RefuseRun(const AttemptId& id, Refused why) {
--- a/src/entry/direct_dispatcher.cc
+++ b/src/entry/direct_dispatcher.cc
@@ -155,7 +155,7 @@
     }
   };
   hooks.may_arrive_again = [this](const CallerRequest& request) {
-    return SpendRetry(request, AttemptReach::kReader);
+    return SpendRetry(request, AttemptReach::kPrefillEngine);
   };
   hooks.on_no_arrival = [this](const CallerRequest& request) {
     BudgetOf(request.deployment).Refund(kArrivalsWhole);
@@ -381,7 +381,7 @@
                                   AttemptReach reach) {
   // One reading is part of a first attempt. If that is all there was, the next
   // attempt brings one arrival more than a request may make.
-  const double arrivals = reach == AttemptReach::kReader
+  const double arrivals = reach == AttemptReach::kPrefillEngine
                               ? kArrivalsWhole
                               : ArrivalsOfAttempt(request.deployment);
   EntryRetryBudget& budget = BudgetOf(request.deployment);
--- a/src/entry/direct_dispatcher_crashes.cc
+++ b/src/entry/direct_dispatcher_crashes.cc
@@ -24,7 +24,7 @@
                                       const std::optional<TargetRun>& run,
                                       const CallerRequest& request) {
   const SideTable::Side* side = flow_.sides().Find(instance);
-  if (!side || !SideTable::TakesWork(*side)) {
+  if (!side || !SideTable::AcceptsAttempts(*side)) {
     return;  // One that leaves cuts off what has not ended.
   }
   crashes_.OnBroken({instance, run ? run->started_ms : 0}, request.fingerprint);
--- a/src/entry/direct_dispatcher_notices.cc
+++ b/src/entry/direct_dispatcher_notices.cc
@@ -43,7 +43,7 @@
                                   bool is_new_work) {
   const Duration left = rests_.WaitFor(instance, clock_());
   const SideTable::Side* side = flow_.sides().Find(instance);
-  const bool leaves = side && !SideTable::TakesWork(*side);
+  const bool leaves = side && !SideTable::AcceptsAttempts(*side);
   if (left == Duration{0} && !(is_new_work && leaves)) {
     return Unit{};
   }
--- a/src/entry/entry_process.cc
+++ b/src/entry/entry_process.cc
@@ -100,8 +100,8 @@
   options.flow.max_requests = settings.entry.max_requests;
   options.flow.max_sides = settings.links.max_links;
   options.flow.stream_window_bytes = settings.entry.stream_window_bytes;
-  options.flow.max_held_bytes = std::min<std::uint64_t>(
-      options.flow.max_held_bytes, settings.entry.stream_window_bytes / 2);
+  options.flow.max_buffered_bytes = std::min<std::uint64_t>(
+      options.flow.max_buffered_bytes, settings.entry.stream_window_bytes / 2);
   options.flow.resume_timeout = settings.entry.resume_timeout;
   return options;
 }
--- a/src/entry/request_guards.cc
+++ b/src/entry/request_guards.cc
@@ -57,10 +57,9 @@
                                const WholeAnswer* answer, TimePoint now) {
     claims_.Settle(it, settlement, answer, now);
   };
-  hooks->report_kill = [this](const CallerRequest& it,
-                              const std::string& instance, TimePoint now) {
-    quarantine_.ReportKill(it, instance, now);
-  };
+  hooks->report_target_death =
+      [this](const CallerRequest& it, const std::string& instance,
+             TimePoint now) { quarantine_.ReportKill(it, instance, now); };
   const auto route = hooks->route ? hooks->route : LeastOutstanding;
   hooks->route = [this, route](const CallerRequest& it,
                                const std::vector<Candidate>& candidates,
--- a/tests/core/request/request_flow_faults_test.cc
+++ b/tests/core/request/request_flow_faults_test.cc
@@ -50,9 +50,9 @@
 };
 
 /// Sends one request with two targets available; the first one has the fault.
-class Scene {
+class FaultScenario {
  public:
-  explicit Scene(Kind kind) : kind_(kind) {
+  explicit FaultScenario(Kind kind) : kind_(kind) {
     link_ = driver_.Up("bilbao-a-1");
     other_ = driver_.Up("bilbao-a-2");
     const Repeatability repeatability =
@@ -94,7 +94,7 @@
     link_ = driver_.Up("bilbao-a-1");
     driver_.starts[0].link = link_;
   }
-  void Knows(AttemptKnowledge known) {
+  void ReportState(AttemptKnowledge known) {
     driver_.flow().OnKnowledge(first().link, first().attempt, known, 0,
                                driver_.now());
     driver_.Collect();
@@ -153,14 +153,14 @@
 
 struct FaultCase {
   const char* fault;
-  std::function<void(Scene&)> play;
+  std::function<void(FaultScenario&)> inject;
   Expected idempotent;
   Expected keyed;
   Expected once;
   Expected streamed;
 };
 
-const Expected& For(const FaultCase& it, Kind kind) {
+const Expected& ExpectedFor(const FaultCase& it, Kind kind) {
   switch (kind) {
     case Kind::kIdempotent:
       return it.idempotent;
@@ -174,75 +174,82 @@
   return it.once;
 }
 
-void PlayAll(const std::vector<FaultCase>& cases) {
+void CheckAll(const std::vector<FaultCase>& cases) {
   for (const FaultCase& it : cases) {
     for (const Kind kind : kKinds) {
       INFO("fault: " << it.fault);
-      Scene scene(kind);
-      it.play(scene);
-      scene.Finish(For(it, kind));
+      FaultScenario scenario(kind);
+      it.inject(scenario);
+      scenario.Finish(ExpectedFor(it, kind));
     }
   }
 }
 
-constexpr Expected kOnceAnswered{Outcome::kAnswered, 1};
-constexpr Expected kTwiceAnswered{Outcome::kAnswered, 2};
-constexpr Expected kOnceUnknown{Outcome::kUnknown, 1};
-constexpr Expected kOnceBroken{Outcome::kBroken, 1};
+constexpr Expected kAnsweredInOneRun{Outcome::kAnswered, 1};
+constexpr Expected kAnsweredInTwoRuns{Outcome::kAnswered, 2};
+constexpr Expected kUnknownAfterOneRun{Outcome::kUnknown, 1};
+constexpr Expected kBrokenAfterOneRun{Outcome::kBroken, 1};
 
 // The caller of an idempotent request gets an answer if another target can
 // still give one. The caller of any other request gets "unknown" once the run
 // may have begun: it is not known how far the dead target got, and a second run
 // could duplicate the first.
 TEST_CASE("Target failures: outcome and runs for each kind of request") {
-  PlayAll({
-      {"dies before the start", [](Scene& it) { it.Refuse("target_down"); },
-       kOnceAnswered, kOnceAnswered, kOnceAnswered, kOnceAnswered},
+  CheckAll({
+      {"dies before the start",
+       [](FaultScenario& it) { it.Refuse("target_down"); }, kAnsweredInOneRun,
+       kAnsweredInOneRun, kAnsweredInOneRun, kAnsweredInOneRun},
       {"dies before the first byte is written to it",
-       [](Scene& it) { it.EndAs(0, AttemptOutcome::kNotStarted); },
-       kOnceAnswered, kOnceAnswered, kOnceAnswered, kOnceAnswered},
+       [](FaultScenario& it) { it.EndAs(0, AttemptOutcome::kNotStarted); },
+       kAnsweredInOneRun, kAnsweredInOneRun, kAnsweredInOneRun,
+       kAnsweredInOneRun},
       {"dies after the start",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.EndAs(0, AttemptOutcome::kTargetDied);
        },
-       kTwiceAnswered, kOnceUnknown, kOnceUnknown, kTwiceAnswered},
+       kAnsweredInTwoRuns, kUnknownAfterOneRun, kUnknownAfterOneRun,
+       kAnsweredInTwoRuns},
       {"dies in the middle of its answer",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.Head();
          it.FirstChunk();
          it.EndAs(2, AttemptOutcome::kTargetDied);
        },
-       kTwiceAnswered, kOnceUnknown, kOnceUnknown, kOnceBroken},
+       kAnsweredInTwoRuns, kUnknownAfterOneRun, kUnknownAfterOneRun,
+       kBrokenAfterOneRun},
       {"dies after the last part and before the end",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.Head();
          it.FirstChunk();
          it.SecondChunk();
          it.EndAs(3, AttemptOutcome::kTargetDied);
        },
-       kTwiceAnswered, kOnceUnknown, kOnceUnknown, kOnceBroken},
+       kAnsweredInTwoRuns, kUnknownAfterOneRun, kUnknownAfterOneRun,
+       kBrokenAfterOneRun},
       {"is paused for 5 s during the answer",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.Head();
          it.FirstChunk();
          for (int i = 0; i < 10; ++i) {
            it.driver().Pass(milliseconds(500));
-           it.Knows(AttemptKnowledge::kRunning);
+           it.ReportState(AttemptKnowledge::kRunning);
          }
          it.SecondChunk();
          it.End();
        },
-       kOnceAnswered, kOnceAnswered, kOnceAnswered, kOnceAnswered},
+       kAnsweredInOneRun, kAnsweredInOneRun, kAnsweredInOneRun,
+       kAnsweredInOneRun},
       {"hangs after the start, and its side reports it",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.EndAs(0, AttemptOutcome::kTargetFailed);
        },
-       kTwiceAnswered, kOnceUnknown, kOnceUnknown, kTwiceAnswered},
+       kAnsweredInTwoRuns, kUnknownAfterOneRun, kUnknownAfterOneRun,
+       kAnsweredInTwoRuns},
   });
 }
 
@@ -250,48 +257,53 @@
 // target. A side that reconnects as the same process still holds its attempts:
 // the answer resumes with the next frame, and nothing runs twice.
 TEST_CASE("Side failures: outcome and runs for each kind of request") {
-  PlayAll({
+  CheckAll({
       {"is gone before the start can be queued",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.driver().flow().OnStartNotSent(it.first().attempt,
                                            it.driver().now());
          it.driver().Collect();
        },
-       kOnceAnswered, kOnceAnswered, kOnceAnswered, kOnceAnswered},
+       kAnsweredInOneRun, kAnsweredInOneRun, kAnsweredInOneRun,
+       kAnsweredInOneRun},
       {"dies after the start",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.SideRestarts();
        },
-       kTwiceAnswered, kOnceUnknown, kOnceUnknown, kTwiceAnswered},
+       kAnsweredInTwoRuns, kUnknownAfterOneRun, kUnknownAfterOneRun,
+       kAnsweredInTwoRuns},
       {"dies in the middle of the answer",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.Head();
          it.FirstChunk();
          it.SideRestarts();
        },
-       kTwiceAnswered, kOnceUnknown, kOnceUnknown, kOnceBroken},
+       kAnsweredInTwoRuns, kUnknownAfterOneRun, kUnknownAfterOneRun,
+       kBrokenAfterOneRun},
       {"dies after the last part and before the end",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.Head();
          it.FirstChunk();
          it.SecondChunk();
          it.SideRestarts();
        },
-       kTwiceAnswered, kOnceUnknown, kOnceUnknown, kOnceBroken},
+       kAnsweredInTwoRuns, kUnknownAfterOneRun, kUnknownAfterOneRun,
+       kBrokenAfterOneRun},
       {"dies and never comes back",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.Head();
          it.FirstChunk();
          it.LinkDown();
          it.driver().Pass(seconds(1));
        },
-       kTwiceAnswered, kOnceUnknown, kOnceUnknown, kOnceBroken},
+       kAnsweredInTwoRuns, kUnknownAfterOneRun, kUnknownAfterOneRun,
+       kBrokenAfterOneRun},
       {"is paused for 5 s during the answer",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.Head();
          it.FirstChunk();
@@ -302,7 +314,8 @@
          it.SecondChunk();
          it.End();
        },
-       kTwiceAnswered, kOnceAnswered, kOnceAnswered, kOnceAnswered},
+       kAnsweredInTwoRuns, kAnsweredInOneRun, kAnsweredInOneRun,
+       kAnsweredInOneRun},
   });
 }
 
@@ -310,17 +323,18 @@
 // the grace period nothing is sent elsewhere: the side keeps the frames, and
 // the entry requests them from the next one on over the new connection.
 TEST_CASE("Connection failures: outcome and runs for each kind of request") {
-  PlayAll({
+  CheckAll({
       {"before the start arrives",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.LinkDown();
          it.driver().Pass(milliseconds(500));
          it.SideReturns();
-         it.Knows(AttemptKnowledge::kNotStarted);
+         it.ReportState(AttemptKnowledge::kNotStarted);
        },
-       kOnceAnswered, kOnceAnswered, kOnceAnswered, kOnceAnswered},
+       kAnsweredInOneRun, kAnsweredInOneRun, kAnsweredInOneRun,
+       kAnsweredInOneRun},
       {"after the start",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.LinkDown();
          it.driver().Pass(milliseconds(500));
@@ -330,9 +344,10 @@
          it.SecondChunk();
          it.End();
        },
-       kOnceAnswered, kOnceAnswered, kOnceAnswered, kOnceAnswered},
+       kAnsweredInOneRun, kAnsweredInOneRun, kAnsweredInOneRun,
+       kAnsweredInOneRun},
       {"during the answer, and frames already received are resent",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.Head();
          it.FirstChunk();
@@ -344,9 +359,10 @@
          it.SecondChunk();
          it.End();
        },
-       kOnceAnswered, kOnceAnswered, kOnceAnswered, kOnceAnswered},
+       kAnsweredInOneRun, kAnsweredInOneRun, kAnsweredInOneRun,
+       kAnsweredInOneRun},
       {"after the last part and before the end",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.Head();
          it.FirstChunk();
@@ -356,9 +372,10 @@
          it.SideReturns();
          it.End();
        },
-       kOnceAnswered, kOnceAnswered, kOnceAnswered, kOnceAnswered},
+       kAnsweredInOneRun, kAnsweredInOneRun, kAnsweredInOneRun,
+       kAnsweredInOneRun},
       {"and the side has dropped frames meanwhile",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.Head();
          it.FirstChunk();
@@ -370,7 +387,8 @@
                                         it.driver().now());
          it.driver().Collect();
        },
-       kTwiceAnswered, kOnceUnknown, kOnceUnknown, kOnceBroken},
+       kAnsweredInTwoRuns, kUnknownAfterOneRun, kUnknownAfterOneRun,
+       kBrokenAfterOneRun},
   });
 }
 
@@ -379,9 +397,9 @@
 // death of an entry also ends its callers' connections; the process tests cover
 // that case.
 TEST_CASE("An entry paused for 5 s resumes its answers") {
-  PlayAll({
+  CheckAll({
       {"in the middle of the answer",
-       [](Scene& it) {
+       [](FaultScenario& it) {
          it.Begin();
          it.Head();
          it.FirstChunk();
@@ -391,7 +409,8 @@
          it.SecondChunk();
          it.End();
        },
-       kOnceAnswered, kOnceAnswered, kOnceAnswered, kOnceAnswered},
+       kAnsweredInOneRun, kAnsweredInOneRun, kAnsweredInOneRun,
+       kAnsweredInOneRun},
   });
 }
 
--- a/tests/core/request/request_flow_random_test.cc
+++ b/tests/core/request/request_flow_random_test.cc
@@ -20,7 +20,7 @@
 
 /// Returns the chunks of the answer to a request. They depend on the request
 /// only, so that a chunk of another answer is detected.
-std::vector<std::string> PartsFor(const RequestId& id) {
+std::vector<std::string> ChunksFor(const RequestId& id) {
   std::vector<std::string> parts;
   for (std::uint64_t i = 0; i < 1 + id.value.lo % 4; ++i) {
     parts.push_back(ToHex(id.value).substr(20) + "/" + std::to_string(i) + ";");
@@ -28,9 +28,9 @@
   return parts;
 }
 
-std::string WholeFor(const RequestId& id) {
+std::string BodyFor(const RequestId& id) {
   std::string whole;
-  for (const std::string& it : PartsFor(id)) {
+  for (const std::string& it : ChunksFor(id)) {
     whole += it;
   }
   return whole;
@@ -42,7 +42,7 @@
   std::uint64_t sequence = 0;
   std::string data;
   AttemptEnd end;
-  enum { kHead, kChunk, kEnd, kRefused, kKnown } what = kHead;
+  enum { kHead, kChunk, kEnd, kRefused, kKnown } kind = kHead;
   AttemptKnowledge known = AttemptKnowledge::kRunning;
   bool event_stream = false;
 };
@@ -53,15 +53,15 @@
  public:
   std::uint64_t run = 1;
   std::optional<SideLink> link;
-  std::vector<Frame> on_the_way;
+  std::vector<Frame> in_flight;
 
   void Start(const SendStart& start, std::map<RequestId, int>* runs) {
     const AttemptId id = start.attempt;
     if (refused_.count(id) > 0) {
       Frame frame;
       frame.attempt = id;
-      frame.what = Frame::kRefused;
-      on_the_way.push_back(frame);
+      frame.kind = Frame::kRefused;
+      in_flight.push_back(frame);
       return;
     }
     if (frames_.count(id) > 0 || ended_.count(id) > 0) {
@@ -84,7 +84,7 @@
     const AttemptId id = resume.ref.attempt;
     Frame frame;
     frame.attempt = id;
-    frame.what = Frame::kKnown;
+    frame.kind = Frame::kKnown;
     frame.sequence = resume.next_sequence;
     if (frames_.count(id) > 0) {
       Send(id, resume.next_sequence, frames_[id].size());
@@ -95,11 +95,11 @@
     } else {
       frame.known = AttemptKnowledge::kLost;
     }
-    on_the_way.push_back(frame);
+    in_flight.push_back(frame);
   }
 
   /// Sends the next frame of each attempt, as a target makes progress.
-  void GoOn() {
+  void SendNextFrames() {
     for (auto& [id, frames] : frames_) {
       Send(id, sent_[id], sent_[id] + 1);
     }
@@ -114,7 +114,7 @@
       frames.resize(sent_[id]);
       Frame end;
       end.attempt = id;
-      end.what = Frame::kEnd;
+      end.kind = Frame::kEnd;
       end.sequence = frames.size();
       end.end.sequence = end.sequence;
       end.end.outcome = AttemptOutcome::kTargetDied;
@@ -128,7 +128,7 @@
     refused_.clear();
     ended_.clear();
     sent_.clear();
-    on_the_way.clear();
+    in_flight.clear();
   }
 
  private:
@@ -139,10 +139,10 @@
     head.event_stream = start.request->streamed;
     frames.push_back(head);
     std::string whole;
-    for (const std::string& it : PartsFor(start.request->id)) {
+    for (const std::string& it : ChunksFor(start.request->id)) {
       Frame chunk;
       chunk.attempt = start.attempt;
-      chunk.what = Frame::kChunk;
+      chunk.kind = Frame::kChunk;
       chunk.sequence = frames.size();
       chunk.data = it;
       whole += it;
@@ -150,7 +150,7 @@
     }
     Frame end;
     end.attempt = start.attempt;
-    end.what = Frame::kEnd;
+    end.kind = Frame::kEnd;
     end.sequence = frames.size();
     end.end.sequence = end.sequence;
     end.end.body_bytes = whole.size();
@@ -161,7 +161,7 @@
   void Send(const AttemptId& id, std::size_t from, std::size_t to) {
     const std::vector<Frame>& frames = frames_[id];
     for (std::size_t i = from; i < std::min(to, frames.size()); ++i) {
-      on_the_way.push_back(frames[i]);
+      in_flight.push_back(frames[i]);
     }
     sent_[id] = std::max(sent_[id], std::min(to, frames.size()));
   }
@@ -174,9 +174,9 @@
 
 /// Runs one random sequence of events and compares the answers that callers got
 /// with the runs at targets.
-class World {
+class RandomRun {
  public:
-  explicit World(std::uint32_t seed) : random_(seed), driver_(Options()) {
+  explicit RandomRun(std::uint32_t seed) : random_(seed), driver_(Options()) {
     for (std::size_t i = 0; i < kSides; ++i) {
       Connect(i);
     }
@@ -185,7 +185,7 @@
   void Play() {
     for (int step = 0; step < 400; ++step) {
       Step();
-      CarryOut();
+      DeliverMessages();
     }
     // Without further faults, every open request must end by its deadline.
     for (int i = 0; i < 140; ++i) {
@@ -193,23 +193,23 @@
         if (!sides_[side].link) {
           Connect(side);
         }
-        sides_[side].GoOn();
+        sides_[side].SendNextFrames();
         while (Deliver(side, /*faulty=*/false)) {
         }
       }
       driver_.Pass(milliseconds(500));
-      CarryOut();
+      DeliverMessages();
     }
   }
 
   void Check() {
-    for (const auto& [id, repeatability] : asked_) {
+    for (const auto& [id, repeatability] : requests_) {
       const SeenAnswer& seen = driver_.seen(id);
-      if (gone_.count(id) == 0) {
+      if (disconnected_.count(id) == 0) {
         RC_ASSERT(seen.finals == 1);
       }
       if (seen.whole) {
-        RC_ASSERT(seen.body == WholeFor(id));
+        RC_ASSERT(seen.body == BodyFor(id));
         RC_ASSERT(runs_[id] >= 1);
       }
       if (repeatability != Repeatability::kIdempotent) {
@@ -219,7 +219,7 @@
         RC_ASSERT(runs_[id] == 0);
       }
       // A partial answer must be a prefix of the complete one.
-      RC_ASSERT(WholeFor(id).compare(0, seen.body.size(), seen.body) == 0);
+      RC_ASSERT(BodyFor(id).compare(0, seen.body.size(), seen.body) == 0);
     }
     RC_ASSERT(driver_.flow().open_requests() == 0U);
   }
@@ -231,34 +231,34 @@
     return options;
   }
 
-  std::uint32_t Dice(std::uint32_t sides) { return random_() % sides; }
+  std::uint32_t RandomBelow(std::uint32_t bound) { return random_() % bound; }
 
   void Connect(std::size_t side) {
     // Frames of the old connection never arrive on the new one.
-    sides_[side].on_the_way.clear();
+    sides_[side].in_flight.clear();
     sides_[side].link =
         driver_.Up("target-" + std::to_string(side), sides_[side].run);
-    CarryOut();
+    DeliverMessages();
   }
 
   void Disconnect(std::size_t side) {
     if (sides_[side].link) {
       const SideLink link = *sides_[side].link;
       sides_[side].link.reset();
-      sides_[side].on_the_way.clear();
+      sides_[side].in_flight.clear();
       driver_.Down(link);
     }
   }
 
   void Step() {
-    const std::size_t side = Dice(kSides);
-    switch (Dice(16)) {
+    const std::size_t side = RandomBelow(kSides);
+    switch (RandomBelow(16)) {
       case 0:
       case 1:
         Ask();
         break;
       case 2:
-        driver_.Pass(milliseconds(Dice(1500)));
+        driver_.Pass(milliseconds(RandomBelow(1500)));
         break;
       case 3:
         Disconnect(side);
@@ -270,28 +270,29 @@
         }
         break;
       case 6:
-        if (Dice(4) == 0) {
+        if (RandomBelow(4) == 0) {
           sides_[side].Restart();
           Disconnect(side);
         }
         break;
       case 7:
-        if (Dice(3) == 0) {
+        if (RandomBelow(3) == 0) {
           sides_[side].TargetDies();
         }
         break;
       case 8:
-        if (Dice(8) == 0 && !asked_.empty()) {
-          auto it = asked_.begin();
-          std::advance(it, Dice(static_cast<std::uint32_t>(asked_.size())));
-          gone_.insert(it->first);
+        if (RandomBelow(8) == 0 && !requests_.empty()) {
+          auto it = requests_.begin();
+          std::advance(
+              it, RandomBelow(static_cast<std::uint32_t>(requests_.size())));
+          disconnected_.insert(it->first);
           driver_.flow().OnCallerGone(it->first, driver_.now());
           driver_.Collect();
         }
         break;
       case 9:
       case 10:
-        sides_[side].GoOn();
+        sides_[side].SendNextFrames();
         break;
       default:
         Deliver(side, /*faulty=*/true);
@@ -303,39 +304,39 @@
     constexpr Repeatability kAll[] = {Repeatability::kIdempotent,
                                       Repeatability::kKeyed,
                                       Repeatability::kOnce};
-    const Repeatability repeatability = kAll[Dice(3)];
-    asked_[driver_.Ask(repeatability, Dice(2) == 0)] = repeatability;
+    const Repeatability repeatability = kAll[RandomBelow(3)];
+    requests_[driver_.Ask(repeatability, RandomBelow(2) == 0)] = repeatability;
   }
 
   /// Delivers one frame of the side. Returns false if there is none.
   bool Deliver(std::size_t index, bool faulty) {
     FakeSide& side = sides_[index];
-    if (!side.link || side.on_the_way.empty()) {
+    if (!side.link || side.in_flight.empty()) {
       return false;
     }
     std::size_t at = 0;
-    if (faulty && Dice(4) == 0) {
-      at = Dice(static_cast<std::uint32_t>(side.on_the_way.size()));
+    if (faulty && RandomBelow(4) == 0) {
+      at = RandomBelow(static_cast<std::uint32_t>(side.in_flight.size()));
     }
-    const Frame frame = side.on_the_way[at];
-    const bool doubled = faulty && Dice(8) == 0;
+    const Frame frame = side.in_flight[at];
+    const bool doubled = faulty && RandomBelow(8) == 0;
     if (!doubled) {
-      side.on_the_way.erase(side.on_the_way.begin() +
-                            static_cast<std::ptrdiff_t>(at));
+      side.in_flight.erase(side.in_flight.begin() +
+                           static_cast<std::ptrdiff_t>(at));
     }
-    if (faulty && Dice(8) == 0) {
+    if (faulty && RandomBelow(8) == 0) {
       return true;  // Lost.
     }
-    Hand(*side.link, frame);
+    Dispatch(*side.link, frame);
     driver_.Collect();
-    CarryOut();
+    DeliverMessages();
     return true;
   }
 
-  void Hand(SideLink link, const Frame& frame) {
+  void Dispatch(SideLink link, const Frame& frame) {
     RequestFlow& flow = driver_.flow();
     const TimePoint now = driver_.now();
-    switch (frame.what) {
+    switch (frame.kind) {
       case Frame::kHead:
         flow.OnHead(link, frame.attempt, 0, 200,
                     frame.event_stream
@@ -369,24 +370,24 @@
   }
 
   /// Passes each message of the flow to its side and drops some at random.
-  void CarryOut() {
+  void DeliverMessages() {
     const auto starts = std::exchange(driver_.starts, {});
     for (const SendStart& it : starts) {
       FakeSide* side = SideOf(it.link);
-      if (side == nullptr || Dice(16) == 0) {
+      if (side == nullptr || RandomBelow(16) == 0) {
         continue;
       }
       side->Start(it, &runs_);
     }
     for (const SendCancel& it : std::exchange(driver_.cancels, {})) {
       FakeSide* side = SideOf(it.link);
-      if (side != nullptr && Dice(16) != 0) {
+      if (side != nullptr && RandomBelow(16) != 0) {
         side->Cancel(it.ref.attempt);
       }
     }
     for (const SendResume& it : std::exchange(driver_.resumes, {})) {
       FakeSide* side = SideOf(it.link);
-      if (side != nullptr && Dice(16) != 0) {
+      if (side != nullptr && RandomBelow(16) != 0) {
         side->Resume(it);
       }
     }
@@ -395,8 +396,8 @@
   std::mt19937 random_;
   FlowDriver driver_;
   FakeSide sides_[kSides];
-  std::map<RequestId, Repeatability> asked_;
-  std::set<RequestId> gone_;
+  std::map<RequestId, Repeatability> requests_;
+  std::set<RequestId> disconnected_;
   std::map<RequestId, int> runs_;
 };
 
@@ -407,9 +408,9 @@
 TEST_CASE("Random faults lead to a complete answer or a true refusal") {
   CHECK(
       rc::check("complete answer or error, at most one run, true not-run", [] {
-        World world(*rc::gen::arbitrary<std::uint32_t>());
-        world.Play();
-        world.Check();
+        RandomRun random_run(*rc::gen::arbitrary<std::uint32_t>());
+        random_run.Play();
+        random_run.Check();
       }));
 }
 
--- a/tests/core/request/stream_resume_test.cc
+++ b/tests/core/request/stream_resume_test.cc
@@ -67,9 +67,9 @@
 
 /// Starts one stream with two targets available; the first one has sent a
 /// complete event and a part of the next.
-class Scene {
+class ResumableStream {
  public:
-  explicit Scene(bool may_resume = true) {
+  explicit ResumableStream(bool may_resume = true) {
     driver.Up("oviedo-1");
     driver.Up("oviedo-2");
     CallerRequest request;
@@ -101,7 +101,7 @@
 // one stream with each event once and complete, although two engines produced
 // it.
 TEST_CASE("A broken stream resumes at another target") {
-  Scene scene;
+  ResumableStream scene;
   scene.Break(0, 2);
   REQUIRE(scene.driver.starts.size() == 2);
   const SendStart& next = scene.driver.starts[1];
@@ -139,7 +139,7 @@
 }
 
 TEST_CASE("A broken stream that may not be resumed is aborted") {
-  Scene scene(/*may_resume=*/false);
+  ResumableStream scene(/*may_resume=*/false);
   scene.Break(0, 2);
   CHECK(scene.driver.starts.size() == 1);
   REQUIRE(scene.driver.seen(scene.id).refusal);
@@ -147,7 +147,7 @@
 }
 
 TEST_CASE("A complete stream is passed on unchanged") {
-  Scene scene;
+  ResumableStream scene;
   scene.driver.Chunk(scene.driver.starts[0], 2, "ta: b\n\n: tail\n");
   scene.driver.End(scene.driver.starts[0], 3,
                    "id: 1\ndata: a\n\nid: 2\ndata: b\n\n: tail\n");
@@ -159,7 +159,7 @@
 /// Guards against repeated events: without an id on the last event, the next
 /// target would resume after an earlier one.
 TEST_CASE("A stream is not resumed after an event that has no id") {
-  Scene scene;
+  ResumableStream scene;
   const std::string last = GENERATE("data: c\n\n", "data: c\r\n\r\n",
                                     "id:\ndata: c\n\n", "id: \x01\n\n");
   scene.driver.Chunk(scene.driver.starts[0], 2, "ta: b\n\n" + last);
@@ -181,7 +181,7 @@
 /// no more until the caller has consumed bytes that the entry is still
 /// buffering.
 TEST_CASE("An event larger than the buffer limit is passed on in parts") {
-  Scene scene;
+  ResumableStream scene;
   const RequestFlowOptions options;
   const std::string part(options.stream_window_bytes / 2, 'x');
   scene.driver.Chunk(scene.driver.starts[0], 2, part);
@@ -204,7 +204,7 @@
 /// Guards against a partial event that reaches the caller as the end of a
 /// complete stream.
 TEST_CASE("A stream that ends inside an event resumes at another target") {
-  Scene scene;
+  ResumableStream scene;
   scene.driver.End(scene.driver.starts[0], 2, "id: 1\ndata: a\n\nid: 2\nda");
   CHECK_FALSE(scene.driver.seen(scene.id).whole);
   CHECK(scene.driver.seen(scene.id).body == "id: 1\ndata: a\n\n");
--- a/tests/platform/direct_prompt_test.cc
+++ b/tests/platform/direct_prompt_test.cc
@@ -205,7 +205,7 @@
     options.placement.failure_domain = kHere;
     options.flow.charge_refused_attempts = true;
     options.flow.no_target_wait = Duration{0};
-    options.flow.second_chance_delay = milliseconds(1);
+    options.flow.retry_round_delay = milliseconds(1);
     options.placement.avoid_after_refusal = Duration{0};
     options.retry_budget = budget;
     return options;
