--- a/src/core/base/random.h
+++ b/src/core/base/random.h
@@ -20,7 +20,8 @@
 }
 
 /// Returns a number in [0, bound) from 64 random bits; 0 if `bound` is 0.
-constexpr std::uint32_t ToBelow(std::uint64_t bits, std::uint32_t bound) {
+constexpr std::uint32_t ToBoundedInteger(std::uint64_t bits,
+                                         std::uint32_t bound) {
   return static_cast<std::uint32_t>(((bits >> 32U) * bound) >> 32U);
 }
 
--- a/src/core/membership/change_budget.h
+++ b/src/core/membership/change_budget.h
@@ -12,7 +12,7 @@
   Duration in_force{0};
   /// Recovery time after an outage of the store or of an entry's connection to
   /// it. `in_force` applies again once it has passed.
-  Duration contact{0};
+  Duration recovery{0};
   /// Interval of a target's heartbeats. A target is dropped when its third
   /// heartbeat in a row is missing.
   Duration heartbeat{0};
@@ -27,15 +27,15 @@
 /// All of them are therefore derived from the operator's bounds, and three sums
 /// must hold:
 ///
-/// - `WhenCalm() <= in_force` while the watch of the store works;
-/// - `WhenLost() <= 2 * heartbeat` if one watch call gets no answer;
-/// - `AfterReturn() <= contact` after an outage or a loss of the connection.
+/// - `NormalDelay() <= in_force` while the watch of the store works;
+/// - `LostCallDelay() <= 2 * heartbeat` if one watch call gets no answer;
+/// - `RecoveryDelay() <= recovery` after an outage or a loss of the connection.
 struct ChangeBudget {
-  Duration rest{0};         ///< Longest pause between two watch calls.
-  Duration watch_wait{0};   ///< Time a watch call waits for changes.
-  Duration watch_slack{0};  ///< Time beyond `watch_wait` to a lost call.
-  Duration first_try{0};    ///< From a lost call to the first retry.
-  Duration try_gap{0};      ///< Between the starts of two retries.
+  Duration rest{0};               ///< Longest pause between two watch calls.
+  Duration watch_wait{0};         ///< Time a watch call waits for changes.
+  Duration watch_slack{0};        ///< Time beyond `watch_wait` to a lost call.
+  Duration first_retry_delay{0};  ///< From a lost call to the first retry.
+  Duration retry_interval{0};     ///< Between the starts of two retries.
   /// Answer time of a healthy store, scheduling of a busy thread included.
   Duration answer{0};
   /// Timeout of a call that does not wait for changes.
@@ -44,14 +44,14 @@
   Duration absence_grace{0};
   /// From the last check of a target, made right before the first byte is
   /// sent, to the arrival of the request there.
-  Duration use{0};
+  Duration dispatch_delay{0};
 
-  Duration WhenCalm() const { return rest + answer + use; }
-  Duration WhenLost() const {
-    return rest + watch_wait + watch_slack + first_try + answer;
+  Duration NormalDelay() const { return rest + answer + dispatch_delay; }
+  Duration LostCallDelay() const {
+    return rest + watch_wait + watch_slack + first_retry_delay + answer;
   }
-  Duration AfterReturn() const {
-    return try_gap + answer + absence_grace + answer + use;
+  Duration RecoveryDelay() const {
+    return retry_interval + answer + absence_grace + answer + dispatch_delay;
   }
 
   friend bool operator==(const ChangeBudget&, const ChangeBudget&) = default;
@@ -59,11 +59,11 @@
 
 /// Divides `bounds` among the delays and keeps a margin for late threads. If
 /// the bounds are too tight, `absence_grace` is shortened first; if that is not
-/// enough, a sum exceeds its bound, which `Holds` reports.
+/// enough, a sum exceeds its bound, which `IsWithinBounds` reports.
 ChangeBudget MakeChangeBudget(const ChangeBounds& bounds);
 
 /// Returns true if all three sums are within `bounds`.
-bool Holds(const ChangeBudget& budget, const ChangeBounds& bounds);
+bool IsWithinBounds(const ChangeBudget& budget, const ChangeBounds& bounds);
 
 }  // namespace indigolead
 
--- a/src/core/membership/link_monitor.cc
+++ b/src/core/membership/link_monitor.cc
@@ -17,7 +17,7 @@
   last_received_ = last_work_ = now;
 }
 
-void LinkMonitor::OnOwnPause(TimePoint now) {
+void LinkMonitor::OnProcessPaused(TimePoint now) {
   const TimePoint grace =
       now - timing_.silence_timeout + timing_.heartbeat_interval;
   last_received_ = std::max(last_received_, grace);
@@ -80,7 +80,7 @@
 }
 
 void DialMonitor::OnRefused(TimePoint now) {
-  backoff_.Exhaust();
+  backoff_.SetToMaximum();
   phase_ = Phase::kWaiting;
   due_ = now + backoff_.Next();
 }
--- a/src/core/membership/link_monitor.h
+++ b/src/core/membership/link_monitor.h
@@ -61,7 +61,7 @@
   /// Records that this process was paused until `now`. Messages from the peer
   /// may still be unread, so the peer gets at least one more heartbeat interval
   /// before it counts as silent.
-  void OnOwnPause(TimePoint now);
+  void OnProcessPaused(TimePoint now);
 
   /// Returns the action due at `now`.
   LinkAction Poll(TimePoint now) const;
@@ -110,7 +110,7 @@
   /// Resets the delay to the minimum.
   void Reset() { next_ = min_; }
   /// Sets the delay to the maximum.
-  void Exhaust() { next_ = max_; }
+  void SetToMaximum() { next_ = max_; }
 
  private:
   Duration min_;
--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -46,7 +46,7 @@
     member.listed_leaving = member.listed && it->second;
     Update(name, &member, now, &actions);
   }
-  PlanAgain(now);
+  UpdatePlan(now);
   return actions;
 }
 
@@ -62,7 +62,7 @@
     member->up_since = now;
   }
   // A leaving notice of the previous run does not apply to a restarted process.
-  member->said_leaving = hello.leaving;
+  member->announced_leaving = hello.leaving;
   member->links.insert(link);
   instance_of_link_[link] = hello.instance;
   Update(hello.instance, member, now, &actions);
@@ -97,7 +97,7 @@
   std::vector<MembershipAction> actions;
   const auto it = members_.find(instance);
   if (it != members_.end()) {
-    it->second.said_leaving = leaving;
+    it->second.announced_leaving = leaving;
     Update(instance, &it->second, now, &actions);
   }
   return actions;
@@ -107,14 +107,14 @@
   std::vector<MembershipAction> actions;
   if (last_tick_.has_value() &&
       (now < *last_tick_ || now - *last_tick_ > options_.longest_tick_gap)) {
-    ForgiveJump(now - *last_tick_);
+    ShiftTimestamps(now - *last_tick_);
   }
   last_tick_ = now;
   for (auto it = members_.begin(); it != members_.end();) {
     Update(it->first, &it->second, now, &actions);
-    const bool forget = it->second.state == MemberState::kGone &&
-                        it->second.links.empty() && !it->second.listed;
-    it = forget ? members_.erase(it) : std::next(it);
+    const bool removable = it->second.state == MemberState::kGone &&
+                           it->second.links.empty() && !it->second.listed;
+    it = removable ? members_.erase(it) : std::next(it);
   }
   PollDials(now, &actions);
   return actions;
@@ -140,16 +140,18 @@
   return &member;
 }
 
-MemberState Membership::Judge(const Member& member, TimePoint now) const {
+MemberState Membership::ComputeState(const Member& member,
+                                     TimePoint now) const {
   if (member.links.empty()) {
     if (!member.listed &&
         now - member.unlinked_since >= options_.gone_timeout) {
       return MemberState::kGone;
     }
-    return member.listed_leaving || member.said_leaving ? MemberState::kLeaving
-                                                        : MemberState::kSuspect;
+    return member.listed_leaving || member.announced_leaving
+               ? MemberState::kLeaving
+               : MemberState::kSuspect;
   }
-  if (member.listed_leaving || member.said_leaving) {
+  if (member.listed_leaving || member.announced_leaving) {
     return MemberState::kLeaving;
   }
   return IsFlapping(member, now) ? MemberState::kSuspect : MemberState::kLive;
@@ -166,14 +168,14 @@
 
 void Membership::Update(const std::string& name, Member* member, TimePoint now,
                         std::vector<MembershipAction>* actions) {
-  const MemberState state = Judge(*member, now);
+  const MemberState state = ComputeState(*member, now);
   if (state != member->state) {
     actions->push_back(MemberChanged{name, member->state, state});
     member->state = state;
   }
 }
 
-void Membership::PlanAgain(TimePoint now) {
+void Membership::UpdatePlan(TimePoint now) {
   const std::set<std::string> wanted = PlanConnections(options_.plan, list_);
   // A list without entries is more likely a platform fault than a fleet without
   // entries, so an empty plan closes no connection.
@@ -224,7 +226,7 @@
   }
 }
 
-void Membership::ForgiveJump(Duration jump) {
+void Membership::ShiftTimestamps(Duration jump) {
   // No message could be handled while this process was paused, so that time is
   // no evidence about other instances: shift all timestamps by it.
   for (auto& [name, member] : members_) {
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -134,7 +134,7 @@
     std::set<std::uint64_t> links;
     bool listed = false;
     bool listed_leaving = false;
-    bool said_leaving = false;
+    bool announced_leaving = false;
     TimePoint unlinked_since;
     TimePoint up_since;
     std::deque<TimePoint> losses;
@@ -146,13 +146,13 @@
   };
 
   Member* FindOrAdd(const std::string& name, TimePoint now);
-  MemberState Judge(const Member& member, TimePoint now) const;
+  MemberState ComputeState(const Member& member, TimePoint now) const;
   bool IsFlapping(const Member& member, TimePoint now) const;
   void Update(const std::string& name, Member* member, TimePoint now,
               std::vector<MembershipAction>* actions);
-  void PlanAgain(TimePoint now);
+  void UpdatePlan(TimePoint now);
   void PollDials(TimePoint now, std::vector<MembershipAction>* actions);
-  void ForgiveJump(Duration jump);
+  void ShiftTimestamps(Duration jump);
 
   Options options_;
   Hooks hooks_;
--- a/src/core/membership/peer_table.cc
+++ b/src/core/membership/peer_table.cc
@@ -26,7 +26,7 @@
   }
   std::uint64_t& slot =
       direction == LinkDirection::kOpened ? peer.opened : peer.accepted;
-  TakeLink(&slot, &decision.replaced);
+  RemoveLink(&slot, &decision.replaced);
   if (instance_of_link_.size() >= options_.max_links) {
     return {HelloVerdict::kFull, decision.replaced};
   }
@@ -55,19 +55,19 @@
 PeerTable::Instance& PeerTable::Touch(const std::string& name) {
   const auto it = instances_.find(name);
   if (it != instances_.end()) {
-    ages_.splice(ages_.end(), ages_, it->second.age);
+    lru_.splice(lru_.end(), lru_, it->second.lru_position);
     return it->second;
   }
   if (instances_.size() >= options_.max_instances) {
     EvictOldest();
   }
   Instance& peer = instances_[name];
-  peer.age = ages_.insert(ages_.end(), name);
+  peer.lru_position = lru_.insert(lru_.end(), name);
   return peer;
 }
 
-void PeerTable::TakeLink(std::uint64_t* slot,
-                         std::vector<std::uint64_t>* replaced) {
+void PeerTable::RemoveLink(std::uint64_t* slot,
+                           std::vector<std::uint64_t>* replaced) {
   if (*slot == 0) {
     return;
   }
@@ -78,8 +78,8 @@
 
 void PeerTable::Supersede(const Incarnation& incarnation, Instance* instance,
                           std::vector<std::uint64_t>* replaced) {
-  TakeLink(&instance->opened, replaced);
-  TakeLink(&instance->accepted, replaced);
+  RemoveLink(&instance->opened, replaced);
+  RemoveLink(&instance->accepted, replaced);
   if (instance->current != Incarnation{}) {
     instance->superseded.push_back(instance->current);
     if (instance->superseded.size() > options_.max_superseded_per_instance) {
@@ -90,12 +90,12 @@
 }
 
 void PeerTable::EvictOldest() {
-  for (auto it = ages_.begin(); it != ages_.end(); ++it) {
+  for (auto it = lru_.begin(); it != lru_.end(); ++it) {
     const auto peer = instances_.find(*it);
     // Instances with a link are never evicted; max_links bounds them.
     if (peer->second.opened == 0 && peer->second.accepted == 0) {
       instances_.erase(peer);
-      ages_.erase(it);
+      lru_.erase(it);
       return;
     }
   }
--- a/src/core/membership/peer_table.h
+++ b/src/core/membership/peer_table.h
@@ -69,18 +69,18 @@
     std::uint64_t opened = 0;    // 0: none.
     std::uint64_t accepted = 0;  // 0: none.
     std::deque<Incarnation> superseded;
-    std::list<std::string>::iterator age;
+    std::list<std::string>::iterator lru_position;
   };
 
   Instance& Touch(const std::string& name);
-  void TakeLink(std::uint64_t* slot, std::vector<std::uint64_t>* replaced);
+  void RemoveLink(std::uint64_t* slot, std::vector<std::uint64_t>* replaced);
   void Supersede(const Incarnation& incarnation, Instance* instance,
                  std::vector<std::uint64_t>* replaced);
   void EvictOldest();
 
   Options options_;
   std::unordered_map<std::string, Instance> instances_;
-  std::list<std::string> ages_;  // Least recent hello first.
+  std::list<std::string> lru_;  // Least recent hello first.
   std::unordered_map<std::uint64_t, std::string> instance_of_link_;
 };
 
--- a/src/core/membership/relay_choice.cc
+++ b/src/core/membership/relay_choice.cc
@@ -51,13 +51,13 @@
   if (now < avoided.until) {
     return;  // The request was sent before the failure was known.
   }
-  avoided.length = std::clamp<Duration>(2 * avoided.length, options_.avoid_for,
-                                        options_.longest_avoid);
+  avoided.length = std::clamp<Duration>(
+      2 * avoided.length, options_.min_avoid_time, options_.max_avoid_time);
   avoided.until = now + avoided.length;
 }
 
-std::optional<RelayCandidate> RelayChoice::Best(TimePoint now) const {
-  if (ranked_.size() < options_.least_entries) {
+std::optional<RelayCandidate> RelayChoice::SelectRelay(TimePoint now) const {
+  if (ranked_.size() < options_.min_entries) {
     return std::nullopt;
   }
   const auto best = std::find_if(
--- a/src/core/membership/relay_choice.h
+++ b/src/core/membership/relay_choice.h
@@ -37,7 +37,7 @@
     std::string failure_domain;
     /// With fewer entries in the failure domain, each reads the store itself,
     /// which then takes no more calls than a relay makes.
-    std::size_t least_entries = 8;
+    std::size_t min_entries = 8;
     /// Entries to which a relay with one whole core may relay. Each costs up to
     /// a ten thousandth of a core during bursts of changes, so relaying takes
     /// at most a tenth of the relay's CPU.
@@ -45,8 +45,8 @@
     /// Time for which a relay is avoided after its first failure; doubles with
     /// each further one. A relay that is gone stays listed for minutes, and
     /// each request to it delays changes for all entries that it relays to.
-    Duration avoid_for = std::chrono::seconds(10);
-    Duration longest_avoid = std::chrono::minutes(5);
+    Duration min_avoid_time = std::chrono::seconds(10);
+    Duration max_avoid_time = std::chrono::minutes(5);
   };
 
   explicit RelayChoice(Options options) : options_(std::move(options)) {}
@@ -62,7 +62,7 @@
 
   /// Returns the entry to use as relay, which may be this one; unset if this
   /// entry is to read the store itself without relaying to others.
-  std::optional<RelayCandidate> Best(TimePoint now) const;
+  std::optional<RelayCandidate> SelectRelay(TimePoint now) const;
 
  private:
   struct Avoided {
--- a/src/core/membership/roster_pace.h
+++ b/src/core/membership/roster_pace.h
@@ -18,13 +18,13 @@
   Duration renew_interval = std::chrono::seconds(60);
   /// In a large fleet, the mean time between two renewals by any entries is at
   /// most this and at least half of it.
-  Duration least_gap = std::chrono::milliseconds(300);
+  Duration fleet_renew_gap = std::chrono::milliseconds(300);
 
   /// Returns the longest time between two renewals by one entry in a fleet of
   /// `entries`. The shortest is half of it.
   Duration RenewInterval(std::size_t entries) const {
     const auto n = static_cast<Duration::rep>(entries);
-    return std::max<Duration>(renew_interval, n * least_gap);
+    return std::max<Duration>(renew_interval, n * fleet_renew_gap);
   }
 
   /// Returns the time after which an unchanged registration counts as expired:
--- a/src/core/membership/target_addresses.cc
+++ b/src/core/membership/target_addresses.cc
@@ -3,13 +3,13 @@
 namespace indigolead {
 
 void TargetAddresses::Set(const std::string& id, const std::string& address) {
-  const std::string* held = Find(id);
-  if (held && *held == address) {
+  const std::string* current = Find(id);
+  if (current && *current == address) {
     return;
   }
   Remove(id);
   address_of_[id] = address;
-  holders_[address].insert(id);
+  ids_by_address_[address].insert(id);
 }
 
 void TargetAddresses::Remove(const std::string& id) {
@@ -17,10 +17,10 @@
   if (it == address_of_.end()) {
     return;
   }
-  const auto holders = holders_.find(it->second);
-  holders->second.erase(id);
-  if (holders->second.empty()) {
-    holders_.erase(holders);
+  const auto ids = ids_by_address_.find(it->second);
+  ids->second.erase(id);
+  if (ids->second.empty()) {
+    ids_by_address_.erase(ids);
   }
   address_of_.erase(it);
 }
@@ -30,11 +30,11 @@
   return it == address_of_.end() ? nullptr : &it->second;
 }
 
-const TargetAddresses::Ids& TargetAddresses::HoldersOf(
+const TargetAddresses::Ids& TargetAddresses::TargetsAt(
     const std::string& address) const {
   static const Ids kNone;
-  const auto it = holders_.find(address);
-  return it == holders_.end() ? kNone : it->second;
+  const auto it = ids_by_address_.find(address);
+  return it == ids_by_address_.end() ? kNone : it->second;
 }
 
 }  // namespace indigolead
--- a/src/core/membership/target_addresses.h
+++ b/src/core/membership/target_addresses.h
@@ -28,11 +28,11 @@
   const std::string* Find(const std::string& id) const;
 
   /// Returns the targets at `address`.
-  const Ids& HoldersOf(const std::string& address) const;
+  const Ids& TargetsAt(const std::string& address) const;
 
  private:
   std::unordered_map<std::string, std::string> address_of_;
-  std::unordered_map<std::string, Ids> holders_;
+  std::unordered_map<std::string, Ids> ids_by_address_;
 };
 
 }  // namespace indigolead
--- a/src/core/membership/target_directory.cc
+++ b/src/core/membership/target_directory.cc
@@ -20,7 +20,7 @@
   std::set<std::string> seen;
   for (const TargetRecord& it : listed) {
     seen.insert(it.id);
-    Take(it, &changes);
+    ApplyRecord(it, &changes);
   }
   for (auto& [id, entry] : targets_) {
     if (seen.count(id) == 0 && !entry.missing_since) {
@@ -32,14 +32,14 @@
   return changes;
 }
 
-void TargetDirectory::Take(const TargetRecord& record,
-                           std::vector<TargetChange>* changes) {
+void TargetDirectory::ApplyRecord(const TargetRecord& record,
+                                  std::vector<TargetChange>* changes) {
   const auto found = targets_.find(record.id);
   if (found == targets_.end()) {
     if (targets_.size() < options_.max_targets) {
       Entry& added = targets_[record.id];
       added.record = record;
-      added.told_leaving = record.leaving;
+      added.reported_leaving = record.leaving;
       changes->push_back({TargetChange::Kind::kAdded, record});
     }
     return;
@@ -50,21 +50,22 @@
   const bool restarted = IsOtherRun(entry.record, record);
   entry.record = record;
   if (restarted) {
-    entry.says_leaving = false;
+    entry.announced_leaving = false;
     changes->push_back({TargetChange::Kind::kRestarted, record});
   } else if (updated) {
     changes->push_back({TargetChange::Kind::kUpdated, record});
   }
-  if (record.leaving || entry.says_leaving) {
-    Leave(&entry, changes);
-  } else if (entry.told_leaving) {
-    entry.told_leaving = false;
+  if (record.leaving || entry.announced_leaving) {
+    MarkLeaving(&entry, changes);
+  } else if (entry.reported_leaving) {
+    entry.reported_leaving = false;
     changes->push_back({TargetChange::Kind::kReturned, record});
   }
 }
 
-void TargetDirectory::Leave(Entry* entry, std::vector<TargetChange>* changes) {
-  if (!std::exchange(entry->told_leaving, true)) {
+void TargetDirectory::MarkLeaving(Entry* entry,
+                                  std::vector<TargetChange>* changes) {
+  if (!std::exchange(entry->reported_leaving, true)) {
     changes->push_back({TargetChange::Kind::kLeaving, entry->record});
   }
 }
@@ -73,8 +74,8 @@
     const std::string& id) {
   std::vector<TargetChange> changes;
   if (const auto it = targets_.find(id); it != targets_.end()) {
-    it->second.says_leaving = true;
-    Leave(&it->second, &changes);
+    it->second.announced_leaving = true;
+    MarkLeaving(&it->second, &changes);
   }
   return changes;
 }
@@ -91,41 +92,42 @@
   }
   if (!followed_since_) {
     followed_since_ = now;
-  } else if (now - lost_at_ >= options_.least_outage) {
+  } else if (now - lost_at_ >= options_.min_outage) {
     followed_since_ = now;
-    ever_lost_ = true;
+    had_outage_ = true;
   }
 }
 
-bool TargetDirectory::AbsenceCounts(TimePoint now) const {
+bool TargetDirectory::IsAbsenceConclusive(TimePoint now) const {
   if (store_lost_ || !followed_since_) {
     return false;
   }
   const TimePoint known_until = known_until_.value_or(now);
-  return !ever_lost_ || known_until - *followed_since_ >= options_.return_grace;
+  return !had_outage_ ||
+         known_until - *followed_since_ >= options_.return_grace;
 }
 
 std::optional<TimePoint> TargetDirectory::AbsenceDue() const {
-  const bool hangs_on_return =
-      undecided() && !store_lost_ && followed_since_ && ever_lost_;
-  return hangs_on_return
+  const bool depends_on_return =
+      undecided() && !store_lost_ && followed_since_ && had_outage_;
+  return depends_on_return
              ? std::optional(*followed_since_ + options_.return_grace)
              : std::nullopt;
 }
 
 std::vector<TargetChange> TargetDirectory::Tick(TimePoint now) {
   std::vector<TargetChange> changes;
-  const bool counts = AbsenceCounts(now);
+  const bool conclusive = IsAbsenceConclusive(now);
   undecided_.clear();
   for (auto it = targets_.begin(); it != targets_.end();) {
     Entry& entry = it->second;
-    if (entry.missing_since && counts) {
-      Leave(&entry, &changes);
+    if (entry.missing_since && conclusive) {
+      MarkLeaving(&entry, &changes);
     }
-    if (entry.missing_since && !entry.told_leaving) {
+    if (entry.missing_since && !entry.reported_leaving) {
       undecided_.insert(it->first);
     }
-    if (entry.missing_since && entry.told_leaving &&
+    if (entry.missing_since && entry.reported_leaving &&
         now - *entry.missing_since >= options_.forget_after) {
       changes.push_back({TargetChange::Kind::kRemoved, entry.record});
       it = targets_.erase(it);
--- a/src/core/membership/target_directory.h
+++ b/src/core/membership/target_directory.h
@@ -82,7 +82,7 @@
     /// again.
     Duration return_grace = std::chrono::milliseconds(2000);
     /// A shorter outage of the store does not make it drop a live target.
-    Duration least_outage{0};
+    Duration min_outage{0};
     /// Time after which an unlisted target is removed. Longer than any request.
     Duration forget_after = std::chrono::seconds(60);
     std::size_t max_targets = 8192;
@@ -140,24 +140,25 @@
  private:
   struct Entry {
     TargetRecord record;
-    bool told_leaving = false;  ///< Last reported as leaving to the caller.
-    bool says_leaving = false;  ///< Announced by the target in this run.
+    bool reported_leaving = false;  ///< Last reported as leaving to the caller.
+    bool announced_leaving = false;  ///< Announced by the target in this run.
     std::optional<TimePoint> missing_since;
   };
 
-  bool AbsenceCounts(TimePoint now) const;
-  void Take(const TargetRecord& record, std::vector<TargetChange>* changes);
-  static void Leave(Entry* entry, std::vector<TargetChange>* changes);
+  bool IsAbsenceConclusive(TimePoint now) const;
+  void ApplyRecord(const TargetRecord& record,
+                   std::vector<TargetChange>* changes);
+  static void MarkLeaving(Entry* entry, std::vector<TargetChange>* changes);
 
   Options options_;
   std::map<std::string, Entry> targets_;
   bool store_lost_ = true;
   TimePoint lost_at_{};
   /// When the store was first followed or, later, returned from its last outage
-  /// of at least `Options::least_outage`; unset before.
+  /// of at least `Options::min_outage`; unset before.
   std::optional<TimePoint> followed_since_;
   std::optional<TimePoint> known_until_;
-  bool ever_lost_ = false;
+  bool had_outage_ = false;
   /// Unlisted targets that may still get work.
   std::unordered_set<std::string> undecided_;
 };
--- a/src/core/request/route_table.cc
+++ b/src/core/request/route_table.cc
@@ -85,7 +85,7 @@
   const std::uint32_t sum = std::accumulate(
       route.services.begin(), route.services.end(), std::uint32_t{0},
       [](std::uint32_t n, const WeightedService& it) { return n + it.weight; });
-  std::uint32_t left = ToBelow(random_bits, sum);
+  std::uint32_t left = ToBoundedInteger(random_bits, sum);
   for (const WeightedService& it : route.services) {
     if (left < it.weight) {
       return it.service;
--- a/src/core/routing/router_choose.cc
+++ b/src/core/routing/router_choose.cc
@@ -81,9 +81,9 @@
   }
   const std::uint64_t start_hash =
       query.prefix_blocks.empty() ? random_() : query.prefix_blocks.front();
-  const std::uint32_t first = ToBelow(start_hash, n);
+  const std::uint32_t first = ToBoundedInteger(start_hash, n);
   ScanFrom(first, limit / 2, query, required);
-  ScanFrom(ToBelow(random_(), n), limit, query, required);
+  ScanFrom(ToBoundedInteger(random_(), n), limit, query, required);
 }
 
 void Router::ScanFrom(std::uint32_t start, std::uint32_t limit,
@@ -205,7 +205,7 @@
   std::uint32_t tied = 0;
   for (const Candidate& it : scored_) {
     // Reservoir sampling: each tied candidate is chosen with equal probability.
-    if (it.cost <= limit && ToBelow(random_(), ++tied) == 0) {
+    if (it.cost <= limit && ToBoundedInteger(random_(), ++tied) == 0) {
       chosen = it;
     }
   }
--- a/src/entry/direct_dispatcher_limits.cc
+++ b/src/entry/direct_dispatcher_limits.cc
@@ -59,8 +59,8 @@
     addresses_.Set(id, change.target.address);
   }
   const bool restarted = change.kind == TargetChange::Kind::kRestarted;
-  const std::size_t own = addresses_.HoldersOf(before).count(id);
-  const bool shared = addresses_.HoldersOf(before).size() > own;
+  const std::size_t own = addresses_.TargetsAt(before).count(id);
+  const bool shared = addresses_.TargetsAt(before).size() > own;
   if ((own == 0 || restarted) && !shared) {
     limits_.Forget(before);
   }
@@ -82,7 +82,7 @@
 
 void DirectDispatcher::OnSharedLimit(const TargetRecord& target) {
   std::optional<double> limit = target.shared_limit;
-  for (const std::string& it : addresses_.HoldersOf(target.address)) {
+  for (const std::string& it : addresses_.TargetsAt(target.address)) {
     const TargetRecord* holder = carrier_.FindTarget(it);
     if (holder && holder->shared_limit) {
       limit = std::min(limit.value_or(*holder->shared_limit),
--- a/src/entry/direct_dispatcher_notices.cc
+++ b/src/entry/direct_dispatcher_notices.cc
@@ -13,7 +13,7 @@
   if (!address) {
     return {};
   }
-  const TargetAddresses::Ids& ids = addresses_.HoldersOf(*address);
+  const TargetAddresses::Ids& ids = addresses_.TargetsAt(*address);
   return {ids.begin(), ids.end()};
 }
 
--- a/src/entry/watch_relay.cc
+++ b/src/entry/watch_relay.cc
@@ -77,7 +77,7 @@
     early_[prefix] = {from, std::move(done)};
     return std::string();
   }
-  const auto relay = choice_.Best(clock_());
+  const auto relay = choice_.SelectRelay(clock_());
   const auto feed = feeds_.find(prefix);
   if (!relay || feed == feeds_.end()) {
     NoteRelay("");
--- a/src/entry/watch_relay.h
+++ b/src/entry/watch_relay.h
@@ -80,7 +80,7 @@
   void OnAnswer(std::uint64_t number, const Result<WatchBatch>& answer);
 
   /// Returns true if some entry of the failure domain is to relay.
-  bool has_relay() const { return choice_.Best(clock_()).has_value(); }
+  bool has_relay() const { return choice_.SelectRelay(clock_()).has_value(); }
 
   /// Takes no more questions of others: a planned stop has begun.
   void Stop() { stopped_ = true; }
--- a/src/replay/policies.cc
+++ b/src/replay/policies.cc
@@ -18,7 +18,8 @@
                                         std::span<const TargetHandle> serving,
                                         TimePoint now) mutable {
     const auto n = static_cast<std::uint32_t>(serving.size());
-    return router->DecisionFor(serving[ToBelow(random(), n)], query, now);
+    return router->DecisionFor(serving[ToBoundedInteger(random(), n)], query,
+                               now);
   };
 }
 
--- a/src/replay/trace_generator.cc
+++ b/src/replay/trace_generator.cc
@@ -48,7 +48,7 @@
       event.output_tokens = Tokens((long_prompt ? 60 : 400) * size);
       event.deadline_ms = 30000;
       if (long_prompt) {
-        event.prefix = 1 + ToBelow(random_(), 24);
+        event.prefix = 1 + ToBoundedInteger(random_(), 24);
         event.prefix_tokens = std::min(768U, event.prompt_tokens);
       }
       trace_.events.push_back(event);
@@ -75,7 +75,7 @@
       TraceEvent event;
       event.account = "drafts";
       event.at_ms = static_cast<std::int64_t>(t * 1000);
-      event.prefix = 200 + ToBelow(random_(), 8);
+      event.prefix = 200 + ToBoundedInteger(random_(), 8);
       event.prefix_tokens = 6144;
       event.prompt_tokens = 6144 + Tokens(300 * (0.5 + Draw()));
       event.output_tokens = 60;
--- a/src/wire/links_impl.cc
+++ b/src/wire/links_impl.cc
@@ -117,7 +117,7 @@
   std::vector<std::uint64_t> due;
   for (auto& [id, link] : links_) {
     if (paused) {
-      link.monitor.OnOwnPause(now);
+      link.monitor.OnProcessPaused(now);
     }
     const LinkAction action = link.monitor.Poll(now);
     if (action == LinkAction::kCloseSilent) {
--- a/tests/core/admission/admission_test.cc
+++ b/tests/core/admission/admission_test.cc
@@ -350,10 +350,12 @@
         AdmissionOptions options;
         options.queue.max_requests = 8;
         options.queue.max_work = 400;
-        ClientAccountSpec a = Account("a", 0, 1 + ToBelow(random(), 4));
+        ClientAccountSpec a =
+            Account("a", 0, 1 + ToBoundedInteger(random(), 4));
         a.max_concurrent = 5;
         AdmissionHarness harness(
-            {a, Account("b", static_cast<int>(ToBelow(random(), 2)))}, options);
+            {a, Account("b", static_cast<int>(ToBoundedInteger(random(), 2)))},
+            options);
         std::map<std::uint64_t, int> answers;
         std::vector<AdmissionTicket> running;
         std::map<std::uint32_t, std::uint32_t> held_by;
@@ -368,11 +370,12 @@
           }
         };
         for (int step = 0; step < 300; ++step) {
-          now += milliseconds(ToBelow(random(), 50));
-          if (ToBelow(random(), 2) == 0) {
-            take(harness.Offer(ToBelow(random(), 2) == 0 ? "a" : "b",
-                               ToBelow(random(), 100),
-                               milliseconds(ToBelow(random(), 2000)), now));
+          now += milliseconds(ToBoundedInteger(random(), 50));
+          if (ToBoundedInteger(random(), 2) == 0) {
+            take(harness.Offer(ToBoundedInteger(random(), 2) == 0 ? "a" : "b",
+                               ToBoundedInteger(random(), 100),
+                               milliseconds(ToBoundedInteger(random(), 2000)),
+                               now));
           } else if (!running.empty()) {
             harness.admission.OnEnded(running.back(), AdmissionEnd::kInTime,
                                       now);
@@ -421,7 +424,7 @@
       QueuedRequest request;
       request.id = RequestId{Id128{0, ++id}};
       request.account = account;
-      request.work = 1 + ToBelow(random(), 1000);
+      request.work = 1 + ToBoundedInteger(random(), 1000);
       queue.Push(request);
     };
     for (std::uint32_t it = 0; it < 30; ++it) {
--- a/tests/core/control/stage_control_test.cc
+++ b/tests/core/control/stage_control_test.cc
@@ -98,11 +98,11 @@
 TEST_CASE("The plan equals the reference plan for any current roles") {
   RandomSource random = MakeSeededRandom(11);
   for (int round = 0; round < 200; ++round) {
-    Fleet fleet(12 + static_cast<int>(ToBelow(random(), 60)));
+    Fleet fleet(12 + static_cast<int>(ToBoundedInteger(random(), 60)));
     for (StagedEngine& it : fleet.engines()) {
-      it.role = ToBelow(random(), 2) == 0 ? EngineRole::kPrefill
-                                          : EngineRole::kDecode;
-      it.leaving = ToBelow(random(), 8) == 0;
+      it.role = ToBoundedInteger(random(), 2) == 0 ? EngineRole::kPrefill
+                                                   : EngineRole::kDecode;
+      it.leaving = ToBoundedInteger(random(), 8) == 0;
     }
     fleet.List();
     fleet.now += seconds(4);
--- a/tests/core/membership/change_budget_test.cc
+++ b/tests/core/membership/change_budget_test.cc
@@ -19,16 +19,16 @@
                ChangeBounds{seconds(2), seconds(3), milliseconds(1000)},
                ChangeBounds{seconds(10), seconds(8), milliseconds(2000)});
   const ChangeBudget budget = MakeChangeBudget(bounds);
-  CHECK(budget.WhenCalm() <= bounds.in_force);
-  CHECK(budget.WhenLost() <= 2 * bounds.heartbeat);
-  CHECK(budget.WhenLost() + budget.use <= bounds.contact);
-  CHECK(budget.AfterReturn() <= bounds.contact);
+  CHECK(budget.NormalDelay() <= bounds.in_force);
+  CHECK(budget.LostCallDelay() <= 2 * bounds.heartbeat);
+  CHECK(budget.LostCallDelay() + budget.dispatch_delay <= bounds.recovery);
+  CHECK(budget.RecoveryDelay() <= bounds.recovery);
 
   SECTION("with a margin for a thread that runs late") {
     constexpr Duration kLate = milliseconds(300);
-    CHECK(budget.WhenCalm() + 2 * kLate <= bounds.in_force);
-    CHECK(budget.WhenLost() + kLate <= 2 * bounds.heartbeat);
-    CHECK(budget.AfterReturn() + kLate <= bounds.contact);
+    CHECK(budget.NormalDelay() + 2 * kLate <= bounds.in_force);
+    CHECK(budget.LostCallDelay() + kLate <= 2 * bounds.heartbeat);
+    CHECK(budget.RecoveryDelay() + kLate <= bounds.recovery);
   }
 }
 
@@ -39,12 +39,12 @@
                               milliseconds(1200)};
     const ChangeBudget budget = MakeChangeBudget(bounds);
     CHECK(budget.absence_grace < seconds(2));
-    CHECK(Holds(budget, bounds));
+    CHECK(IsWithinBounds(budget, bounds));
   }
   SECTION("a lost call that would count as an outage is reported") {
     const ChangeBounds bounds{seconds(1), milliseconds(1500),
                               milliseconds(500)};
-    CHECK_FALSE(Holds(MakeChangeBudget(bounds), bounds));
+    CHECK_FALSE(IsWithinBounds(MakeChangeBudget(bounds), bounds));
   }
 }
 
--- a/tests/core/membership/link_monitor_test.cc
+++ b/tests/core/membership/link_monitor_test.cc
@@ -78,7 +78,7 @@
   CHECK_FALSE(pause.Observe(kStart + 100ms));
   CHECK_FALSE(pause.Observe(kStart + 200ms));
   REQUIRE(pause.Observe(kStart + 5200ms));
-  monitor.OnOwnPause(kStart + 5200ms);
+  monitor.OnProcessPaused(kStart + 5200ms);
 
   SECTION("a peer that is alive keeps its link") {
     CHECK(monitor.Poll(kStart + 5200ms) == LinkAction::kSendHeartbeat);
--- a/tests/core/membership/membership_test.cc
+++ b/tests/core/membership/membership_test.cc
@@ -43,14 +43,14 @@
     kDown,
     kSaysLeaving
   };
-  struct Happening {
+  struct TimedStep {
     Duration at;
     Step step;
   };
   struct Row {
     std::string name;
-    std::vector<Happening> story;
-    Duration judged_at;
+    std::vector<TimedStep> steps;
+    Duration checked_at;
     MemberState expected;
   };
   const std::vector<Row> rows = {
@@ -126,14 +126,14 @@
     DYNAMIC_SECTION(row.name) {
       Membership membership(SideOptions(), {});
       std::uint64_t link = 0;
-      for (Duration t = 0s; t <= row.judged_at; t += 500ms) {
+      for (Duration t = 0s; t <= row.checked_at; t += 500ms) {
         const TimePoint now = kStart + t;
         membership.Tick(now);
-        for (const Happening& happening : row.story) {
-          if (happening.at != t) {
+        for (const TimedStep& timed_step : row.steps) {
+          if (timed_step.at != t) {
             continue;
           }
-          switch (happening.step) {
+          switch (timed_step.step) {
             case Step::kListed:
               membership.OnInstanceList({Entry("x")}, now);
               break;
--- a/tests/core/membership/relay_choice_test.cc
+++ b/tests/core/membership/relay_choice_test.cc
@@ -34,9 +34,9 @@
 
 TEST_CASE("The entries of a failure domain select the same relay") {
   RelayChoice choice = ChoiceOf("entry-5");
-  CHECK_FALSE(choice.Best(kStart));
+  CHECK_FALSE(choice.SelectRelay(kStart));
   choice.OnEntries(Entries(8));
-  const auto best = choice.Best(kStart);
+  const auto best = choice.SelectRelay(kStart);
   REQUIRE(best);
   CHECK(best->failure_domain == "bilbao");
   CHECK(best->processor == 1.0);
@@ -44,11 +44,11 @@
   auto reversed = Entries(8);
   std::reverse(reversed.begin(), reversed.end());
   another.OnEntries(reversed);
-  CHECK(another.Best(kStart) == best);
+  CHECK(another.SelectRelay(kStart) == best);
 
   SECTION("none if there are too few entries") {
     choice.OnEntries(Entries(7));
-    CHECK_FALSE(choice.Best(kStart));
+    CHECK_FALSE(choice.SelectRelay(kStart));
   }
   SECTION("never one without an address") {
     auto entries = Entries(8);
@@ -57,40 +57,40 @@
     }
     entries.push_back({"entry-8", "bilbao", "10.0.0.8:7380", 0.1});
     choice.OnEntries(entries);
-    CHECK(choice.Best(kStart)->name != best->name);
+    CHECK(choice.SelectRelay(kStart)->name != best->name);
   }
   SECTION("the next one after a failure, for longer each time") {
     choice.OnFailed(best->name, kStart);
-    const auto next = choice.Best(kStart);
+    const auto next = choice.SelectRelay(kStart);
     REQUIRE(next);
     CHECK(next->name != best->name);
     CHECK(next->processor == 1.0);
-    CHECK(choice.Best(kStart + seconds(10)) == best);
+    CHECK(choice.SelectRelay(kStart + seconds(10)) == best);
     choice.OnFailed(best->name, kStart + seconds(10));
-    CHECK(choice.Best(kStart + seconds(29)) == next);
-    CHECK(choice.Best(kStart + seconds(30)) == best);
+    CHECK(choice.SelectRelay(kStart + seconds(29)) == next);
+    CHECK(choice.SelectRelay(kStart + seconds(30)) == best);
     choice.OnAnswered(best->name);
     choice.OnFailed(best->name, kStart + seconds(40));
-    CHECK(choice.Best(kStart + seconds(50)) == best);
+    CHECK(choice.SelectRelay(kStart + seconds(50)) == best);
   }
   SECTION("several requests lost at once count as one failure") {
     choice.OnFailed(best->name, kStart);
     choice.OnFailed(best->name, kStart + seconds(1));
-    CHECK(choice.Best(kStart + seconds(10)) == best);
+    CHECK(choice.SelectRelay(kStart + seconds(10)) == best);
   }
   SECTION("none if all have failed") {
     for (const RelayCandidate& it : Entries(8)) {
       choice.OnFailed(it.name, kStart);
     }
-    CHECK_FALSE(choice.Best(kStart));
+    CHECK_FALSE(choice.SelectRelay(kStart));
   }
 }
 
 /// Guards against an entry with little CPU that relays to so many others that
 /// it cannot serve callers.
 TEST_CASE("No entry relays to more entries than its CPU allows") {
-  constexpr double kThin = 0.09;
-  constexpr std::size_t kMost = 90;  // 1000 per core.
+  constexpr double kCpuShare = 0.09;
+  constexpr std::size_t kMaxFollowers = 90;  // 1000 per core.
   for (const std::size_t entries : {8, 50, 90, 100, 200, 400, 1000}) {
     for (const bool has_whole_core : {false, true}) {
       INFO(entries << " entries, one with a whole core: " << has_whole_core);
@@ -98,26 +98,26 @@
       for (std::size_t it = 0; it < entries; ++it) {
         listed.push_back({"entry-" + std::to_string(it), "bilbao",
                           "10.0.0.1:7380",
-                          it == 0 && has_whole_core ? 1.0 : kThin});
+                          it == 0 && has_whole_core ? 1.0 : kCpuShare});
       }
       std::map<std::string, std::size_t> followers;
       for (const RelayCandidate& it : listed) {
         RelayChoice choice = ChoiceOf(it.name);
         choice.OnEntries(listed);
-        const auto best = choice.Best(kStart);
+        const auto best = choice.SelectRelay(kStart);
         REQUIRE(best);
         ++followers[best->name];
       }
       // As few relays as needed, none with more than twice its even share.
       const std::size_t relays =
-          has_whole_core ? 1 : (entries + kMost - 1) / kMost;
+          has_whole_core ? 1 : (entries + kMaxFollowers - 1) / kMaxFollowers;
       CHECK(followers.size() == relays);
       for (const auto& [name, n] : followers) {
         CHECK(n <= 2 * entries / relays);
         // A relay uses no other relay.
         RelayChoice choice = ChoiceOf(name);
         choice.OnEntries(listed);
-        CHECK(choice.Best(kStart)->name == name);
+        CHECK(choice.SelectRelay(kStart)->name == name);
       }
     }
   }
--- a/tests/core/membership/target_directory_test.cc
+++ b/tests/core/membership/target_directory_test.cc
@@ -107,7 +107,7 @@
 TEST_CASE("A short outage of the store does not delay the removal of targets") {
   TargetDirectory::Options options;
   options.return_grace = milliseconds(2300);
-  options.least_outage = milliseconds(2400);
+  options.min_outage = milliseconds(2400);
   TargetDirectory directory{options};
   TimePoint now{seconds(100)};
   directory.OnStoreFollowed(now);
@@ -231,14 +231,14 @@
   // Removed right after this answer; the watch pauses for a second between
   // answers.
   const TimePoint removed = now;
-  std::vector<Kind> told;
+  std::vector<Kind> reported;
   while (now < removed + kBound) {
     now += seconds(1);
     directory.OnKnownUntil(now);
     const auto changes = KindsOf(directory.OnListed({Target("a")}, now));
-    told.insert(told.end(), changes.begin(), changes.end());
+    reported.insert(reported.end(), changes.begin(), changes.end());
   }
-  CHECK(told == std::vector<Kind>{Kind::kLeaving});
+  CHECK(reported == std::vector<Kind>{Kind::kLeaving});
 }
 
 TEST_CASE("TargetDirectory ignores targets beyond max_targets") {
--- a/tests/core/placement/engine_placement_test.cc
+++ b/tests/core/placement/engine_placement_test.cc
@@ -143,13 +143,13 @@
                                          4 * round + 2};
       for (const std::uint64_t n : sent) {
         CallerRequest other = Request(7, n);
-        other.prompt_parts[0].tokens = 13001 + ToBelow(random(), 300);
-        other.prompt_tokens = 13300 + ToBelow(random(), 900);
+        other.prompt_parts[0].tokens = 13001 + ToBoundedInteger(random(), 300);
+        other.prompt_tokens = 13300 + ToBoundedInteger(random(), 900);
         placement.OnSent(Attempt(n), other,
                          AssignmentOf(placement.Place(other, fleet, kNow)),
                          kNow);
       }
-      std::swap(sent[0], sent[ToBelow(random(), 3)]);
+      std::swap(sent[0], sent[ToBoundedInteger(random(), 3)]);
       for (const std::uint64_t n : sent) {
         placement.OnPrefilled(Attempt(n), kNow);
       }
--- a/tests/core/roles/role_planner_test.cc
+++ b/tests/core/roles/role_planner_test.cc
@@ -293,7 +293,7 @@
       rc::check("prefill and decode stay possible", [](std::uint64_t seed) {
         RandomSource random = MakeSeededRandom(seed);
         const auto below = [&random](std::uint32_t bound) {
-          return static_cast<int>(ToBelow(random(), bound));
+          return static_cast<int>(ToBoundedInteger(random(), bound));
         };
         auto engines = Engines(below(4), below(4), below(3));
         RolePlanner planner = Planner(Mix(below(12), below(12)));
--- a/tests/core/routing/router_test.cc
+++ b/tests/core/routing/router_test.cc
@@ -407,16 +407,16 @@
         Fleet fleet(0);
         std::vector<TargetHandle> handles;
         std::map<std::uint32_t, bool> allowed;
-        const std::uint32_t n = ToBelow(random(), 30);
+        const std::uint32_t n = ToBoundedInteger(random(), 30);
         for (std::uint32_t it = 0; it < n; ++it) {
           TargetView view = Engine(std::to_string(it));
-          view.leaving = ToBelow(random(), 4) == 0;
-          view.serving = ToBelow(random(), 4) != 0;
-          const bool model = ToBelow(random(), 3) != 0;
-          const bool adapter = ToBelow(random(), 2) == 0;
+          view.leaving = ToBoundedInteger(random(), 4) == 0;
+          view.serving = ToBoundedInteger(random(), 4) != 0;
+          const bool model = ToBoundedInteger(random(), 3) != 0;
+          const bool adapter = ToBoundedInteger(random(), 2) == 0;
           view.models = {model ? "tarifa@1" : "brief@1"};
           view.adapters = {adapter ? "spring" : "autumn"};
-          view.role = static_cast<EngineRole>(ToBelow(random(), 3));
+          view.role = static_cast<EngineRole>(ToBoundedInteger(random(), 3));
           handles.push_back(*fleet.router.UpdateTarget(view));
           allowed[handles.back().index] =
               !view.leaving && view.serving && model && adapter;
@@ -426,7 +426,7 @@
           fleet.router.OnLoadReport(
               it, Report(kStart + milliseconds(random() % 1000), random()),
               kStart);
-          if (ToBelow(random(), 5) == 0) {
+          if (ToBoundedInteger(random(), 5) == 0) {
             excluded.push_back(it);
             allowed[it.index] = false;
           }
@@ -435,7 +435,7 @@
         query.adapter = "spring";
         query.excluded = excluded;
         query.may_probe = true;
-        query.may_split = ToBelow(random(), 2) == 0;
+        query.may_split = ToBoundedInteger(random(), 2) == 0;
         const RouteDecision decision = fleet.router.Choose(query, kStart);
         const bool any = std::any_of(allowed.begin(), allowed.end(),
                                      [](const auto& it) { return it.second; });
--- a/tests/core/usage/usage_reporter_test.cc
+++ b/tests/core/usage/usage_reporter_test.cc
@@ -309,7 +309,9 @@
   };
 
   bool Chance(double p) { return ToUnitInterval(random_()) < p; }
-  int Below(std::uint32_t n) { return static_cast<int>(ToBelow(random_(), n)); }
+  int Below(std::uint32_t n) {
+    return static_cast<int>(ToBoundedInteger(random_(), n));
+  }
   WallMicros Calendar() const { return kBegin + now_ * kSecond / 10; }
   TimePoint Boot() const {
     return TimePoint{seconds(1000)} + now_ * milliseconds(100);
--- a/tests/platform/change_waits_test.cc
+++ b/tests/platform/change_waits_test.cc
@@ -41,11 +41,11 @@
   SECTION("one call that is lost drops no target") {
     const Duration lost = store.watch_pace.most_gap + store.watch_wait +
                           store.watch_slack + watch.min_backoff + kAnswer;
-    CHECK(lost < directory.least_outage);
+    CHECK(lost < directory.min_outage);
     CHECK(lost + kUse <= contact);
     const Duration relay_lost =
         relayed.answer_within + store.answer_within + kAnswer;
-    CHECK(relay_lost < directory.least_outage);
+    CHECK(relay_lost < directory.min_outage);
     CHECK(relay_lost + kUse <= contact);
   }
   SECTION("a store that comes back") {
