--- a/src/store/base64.cc
+++ b/src/store/base64.cc
@@ -5,7 +5,7 @@
 namespace indigolead {
 
 std::string ToBase64(std::string_view bytes) {
-  // The encoder ends its output with a zero byte.
+  // The encoder appends a zero byte.
   std::string out(4 * ((bytes.size() + 2) / 3) + 1, '\0');
   const int size =
       EVP_EncodeBlock(reinterpret_cast<unsigned char*>(out.data()),
@@ -27,7 +27,7 @@
   if (size < 0) {
     return std::nullopt;
   }
-  // The decoder counts the zero bytes that padding stands for.
+  // The decoder's size includes a zero byte for each padding character.
   std::size_t padding = 0;
   if (text.ends_with("==")) {
     padding = 2;
--- a/src/store/base64.h
+++ b/src/store/base64.h
@@ -7,10 +7,10 @@
 
 namespace indigolead {
 
-/// Returns `bytes` in base64 with padding, on one line.
+/// Returns `bytes` in padded base64 without line breaks.
 std::string ToBase64(std::string_view bytes);
 
-/// Returns the bytes written as `text`, or nothing if it is not padded base64.
+/// Decodes `text`. Returns nothing if it is not padded base64.
 std::optional<std::string> FromBase64(std::string_view text);
 
 }  // namespace indigolead
--- a/src/store/call_limiter.cc
+++ b/src/store/call_limiter.cc
@@ -13,7 +13,7 @@
 
 CallLimiter::CallLimiter(Options options, TimePoint now)
     : options_(options), tokens_(options.burst), counted_at_(now) {
-  // A reserve as large as the bucket would keep every other call out.
+  // A reserve as large as the bucket would block every other call.
   options_.lease_reserve =
       std::clamp(options_.lease_reserve, 0.0, options_.burst / 2);
 }
@@ -86,7 +86,7 @@
         TokensNeeded(queue_.begin()->first.priority) - TokensAt(now);
     const std::chrono::duration<double> wait(std::max(0.0, missing) /
                                              options_.calls_per_second);
-    // Rounded up: a timer that fires a moment early would find no token.
+    // Rounds up, since a timer that fires early would find no token.
     next = std::min(next,
                     now + std::chrono::ceil<std::chrono::microseconds>(wait));
   }
--- a/src/store/call_limiter.h
+++ b/src/store/call_limiter.h
@@ -11,43 +11,44 @@
 
 namespace indigolead {
 
-/// Names one call that waits for its turn.
+/// Identifies a queued call.
 using CallTicket = std::uint64_t;
 
-/// Decides which call may be made now, at a bounded rate.
+/// Rate limiter with a priority queue for calls of the store.
 ///
-/// The store counts every call of the whole fleet, so each process keeps to
-/// its share of the rate with a token bucket. When calls queue up, the lease
-/// goes first: a lease that lapses because audit records stood before it would
-/// cost the controller. For the same reason some tokens of the bucket are
-/// given to lease calls only, and a full queue pushes out its least important
-/// call. Pure: time comes as an argument.
+/// The store limits the call rate of the whole fleet, so each process keeps to
+/// its share with a token bucket. Lease calls are granted first, and some
+/// tokens of the bucket are reserved for them: a lease that expires behind
+/// queued audit records would cost the controller its role. A full queue evicts
+/// its least important call. Does no I/O and reads no clock; the time is an
+/// argument.
 class CallLimiter {
  public:
   struct Options {
     double calls_per_second = 50;
-    double burst = 100;        ///< Tokens held at most; the start amount.
-    double lease_reserve = 5;  ///< Tokens that only lease calls may take.
+    double burst = 100;        ///< Capacity and initial fill of the bucket.
+    double lease_reserve = 5;  ///< Tokens reserved for lease calls.
     std::size_t max_queued = 1024;
   };
 
   CallLimiter(Options options, TimePoint now);
 
-  /// Queues a call until `deadline`. Returns the ticket that the full queue
-  /// pushed out, which may be `ticket` itself; nothing if there was room.
+  /// Queues a call until `deadline`. Returns the ticket evicted from a full
+  /// queue, which may be `ticket` itself, or nothing if there was room.
   std::optional<CallTicket> Enqueue(CallTicket ticket, CallPriority priority,
                                     TimePoint deadline);
 
-  /// Takes a token for the first call in order of priority and arrival. With
-  /// `lease_only`, other calls keep waiting.
+  /// Takes a token for the first call by priority, then arrival, and returns
+  /// its ticket. With `lease_only`, other calls keep waiting.
   std::optional<CallTicket> Grant(TimePoint now, bool lease_only);
 
   /// Removes and returns the calls whose deadline has passed.
   std::vector<CallTicket> Expire(TimePoint now);
 
-  /// Returns when the first queued call could be granted, or expires if that
-  /// is earlier; nothing if none is queued. With `expiry_only`, no call can be
-  /// granted for another reason, and only the expiry counts.
+  /// Returns the earlier of the time at which the first queued call can be
+  /// granted and the earliest deadline, or nothing if the queue is empty. With
+  /// `expiry_only`, only the deadlines count, because something else prevents a
+  /// grant.
   std::optional<TimePoint> NextEvent(TimePoint now, bool expiry_only) const;
 
   /// Returns true if a lease call is queued.
--- a/src/store/call_tally.h
+++ b/src/store/call_tally.h
@@ -10,23 +10,25 @@
 
 namespace indigolead {
 
-/// Counts a process's calls of the store by what they asked of which objects,
-/// and logs the counts at a fixed pace.
+/// Counts the store calls of a process by step and kind of object, and logs the
+/// counts at a fixed interval.
 ///
-/// The store's rates are the fleet's, and each call is paid for; without this a
-/// fleet that asks too much shows only as a sum, with nobody to name.
+/// The store's rate metrics cover the whole fleet and each call is billed;
+/// without these counts the source of excess calls could not be identified.
 class CallTally {
  public:
-  /// Long enough for one line to say something, short enough for one line to
-  /// fall into each phase of an outage.
+  /// Long enough for a record to hold meaningful counts, and short enough for
+  /// at least one record in each phase of an outage.
   static constexpr Duration kInterval = std::chrono::seconds(10);
 
   explicit CallTally(EventLog log) : log_(std::move(log)) {}
 
-  /// Counts a call: `step` as in errors ("store.get"), and the objects' kind.
+  /// Counts a call of `step`, as named in errors ("store.get"), on objects of
+  /// `kind`.
   void Add(const std::string& step, const std::string& kind);
 
-  /// Logs what was counted if it is time. Call several times a second.
+  /// Logs and resets the counts if the interval is over. Must be called several
+  /// times a second.
   void Tick(TimePoint now);
 
  private:
--- a/src/store/events.h
+++ b/src/store/events.h
@@ -7,30 +7,31 @@
 
 inline constexpr EventInfo kStaleListing{
     3001, "stale-listing", EventSeverity::kWarning,
-    "The store answered a listing older than what is held; it was dropped."};
+    "The store answered with a listing older than the held state; it was "
+    "dropped."};
 
 inline constexpr EventInfo kWatcherRetry{
     3002, "watcher-retry", EventSeverity::kWarning,
-    "The store could not be listed or a watch ended; another try follows."};
+    "Listing the store failed or a watch ended; a retry follows."};
 
 inline constexpr EventInfo kStoreCalls{
     3003, "store-calls", EventSeverity::kInfo,
-    "What this process asked of the store since the line before: calls by step "
-    "and kind of object."};
+    "Store calls of this process since the previous record, by step and kind "
+    "of object."};
 
 inline constexpr EventInfo kWatcherTryFailed{
     3004, "watcher-try-failed", EventSeverity::kWarning,
-    "A try to go on after a lost watch failed; others follow."};
+    "An attempt to resume after a lost watch failed; retries follow."};
 
 inline constexpr EventInfo kWatcherResumed{
     3005, "watcher-resumed", EventSeverity::kInfo,
-    "The changes since the version held were read; a watch follows the store "
-    "again."};
+    "The changes since the held version were read and the watch was "
+    "restarted."};
 
 inline constexpr EventInfo kWatcherAsked{
     3006, "watcher-asked", EventSeverity::kInfo,
-    "The store was asked for changes beside the watch, since something depends "
-    "on how things stand now."};
+    "Changes were read from the store outside the watch, because a decision "
+    "depends on the current state."};
 
 }  // namespace indigolead
 
--- a/src/store/http_object_store.cc
+++ b/src/store/http_object_store.cc
@@ -21,7 +21,7 @@
 constexpr int kServerError = 500;
 constexpr int kUnavailable = 503;
 
-/// Returns the error of an answer whose status is not one of success.
+/// Returns the error for a status other than success.
 Error ErrorOfStatus(const std::string& step, const std::string& peer,
                     const StoreReply& reply) {
   const std::string status = "status " + std::to_string(reply.status);
@@ -40,8 +40,8 @@
   if (reply.status >= kBadRequest && reply.status < kServerError) {
     return {ErrorCode::kProtocol, step, peer, status};
   }
-  // Only 429 and 503 promise that nothing was done; any other answer of a
-  // server in trouble says nothing about a write.
+  // Only 429 and 503 guarantee that nothing was done; after any other server
+  // error, the outcome of a write is unknown.
   return {
       IsWriteStep(step) ? ErrorCode::kUnknownEffect : ErrorCode::kUnavailable,
       step, peer, status};
@@ -49,10 +49,11 @@
 
 Error BadAnswer(const std::string& step, const std::string& peer) {
   return {IsWriteStep(step) ? ErrorCode::kUnknownEffect : ErrorCode::kProtocol,
-          step, peer, "the answer does not follow the object API"};
+          step, peer, "the response does not conform to the object API"};
 }
 
-/// Calls `done` with what `convert` makes of a successful reply.
+/// Returns a callback that passes the result of `convert` on a successful
+/// reply, or an error, to `done`.
 template <typename T>
 StoreCalls::ReplyCallback Convert(
     std::string step, std::string peer, ObjectStore::Callback<T> done,
@@ -78,7 +79,7 @@
       };
 }
 
-/// Watch that stops with its handle.
+/// Stops its watch when destroyed.
 class HttpWatch : public ObjectStore::Watch {
  public:
   HttpWatch(std::weak_ptr<StoreCalls> calls,
@@ -152,7 +153,7 @@
   auto reply = Convert<Listing>(
       request.step, address_, std::move(done),
       [](StoreReply&& answer) { return internal::ParseListing(answer.body); });
-  // An empty prefix lists everything.
+  // An empty prefix is valid and lists everything.
   Send(std::move(request), prefix.empty() ? "all" : prefix, options,
        std::move(reply));
 }
--- a/src/store/http_object_store.h
+++ b/src/store/http_object_store.h
@@ -22,37 +22,36 @@
 
 /// Object API over HTTP, as described in docs/INTERFACES.md.
 ///
-/// Built for a store that is slow, down or silent: every call has a deadline
-/// that counts from the moment it was asked for, so callers wait no longer in
-/// the queue than on the wire; the queue is bounded and ordered by priority;
-/// and no more than a stated number of connections are open, one of which
-/// only lease calls may use, so that a slow store cannot starve the lease.
+/// Designed for a store that is slow, down or silent. The deadline of a call
+/// includes its time in the queue. The queue is bounded and ordered by
+/// priority. The number of open connections is limited, and one of them is
+/// reserved for lease calls, so that a slow store cannot block lease renewal.
 ///
-/// Runs on the thread of its io_context: every method must be called there,
-/// and callbacks are called there, never from inside the method.
+/// Runs on the thread of its io_context: all methods must be called there.
+/// Callbacks run there too, never from inside a method.
 class HttpObjectStore : public ObjectStore {
  public:
   struct Options {
     std::string address;  ///< "IP:port".
     Duration watch_silence = std::chrono::seconds(10);
-    /// Bound on the opening of a watch, its wait for a token included.
+    /// Deadline for opening a watch, including the wait for a token.
     Duration watch_open_deadline = std::chrono::seconds(2);
     double calls_per_second = 50;
     double call_burst = 100;
-    double lease_reserve = 5;  ///< Tokens that only lease calls may take.
+    double lease_reserve = 5;  ///< Tokens reserved for lease calls.
     std::size_t max_queued_calls = 1024;
-    std::size_t max_connections = 8;  ///< For calls; each watch has one more.
+    std::size_t max_connections = 8;  ///< For calls; watches have their own.
     std::uint64_t max_answer_bytes = 64ULL << 20;
   };
 
-  /// Returns the options that section [store] of the settings asks for.
+  /// Returns the options from section [store] of the settings.
   static Options OptionsFrom(const StoreSettings& settings);
 
   /// `io` and `metrics` must outlive this object.
   HttpObjectStore(boost::asio::io_context* io, Options options, Clock clock,
                   MetricsRegistry* metrics);
 
-  /// Cuts every call and watch; their callbacks are not called any more.
+  /// Aborts all calls and watches; their callbacks are not called afterwards.
   ~HttpObjectStore() override;
   HttpObjectStore(const HttpObjectStore&) = delete;
   HttpObjectStore& operator=(const HttpObjectStore&) = delete;
@@ -76,7 +75,7 @@
  private:
   static bool Accepts(const internal::StoreRequest& request,
                       const std::string& key);
-  /// Queues `request`, or refuses it if `key` or its value are not allowed.
+  /// Queues `request`, or fails it if `key` or the value is invalid.
   void Send(internal::StoreRequest request, const std::string& key,
             const CallOptions& options,
             std::function<void(Result<internal::StoreReply>)> done);
--- a/src/store/list_watcher.cc
+++ b/src/store/list_watcher.cc
@@ -88,7 +88,7 @@
 void ListWatcher::OnListed(const Result<ObjectStore::Listing>& result) {
   listing_ = false;
   if (watch_) {
-    return;  // Another try went well before.
+    return;  // Another retry already succeeded.
   }
   if (!IsOk(result)) {
     NoteLost(ErrorOf(result));
@@ -144,11 +144,11 @@
   }
 }
 
-// The state is told once for all of the events: whoever reads the whole state
-// does so for each call.
+// Callers report the state once for all of the events, because the receiver
+// reads the whole state on each call.
 bool ListWatcher::ApplyAll(const std::vector<WatchEvent>& events) {
   bool changed = false;
-  // Changes that are told together may bear the same version.
+  // Several changes of one response may have the same version.
   const std::uint64_t known = version_;
   for (const WatchEvent& it : events) {
     changed = Apply(it, known) || changed;
@@ -174,8 +174,8 @@
   known_until_ = std::max(known_until_, watch_->known_until(now));
   heard_at_ = std::max(heard_at_, watch_->heard_at(now));
   version_ = std::max(version_, watch_->told_version());
-  // A watch that held for a while shows that the store works; one that ends at
-  // once must not make a tight loop of tries.
+  // A watch that lasted shows that the store works; one that ends immediately
+  // must not cause a tight retry loop.
   if (now - watch_started_ > options_.max_backoff) {
     failures_ = 0;
   }
@@ -200,12 +200,12 @@
     delay = std::min(delay * 2, options_.max_backoff);
   }
   ++failures_;
-  // Between half and the whole delay.
+  // Jitter: between half and the whole delay.
   return std::chrono::duration_cast<Duration>(delay *
                                               (0.5 + hooks_.jitter() / 2));
 }
 
-// While nothing follows the store there is always one next try.
+// Exactly one retry is scheduled while no watch is active.
 void ListWatcher::TryLater() {
   const std::uint64_t number = ++next_try_;
   run_after_(NextDelay(), [this, alive = alive_, number] {
@@ -216,8 +216,8 @@
 }
 
 void ListWatcher::Try() {
-  TryLater();  // Whatever becomes of this one.
-  // A store may answer lists and be silent to whoever asks for changes.
+  TryLater();  // Scheduled regardless of the outcome of this one.
+  // A store may answer lists but not reads of changes.
   const bool lists = !listed_ || ++tries_ % 2 == 0;
   if (lists && !listing_) {
     List();
@@ -242,7 +242,7 @@
 void ListWatcher::OnTried(TimePoint tried_at,
                           const Result<WatchBatch>& result) {
   if (watch_) {
-    return;  // Another try went well before.
+    return;  // Another retry already succeeded.
   }
   if (!IsOk(result)) {
     OnTryFailed(tried_at, ErrorOf(result));
@@ -298,7 +298,7 @@
        {{"prefix", options_.prefix},
         {"after_ms", Milliseconds(clock_() - asked_at)},
         {"outcome", IsOk(result) ? "told" : ToString(ErrorOf(result))}});
-  // What it tells of a time after the watch's end is for a try to find out.
+  // If the watch has ended, a retry reads the changes since then.
   if (!IsOk(result) || !watch_) {
     return;
   }
--- a/src/store/list_watcher.h
+++ b/src/store/list_watcher.h
@@ -17,15 +17,18 @@
 
 /// Keeps a copy of the objects below a prefix up to date.
 ///
-/// Lists, then watches from the version listed. When the watch breaks or falls
-/// silent it asks for what has changed since, after a growing delay with jitter
-/// so that a fleet does not come back to a recovering store all at once. It
-/// lists again with each second try, since a store may answer lists and be
-/// silent to whoever asks for changes, and if the store has not kept these.
-/// Each try opens a connection and waits for none before it: one that was sent
-/// right before the store could be reached again would cost its whole deadline.
-/// A stale read must not take configuration back, so a listing older than what
-/// is held is dropped and the watch goes on from the version held.
+/// Lists the objects, then watches from the listed version. When the watch
+/// breaks or goes silent, it reads the changes since then, retrying with
+/// exponential backoff and jitter so that a fleet does not hit a recovering
+/// store all at once. Every second retry lists instead, because a store may
+/// answer lists but not reads of changes; it also lists if the store no longer
+/// has the changes.
+///
+/// Each retry opens a new connection and does not wait for earlier retries: one
+/// sent just before the store recovered would otherwise cost its whole
+/// deadline. A listing older than the held state is a stale read, which must
+/// not revert configuration; it is dropped and the watch resumes from the held
+/// version.
 ///
 /// Runs on the thread of its store.
 class ListWatcher {
@@ -36,28 +39,28 @@
   struct Options {
     std::string prefix;
     CallOptions list;
-    /// The first list may show the state of seconds ago; the watch after it
-    /// brings it forward.
+    /// Allows the first list to be a few seconds old; the watch after it brings
+    /// the state up to date.
     bool first_may_be_stale = false;
-    /// From the end of a watch to the first try, and the longest time from the
-    /// start of one try to the next.
+    /// Delay between the end of a watch and the first retry, and the longest
+    /// time from the start of one retry to the next.
     Duration min_backoff = std::chrono::milliseconds(200);
     Duration max_backoff = std::chrono::seconds(10);
-    /// Time in which a try must be answered.
+    /// Deadline of one read of changes.
     Duration try_deadline = std::chrono::milliseconds(700);
   };
 
   struct Hooks {
-    /// The state changed, was read for the first time, or was read again after
+    /// Called when the state changed, was first read, or was read again after
     /// the store had been lost. `version` is the store-wide version up to which
     /// it is known.
     std::function<void(const State&, std::uint64_t version)> on_state;
-    /// The store could not be read or the watch ended; another try follows.
+    /// Called when listing failed or the watch ended; a retry follows.
     std::function<void(const Error&)> on_error;
-    /// Returns a number in [0, 1) that spreads the delays.
+    /// Returns a random number in [0, 1) to jitter the delays.
     std::function<double()> jitter;
-    /// A part of the first list was read, of one that takes several calls. May
-    /// be empty.
+    /// Called with the partial state when the first list takes several calls.
+    /// May be empty.
     std::function<void(const State&)> on_part{};
   };
 
@@ -65,7 +68,7 @@
   ListWatcher(ObjectStore* store, Options options, Hooks hooks, Clock clock,
               RunAfter run_after, EventLog log);
 
-  /// Stops; the hooks are not called afterwards.
+  /// Stops the watcher; the hooks are not called afterwards.
   ~ListWatcher();
   ListWatcher(const ListWatcher&) = delete;
   ListWatcher& operator=(const ListWatcher&) = delete;
@@ -75,26 +78,28 @@
 
   const State& state() const { return state_; }
 
-  /// Returns the state with the version up to which every change is in it.
+  /// Returns a snapshot of the state and the version up to which it includes
+  /// every change.
   ObjectStore::Listing Known() const;
 
   /// Returns the store-wide version up to which the state is known; 0 before
   /// the first listing.
   std::uint64_t version() const { return version_; }
 
-  /// Returns true while a watch follows the store.
+  /// Returns true while a watch is active.
   bool following() const { return watch_ != nullptr; }
 
-  /// Returns up to when every change is in the state, as answers of the store
-  /// prove it. Default-constructed before the first.
+  /// Returns the time up to which the state includes every change, as proven by
+  /// responses of the store. Default-constructed before the first one.
   TimePoint fresh_at() const;
 
-  /// Returns when the store was last heard. Default-constructed before that.
+  /// Returns when the store last responded. Default-constructed before the
+  /// first response.
   TimePoint heard_at() const;
 
-  /// Asks for changes at once, beside the watch that follows the store; its
-  /// answer moves `fresh_at`. Does nothing while nothing follows the store, and
-  /// within `max_backoff` of the last such question.
+  /// Reads changes at once, in addition to the active watch; the response
+  /// advances `fresh_at`. Does nothing without an active watch, or within
+  /// `max_backoff` of the previous such read.
   void Ask();
 
  private:
@@ -127,14 +132,14 @@
   std::uint64_t version_ = 0;
   bool listed_ = false;
   std::uint32_t failures_ = 0;
-  TimePoint known_until_{};  ///< By lists, tries and questions.
-  TimePoint heard_at_{};     ///< As above.
+  TimePoint known_until_{};  ///< From responses outside the watch.
+  TimePoint heard_at_{};     ///< From responses outside the watch.
   TimePoint watch_started_{};
-  std::uint64_t next_try_ = 0;  ///< Number of the try that is due next.
+  std::uint64_t next_try_ = 0;  ///< Number of the next retry.
   bool listing_ = false;
-  std::uint32_t tries_ = 0;  ///< Since the first list.
-  TimePoint asked_at_{};     ///< Of the latest question.
-  TimePoint listed_from_{};  ///< When the list in flight was asked for.
+  std::uint32_t tries_ = 0;  ///< Retries after the first list.
+  TimePoint asked_at_{};     ///< Time of the latest `Ask`.
+  TimePoint listed_from_{};  ///< Start time of the list in flight.
   std::unique_ptr<ObjectStore::Watch> watch_;
   std::shared_ptr<bool> alive_;
 };
--- a/src/store/listed_instances.h
+++ b/src/store/listed_instances.h
@@ -8,8 +8,8 @@
 
 namespace indigolead {
 
-/// Returns the platform's list in the form that membership takes. Lines of a
-/// kind that this system does not know are left out.
+/// Converts the platform's instance list to the form that membership uses.
+/// Leaves out instances of an unknown kind.
 inline std::vector<ListedInstance> ToListedInstances(const InstanceList& list) {
   std::vector<ListedInstance> listed;
   for (const InstanceRecord& record : list.instances) {
--- a/src/store/listing_changes.h
+++ b/src/store/listing_changes.h
@@ -7,10 +7,10 @@
 
 namespace indigolead {
 
-/// Returns what has changed from the listing `before` to the later one `after`
-/// of the same prefix, as a watch would tell it: one change for each object
-/// that is new, has another value or is gone. All bear the version of `after`,
-/// since when each of them was made is not known.
+/// Returns the difference between the listing `before` and the later listing
+/// `after` of the same prefix, in the form a watch reports it: one change for
+/// each object that is new, has another value or was deleted. All changes have
+/// the version of `after`, since their own versions are unknown.
 std::vector<WatchEvent> ChangesBetween(const ObjectStore::Listing& before,
                                        const ObjectStore::Listing& after);
 
--- a/src/store/object_limits.h
+++ b/src/store/object_limits.h
@@ -7,14 +7,14 @@
 
 namespace indigolead {
 
-/// Largest value of an object, in bytes, at every store in use.
+/// Largest value of an object, in bytes, that every supported store accepts.
 inline constexpr std::size_t kMaxObjectBytes = 1U << 20;
 
-/// Returns true for a key that every store takes: a-z A-Z 0-9 - _ . / and at
-/// most 512 bytes.
+/// Returns true if every supported store accepts `key`: 1 to 512 bytes of a-z
+/// A-Z 0-9 - _ . /
 bool IsObjectKey(std::string_view key);
 
-/// Says what `IsObjectKey` and the size of a value allow, for errors.
+/// Error text that states the limits on keys and values.
 inline constexpr char kObjectLimitsText[] =
     "expected a key of a-z A-Z 0-9 - _ . / and at most 1 MiB";
 
--- a/src/store/object_store.h
+++ b/src/store/object_store.h
@@ -23,23 +23,24 @@
   friend bool operator==(const StoredObject&, const StoredObject&) = default;
 };
 
-/// State of an instance as the platform's lagging list has it.
+/// State of an instance in the platform's instance list, which lags behind
+/// reality.
 enum class InstanceState { kLive, kLeaving };
 
-/// One line of the platform's instance list.
+/// Entry of the platform's instance list.
 struct InstanceRecord {
   std::string name;
   std::string kind;  ///< "entry" or "target".
   std::string failure_domain;
   std::string region;
-  std::string link_address;  ///< "IP:port" of its process of this system.
+  std::string link_address;  ///< "IP:port" of its process in this system.
   InstanceState state = InstanceState::kLive;
 
   friend bool operator==(const InstanceRecord&,
                          const InstanceRecord&) = default;
 };
 
-/// The instance list with its version.
+/// Instance list and its version.
 struct InstanceList {
   std::uint64_t version = 0;
   std::vector<InstanceRecord> instances;
@@ -47,22 +48,22 @@
   friend bool operator==(const InstanceList&, const InstanceList&) = default;
 };
 
-/// Order in which calls get tokens when the call rate is limited.
+/// Priority of a call under rate limiting, highest first.
 enum class CallPriority { kLease, kOrder, kClaim, kConfig, kStatus, kAudit };
 
-/// Limits of one call.
+/// Deadline, priority and read options of one call.
 struct CallOptions {
   CallPriority priority = CallPriority::kStatus;
   Duration deadline = std::chrono::seconds(2);
-  /// A read may show the state of seconds ago, where that costs the store
-  /// less. Without effect on a store that knows no such reads.
+  /// Allows a read to return state that is a few seconds old if that is cheaper
+  /// for the store. Stores without stale reads ignore it.
   bool may_be_stale = false;
-  /// The call opens a connection, for which it waits behind no other call: what
-  /// was kept may bear nothing any more.
+  /// Opens a new connection and does not wait behind queued calls: pooled
+  /// connections may be dead.
   bool new_connection = false;
 };
 
-/// Change seen by a watch. A deleted object has no value.
+/// Change reported by a watch. The value is absent if the object was deleted.
 struct WatchEvent {
   std::string key;
   std::optional<std::string> value;
@@ -71,89 +72,95 @@
   friend bool operator==(const WatchEvent&, const WatchEvent&) = default;
 };
 
-/// Changes that one answer of the store tells.
+/// Changes in one response of the store.
 struct WatchBatch {
   std::vector<WatchEvent> events;
-  std::uint64_t version = 0;  ///< Up to which they are told.
-  /// Another entry relayed it, and keeps the pace.
+  std::uint64_t version = 0;  ///< All changes up to it are included.
+  /// The response came through another entry, which limits the polling rate.
   bool relayed = false;
 
   friend bool operator==(const WatchBatch&, const WatchBatch&) = default;
 };
 
-/// Condition of a write: the version that the object must have now; 0 if it
-/// must not exist.
+/// Precondition of a write: the current version of the object, or 0 if it must
+/// not exist.
 using ExpectedVersion = std::uint64_t;
 
-/// Calls of the platform's object API.
+/// Client of the platform's object API.
 ///
-/// Every call ends by calling its callback exactly once, on the thread that
-/// the implementation was built for, with a value or an error. `kUnavailable`,
-/// `kConflict` and `kOverloaded` mean that a write had no effect; `kTimeout`
-/// and `kUnknownEffect` mean that it may have had: settle it by reading back
-/// the nonce that the writer put into the value.
+/// Every call invokes its callback exactly once, on the thread that the
+/// implementation was built for, with a value or an error. `kUnavailable`,
+/// `kConflict` and `kOverloaded` mean that a write had no effect. `kTimeout`
+/// and `kUnknownEffect` mean that it may have had one; the caller finds out by
+/// reading back the nonce that it put into the value.
 class ObjectStore {
  public:
   template <typename T>
   using Callback = std::function<void(Result<T>)>;
 
-  /// Stops its watch when destroyed; the callbacks are not called afterwards.
+  /// Handle of a watch. Destroying it stops the watch; its callbacks are not
+  /// called afterwards.
   class Watch {
    public:
     virtual ~Watch() = default;
 
-    /// Returns up to when every change is known here, at the time `now`. A
-    /// watch that the store tells of each change at once knows all until `now`.
+    /// Returns the time up to which every change is known, as of `now`. A watch
+    /// to which the store pushes each change at once knows all changes until
+    /// `now`.
     virtual TimePoint known_until(TimePoint now) const { return now; }
 
-    /// Returns when the store was last heard, at the time `now`.
+    /// Returns when the store last responded, as of `now`.
     virtual TimePoint heard_at(TimePoint now) const { return now; }
 
-    /// Returns the version up to which every change has been told; 0 if the
-    /// watch does not count.
+    /// Returns the version up to which every change has been reported, or 0 if
+    /// the watch does not track it.
     virtual std::uint64_t told_version() const { return 0; }
   };
 
-  /// Takes changes that one answer told, in order; there is at least one.
+  /// Receives the changes of one response, in order; there is at least one.
   using OnWatchEvents = std::function<void(const std::vector<WatchEvent>&)>;
 
   virtual ~ObjectStore() = default;
 
-  /// Reads one object; nothing if it does not exist.
+  /// Reads one object. Returns nothing if it does not exist.
   virtual void Get(const std::string& key, const CallOptions& options,
                    Callback<std::optional<StoredObject>> done) = 0;
 
-  /// Reads every object whose key starts with `prefix`, with the store-wide
-  /// version of the snapshot (in `InstanceList` fashion, as `version`).
+  /// Objects whose keys start with a prefix, with the store-wide version of the
+  /// snapshot.
   struct Listing {
     std::uint64_t version = 0;
     std::vector<StoredObject> objects;
   };
+
+  /// Lists all objects whose keys start with `prefix`.
   virtual void List(const std::string& prefix, const CallOptions& options,
                     Callback<Listing> done) = 0;
 
-  /// As `List`, and shows what was read so far to `on_part` before each further
-  /// call that a long list takes. Without such calls nothing is shown.
+  /// Receives the objects read so far.
   using OnPart = std::function<void(const Listing&)>;
+
+  /// Reads as `List` does. If the listing takes several calls, passes what was
+  /// read so far to `on_part` before each further call.
   virtual void ListInParts(const std::string& prefix,
                            const CallOptions& options, OnPart /*on_part*/,
                            Callback<Listing> done) {
     List(prefix, options, std::move(done));
   }
 
-  /// Reads the changes below `prefix` after `from_version`, without a wait for
-  /// any. Fails with `kNotFound`, which may come from inside the call, where
-  /// the store does not have them: list then.
+  /// Reads the changes below `prefix` after `from_version` without waiting for
+  /// new ones. Fails with `kNotFound` if the store does not have them; the
+  /// caller then lists. This error may be reported from inside the call.
   virtual void ReadChanges(const std::string& prefix,
                            std::uint64_t /*from_version*/,
                            const CallOptions& /*options*/,
                            Callback<WatchBatch> done) {
     done(Error{ErrorCode::kNotFound, "store.changes", prefix,
-               "the store tells changes by watches only"});
+               "the store reports changes through watches only"});
   }
 
   /// Writes `value` if the object's version is `expected`. Returns the new
-  /// version, or `kConflict` with the version found in `detail`.
+  /// version, or `kConflict` with the current version in `detail`.
   virtual void Put(const std::string& key, const std::string& value,
                    ExpectedVersion expected, const CallOptions& options,
                    Callback<std::uint64_t> done) = 0;
@@ -163,7 +170,8 @@
                       const CallOptions& options, Callback<Unit> done) = 0;
 
   /// Reports the changes after `from_version` below `prefix` until the watch
-  /// breaks or falls silent; then calls `on_end` once. The caller lists again.
+  /// breaks or goes silent; then calls `on_end` once. The caller then reads the
+  /// missed changes or lists again.
   virtual std::unique_ptr<Watch> StartWatch(
       const std::string& prefix, std::uint64_t from_version,
       OnWatchEvents on_events, std::function<void(const Error&)> on_end) = 0;
--- a/src/store/polled_watch.cc
+++ b/src/store/polled_watch.cc
@@ -6,7 +6,8 @@
 namespace indigolead {
 namespace {
 
-/// The answer of a relay may have been on its way there when it was asked.
+/// Subtracted for relays, whose response may already have been on its way to
+/// the relay when it was asked.
 constexpr Duration kRelayLag = std::chrono::milliseconds(300);
 
 }  // namespace
--- a/src/store/polled_watch.h
+++ b/src/store/polled_watch.h
@@ -13,32 +13,34 @@
 
 namespace indigolead {
 
-/// A watch as a chain of calls, each of which waits at the store for changes.
+/// Watch made of consecutive long polls of the store.
 ///
-/// Ends with the first call that fails; its owner lists again. Runs on the
-/// thread of its store.
+/// Ends when the first call fails; its owner then resumes or lists again. Runs
+/// on the thread of its store.
 class PolledWatch : public ObjectStore::Watch {
  public:
   using PollDone = std::function<void(Result<WatchBatch>)>;
 
   struct Hooks {
-    /// Makes one call that waits for changes after `from`. Must not answer
-    /// from inside the call.
+    /// Makes one call that waits for changes after `from`. Must not invoke
+    /// `done` from inside the call.
     std::function<void(std::uint64_t from, PollDone done)> poll;
-    /// Takes the changes of one answer, in order; there is at least one.
+    /// Receives the changes of one response, in order; there is at least one.
     std::function<void(const std::vector<WatchEvent>&)> on_events;
     std::function<void(const Error&)> on_end;
   };
 
-  /// Makes the first call.
+  /// Sends the first poll.
   PolledWatch(std::uint64_t from_version, const WatchPace::Options& pace,
               Hooks hooks, Clock clock, RunAfter run_after);
   ~PolledWatch() override;
   PolledWatch(const PolledWatch&) = delete;
   PolledWatch& operator=(const PolledWatch&) = delete;
 
-  /// A call without an answer proves nothing: its connection may bear nothing
-  /// any more. One that was answered tells how things stood after it was made.
+  /// Returns the send time of the last answered poll, since a response shows
+  /// the state after its request was sent. A poll in flight proves nothing: its
+  /// connection may be dead. For a response through a relay, the time is
+  /// earlier by the relay's lag.
   TimePoint known_until(TimePoint /*now*/) const override {
     return known_until_;
   }
@@ -48,7 +50,8 @@
  private:
   void Poll();
   void OnAnswer(const Result<WatchBatch>& answer);
-  /// Notes what an answer proves. Returns the rest before the next call.
+  /// Records the versions and times of a response. Returns the delay before the
+  /// next poll.
   Duration Take(const WatchBatch& batch);
 
   std::uint64_t version_;
@@ -56,10 +59,10 @@
   Hooks hooks_;
   Clock clock_;
   RunAfter run_after_;
-  TimePoint sent_at_{};  ///< When the latest call was made.
+  TimePoint sent_at_{};  ///< Send time of the latest poll.
   TimePoint known_until_{};
   TimePoint heard_at_{};
-  /// Callbacks may come after this object is gone.
+  /// False once this object is destroyed; callbacks may run later.
   std::shared_ptr<bool> alive_;
 };
 
--- a/src/store/relayed_polls.cc
+++ b/src/store/relayed_polls.cc
@@ -35,8 +35,9 @@
   }
   run_after_(answer_within_, [this, alive = alive_, number] {
     if (*alive) {
-      OnRelayed(number, Error{ErrorCode::kTimeout, "relay.ask",
-                              relay_.value_or(""), "no answer in time"});
+      OnRelayed(number,
+                Error{ErrorCode::kTimeout, "relay.ask", relay_.value_or(""),
+                      "no response before the deadline"});
     }
   });
   return true;
@@ -45,7 +46,7 @@
 void RelayedPolls::OnRelayed(std::uint64_t number,
                              const Result<WatchBatch>& answer) {
   if (number != number_ || !relay_) {
-    return;  // Answered, or given up, before.
+    return;  // Already answered or timed out.
   }
   const std::string relay = *std::exchange(relay_, std::nullopt);
   if (!IsOk(answer)) {
--- a/src/store/relayed_polls.h
+++ b/src/store/relayed_polls.h
@@ -13,31 +13,32 @@
 
 namespace indigolead {
 
-/// Whether a call of the store waits for changes if there are none.
+/// Whether a store call waits for changes if there are none yet.
 enum class StoreWait { kWait, kDoNotWait };
 
-/// Makes the calls of one watch: through an entry that relays the store's
-/// changes where there is one, else of the store itself.
+/// Makes the polls of one watch, through an entry that relays the store's
+/// changes if there is one, otherwise directly at the store.
 ///
-/// No bound depends on the relay: one that fails, or does not answer in time,
-/// costs `answer_within` and a call of the store. That one does not wait: what
-/// made the relay fail may leave a call that waits without an answer until its
-/// time is over, and changes unseen for as long. If that fails as well, one
-/// more relay is asked: a store may turn this entry away and serve others.
+/// No latency bound depends on the relay. A relay that fails, or does not
+/// respond within `answer_within`, is followed by a direct call that does not
+/// wait for changes: the fault that broke the relay may also leave a waiting
+/// call without a response until its timeout, and changes would be missed for
+/// that long. If the direct call fails as well, one more relay is asked,
+/// because a store may reject this entry and serve others.
 class RelayedPolls {
  public:
   struct Hooks {
-    /// Asks a relay for the changes after `from`. Returns its name, or nothing
-    /// if there is none. Must not answer from inside the call.
+    /// Asks a relay for the changes after `from`. Returns the relay's name, or
+    /// nothing if there is none. Must not invoke `done` from inside the call.
     std::function<std::optional<std::string>(std::uint64_t from,
                                              PolledWatch::PollDone done)>
         ask;
-    /// Makes one call of the store, which waits for changes or only says how
-    /// things stand. Must not answer from inside the call.
+    /// Calls the store, which waits for changes or returns the current state at
+    /// once. Must not invoke `done` from inside the call.
     std::function<void(std::uint64_t from, StoreWait wait,
                        PolledWatch::PollDone done)>
         call;
-    /// The relay did not answer, or could not.
+    /// Called when the relay failed or did not respond in time.
     std::function<void(const std::string& relay, const Error& error)> on_failed;
   };
 
@@ -46,10 +47,11 @@
   RelayedPolls(const RelayedPolls&) = delete;
   RelayedPolls& operator=(const RelayedPolls&) = delete;
 
-  /// Makes one call that waits for changes after `from`; one at a time.
+  /// Polls once for changes after `from`. One poll may be in progress at a
+  /// time.
   void Poll(std::uint64_t from, PolledWatch::PollDone done);
 
-  /// Returns true while a relay is asked.
+  /// Returns true while a request to a relay is pending.
   bool relayed() const { return relay_.has_value(); }
 
  private:
@@ -60,12 +62,12 @@
   Duration answer_within_;
   Hooks hooks_;
   RunAfter run_after_;
-  std::optional<std::string> relay_;  ///< The one asked.
-  std::uint64_t number_ = 0;          ///< Of the latest question.
+  std::optional<std::string> relay_;  ///< Relay of the pending request.
+  std::uint64_t number_ = 0;          ///< Number of the latest relay request.
   std::uint64_t from_ = 0;
-  bool called_ = false;  ///< The store was called for this answer, in vain.
+  bool called_ = false;  ///< The store was called during this poll.
   PolledWatch::PollDone done_;
-  /// Callbacks may come after this object is gone.
+  /// False once this object is destroyed; callbacks may run later.
   std::shared_ptr<bool> alive_;
 };
 
--- a/src/store/relayed_store.cc
+++ b/src/store/relayed_store.cc
@@ -5,7 +5,7 @@
 namespace indigolead {
 namespace {
 
-/// A watch and the calls that it is made of.
+/// Watch that owns the poller it reads from.
 class RelayedWatch : public ObjectStore::Watch {
  public:
   RelayedWatch(std::unique_ptr<RelayedPolls> polls, std::uint64_t from_version,
@@ -54,8 +54,8 @@
   store_->ListInParts(prefix, options, std::move(on_part), std::move(done));
 }
 
-// Whoever asks for changes beside the watch wants to know how the store itself
-// stands.
+// Bypasses the relays: a caller that reads changes outside the watch needs the
+// current state of the store itself.
 void RelayedStore::ReadChanges(const std::string& prefix,
                                std::uint64_t from_version,
                                const CallOptions& options,
--- a/src/store/relayed_store.h
+++ b/src/store/relayed_store.h
@@ -15,20 +15,20 @@
 
 namespace indigolead {
 
-/// A store whose watches are told by other entries where these relay them.
+/// Store whose watches receive changes through other entries that relay them.
 ///
-/// The load: every entry of a large fleet follows the same lists, and each call
-/// of the store is paid for. The calls then grow with the failure domains and
-/// no longer with the entries. All other calls are the store's own.
+/// Every entry of a large fleet watches the same prefixes and each store call
+/// is billed. With relays, the number of calls grows with the failure domains
+/// and not with the entries. All other calls go to the store directly.
 class RelayedStore : public ObjectStore {
  public:
   struct Options {
-    WatchPace::Options watch_pace{};  ///< Of calls of the store itself.
-    /// A relay that takes longer is taken for lost.
+    WatchPace::Options watch_pace{};  ///< Pace of direct polls.
+    /// A relay that takes longer is considered failed.
     Duration answer_within = std::chrono::milliseconds(800);
   };
   struct Hooks {
-    /// As in `RelayedPolls`, of one prefix.
+    /// As in `RelayedPolls`, for one prefix.
     std::function<std::optional<std::string>(const std::string& prefix,
                                              std::uint64_t from,
                                              PolledWatch::PollDone done)>
--- a/src/store/run_after.h
+++ b/src/store/run_after.h
@@ -8,11 +8,11 @@
 
 namespace indigolead {
 
-/// Calls a function once after a delay, on the thread of its user. Injected,
-/// so that tests choose when time passes.
+/// Runs a function once after a delay, on the caller's thread. Injected so that
+/// tests control time.
 using RunAfter = std::function<void(Duration, std::function<void()>)>;
 
-/// Returns a `RunAfter` with timers of `io`, which must outlive it.
+/// Returns a `RunAfter` that uses timers of `io`, which must outlive it.
 RunAfter MakeRunAfter(boost::asio::io_context* io);
 
 }  // namespace indigolead
--- a/src/store/settled_write.cc
+++ b/src/store/settled_write.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-/// What the writes in progress need, emptied when the writer goes.
+/// State shared with the writes in progress, which end once `closed` is set.
 struct SettledWriter::Shared {
   ObjectStore* store;
   Clock clock;
@@ -23,7 +23,7 @@
   bool closed = false;
 };
 
-/// One write in progress; lives through the callbacks that hold it.
+/// One write in progress, kept alive by its pending callbacks.
 class SettledWriter::Attempt : public std::enable_shared_from_this<Attempt> {
  public:
   Attempt(std::shared_ptr<Shared> shared, SettledPut put, Done done)
@@ -65,18 +65,19 @@
     }
   }
 
-  /// Repeats the write a little later, or gives up.
+  /// Repeats the write after the retry delay, or fails if time is up.
   void Retry(const Error& cause) {
     if (shared_->clock() + put_.retry_delay >= give_up_at_) {
-      done_(Error{ErrorCode::kTimeout, kStep, cause.peer,
-                  "could not be settled in time: " + ToString(cause)});
+      done_(Error{
+          ErrorCode::kTimeout, kStep, cause.peer,
+          "outcome not determined before the deadline: " + ToString(cause)});
       return;
     }
     shared_->run_after(put_.retry_delay,
                        [self = shared_from_this()] { self->Write(); });
   }
 
-  /// Finds out whose write caused the conflict.
+  /// Reads the object to find out whose write caused the conflict.
   void ReadBack() {
     shared_->store->Get(put_.key, put_.call,
                         [self = shared_from_this()](
@@ -101,14 +102,13 @@
     const std::uint64_t found = object ? object->version : 0;
     const bool stale = object ? found <= put_.expected : put_.expected == 0;
     if (stale) {
-      // The conflict proves that the object has moved on; this read is old.
+      // The conflict proves that the object has changed, so this read is stale.
       Retry(Error{ErrorCode::kUnavailable, kStep, "", "stale read"});
       return;
     }
     done_(Error{ErrorCode::kUnknownEffect, kStep, "",
-                "version " + std::to_string(found) +
-                    " of another writer stands there; ours may have stood "
-                    "before it"});
+                "the object is at version " + std::to_string(found) +
+                    " of another writer, which may have replaced this write"});
   }
 
   std::shared_ptr<Shared> shared_;
--- a/src/store/settled_write.h
+++ b/src/store/settled_write.h
@@ -12,33 +12,33 @@
 
 namespace indigolead {
 
-/// Conditional write whose value shows who wrote it.
+/// Conditional write whose value identifies its writer.
 struct SettledPut {
   std::string key;
   std::string value;
   ExpectedVersion expected = 0;
-  CallOptions call;  ///< Limits of each call made, not of the whole.
-  /// Returns true if a value read back is the one of this very write: it holds
-  /// the write's nonce, which no other write has.
+  CallOptions call;  ///< Options of each call; the deadline is per call.
+  /// Returns true if a value read back comes from this write, that is, holds
+  /// its unique nonce.
   std::function<bool(const std::string& value)> is_ours;
-  Duration settle_for = std::chrono::seconds(10);  ///< Limit of the whole.
+  Duration settle_for = std::chrono::seconds(10);  ///< For all attempts.
   Duration retry_delay = std::chrono::milliseconds(100);
 };
 
-/// Writes objects such that a lost answer does not leave the writer in doubt.
+/// Conditional writes that determine their outcome when a response is lost.
 ///
-/// The failure: the store does the write and its answer is lost. The symptom:
-/// the writer repeats it, is told of a conflict, and takes its own write for
-/// another's (a controller that holds the lease stands back; an operator's
-/// edit that was accepted is reported as refused). The remedy: after an answer
-/// that leaves doubt, the same write is made again, with the same nonce and
-/// the same expected version. A version never returns, so at most one of them
-/// can take effect; and if an earlier one did, the repeat gets a conflict, and
-/// the value read back carries the nonce. Reading alone would not do: a write
-/// may be still on its way when the read finds the old version.
+/// If the store performs a write and its response is lost, a plain retry gets a
+/// conflict, and the writer takes its own write for another's: a controller
+/// that holds the lease steps down, or an accepted edit is reported to the
+/// operator as rejected. Instead, after an ambiguous result the same write is
+/// repeated with the same nonce and expected version. Versions are never
+/// reused, so at most one attempt takes effect. If an earlier one did, the
+/// repeat gets a conflict and the value read back has the nonce. Reading alone
+/// is not enough: the write may still be in flight when the read returns the
+/// old version.
 ///
-/// That holds for `expected` = 0 only if nobody deletes the object meanwhile:
-/// "absent" is the one state that can return.
+/// With `expected` = 0 this holds only if nobody deletes the object meanwhile,
+/// because an object can become absent again.
 class SettledWriter {
  public:
   using Done = ObjectStore::Callback<std::uint64_t>;
@@ -46,7 +46,7 @@
   /// `store` must outlive this object.
   SettledWriter(ObjectStore* store, Clock clock, RunAfter run_after);
 
-  /// Gives up all writes in progress; their callbacks are not called.
+  /// Abandons all writes in progress; their callbacks are not called.
   ~SettledWriter();
   SettledWriter(const SettledWriter&) = delete;
   SettledWriter& operator=(const SettledWriter&) = delete;
@@ -54,11 +54,11 @@
   /// Makes the write and calls `done` once, with
   /// - the version, if the write took effect and is the newest;
   /// - `kConflict`, if it provably had no effect;
-  /// - `kUnavailable`, `kOverloaded` or `kInvalidInput`, if it was never tried
-  ///   with effect, either;
-  /// - `kUnknownEffect`, if another write stands there now and ours may have
-  ///   stood before it;
-  /// - `kTimeout`, if the doubt could not be settled in time.
+  /// - `kUnavailable`, `kOverloaded` or `kInvalidInput`, if no attempt had an
+  ///   effect;
+  /// - `kUnknownEffect`, if the object now holds another write, which may have
+  ///   replaced this one;
+  /// - `kTimeout`, if the outcome could not be determined in time.
   void Put(SettledPut put, Done done);
 
  private:
--- a/src/store/store_calls.cc
+++ b/src/store/store_calls.cc
@@ -12,10 +12,10 @@
 namespace asio = boost::asio;
 using SteadyClock = std::chrono::steady_clock;
 
-/// Longest line of a watch: a value of 1 MiB in base64, and its key.
+/// Longest line of a watch: a key and a value of 1 MiB in base64.
 constexpr std::size_t kMaxLineBytes = 2U << 20;
 
-/// Steps that are counted, and the kind under which each is exported.
+/// Counted steps and the `kind` label under which each is exported.
 constexpr std::pair<const char*, const char*> kKinds[] = {
     {"store.get", "get"},     {"store.list", "list"},
     {"store.put", "put"},     {"store.delete", "delete"},
@@ -92,9 +92,9 @@
   pending_.emplace(ticket, std::move(call));
   if (const auto out =
           limiter_.Enqueue(ticket, priority, clock_() + deadline)) {
-    Reject(*out, "the queue of calls is full");
+    Reject(*out, "the call queue is full");
   }
-  // Started from the loop: a callback must not run inside the caller's call.
+  // Posted, because a callback must not run inside the caller's call.
   asio::post(*io_, [self = shared_from_this()] { self->Pump(); });
 }
 
@@ -128,7 +128,7 @@
   }
   const TimePoint now = clock_();
   for (const CallTicket ticket : limiter_.Expire(now)) {
-    Reject(ticket, "no token or connection before the deadline");
+    Reject(ticket, "no rate token or free connection before the deadline");
   }
   while (busy_.size() < options_.max_connections) {
     const auto ticket = limiter_.Grant(now, KeepsLastConnection());
@@ -153,8 +153,8 @@
 void StoreCalls::ArmTimer() {
   queued_->Set(static_cast<std::int64_t>(limiter_.queued()));
   const TimePoint now = clock_();
-  // Without a connection a token is of no use, and a timer set for one would
-  // fire without end; the next connection that comes free looks again.
+  // A token is useless without a free connection, and a timer for it would fire
+  // repeatedly. The queue is checked again when a connection becomes free.
   const bool full = busy_.size() >= options_.max_connections ||
                     (KeepsLastConnection() && !limiter_.lease_waiting());
   const auto next = limiter_.NextEvent(now, full);
@@ -223,8 +223,8 @@
   busy_.erase(connection);
   alone_.erase(connection);
   if (!IsOk(reply) && ErrorOf(reply).code == ErrorCode::kTimeout) {
-    // What made this connection silent may have done so to all that were kept,
-    // and each would cost a call its deadline.
+    // The cause of this timeout may affect all idle connections, and each would
+    // cost a call its deadline.
     idle_.clear();
   }
   Keep(std::move(connection));
@@ -305,7 +305,8 @@
 }
 
 void StoreCalls::Stop() {
-  // After this the metrics may be gone before the last coroutine is.
+  // The metrics may be destroyed after this call, before the last coroutine
+  // ends.
   for (const auto& watch : watches_) {
     SetOpen(watch, false);
   }
--- a/src/store/store_calls.h
+++ b/src/store/store_calls.h
@@ -20,10 +20,10 @@
 
 namespace indigolead {
 
-/// Calls of an `HttpObjectStore` on their way: queue, connections, counts.
+/// Queue, connections and metrics of the calls of an `HttpObjectStore`.
 ///
-/// Shared with the coroutines in flight, so that destroying the store never
-/// pulls a connection from under one of them.
+/// Shared with the coroutines in flight, so that destroying the store does not
+/// destroy a connection that one of them uses.
 class StoreCalls : public std::enable_shared_from_this<StoreCalls> {
  public:
   using Connection = internal::StoreConnection;
@@ -36,7 +36,7 @@
   void Submit(internal::StoreRequest request, const CallOptions& options,
               ReplyCallback done);
 
-  /// Calls `done` with `error`, from the loop.
+  /// Posts a call of `done` with `error` to the io_context.
   void Refuse(const Error& error, ReplyCallback done);
 
   /// State of one watch, shared with its coroutine.
@@ -45,18 +45,19 @@
     std::function<void(const Error&)> on_end;
     std::unique_ptr<Connection> connection;
     std::string partial_line;
-    bool open = false;     ///< Counted as waiting.
-    bool stopped = false;  ///< Its callbacks must not be called any more.
+    bool open = false;     ///< Included in the gauge of open watches.
+    bool stopped = false;  ///< Its callbacks must not be called.
   };
 
-  /// Queues the opening of a watch; it counts as a call.
+  /// Queues the opening of a watch, which counts as a call.
   void OpenWatch(internal::StoreRequest request,
                  const std::shared_ptr<WatchState>& watch);
 
-  /// Stops `watch`; its callbacks are not called any more.
+  /// Stops `watch`; its callbacks are not called afterwards.
   void StopWatch(const std::shared_ptr<WatchState>& watch);
 
-  /// Cuts everything. No callback is called afterwards.
+  /// Closes all connections and drops the queue. No callback is called
+  /// afterwards.
   void Stop();
 
  private:
@@ -68,15 +69,15 @@
   };
 
   std::shared_ptr<Connection> MakeConnection();
-  /// Makes a call beside the queue, on a connection that it opens.
+  /// Starts a call on a new connection, bypassing the queue.
   void StartAlone(Pending call);
-  /// Keeps a connection for later calls.
+  /// Returns a connection to the idle pool.
   void Keep(std::shared_ptr<Connection> connection);
 
   void Enqueue(Pending call, CallPriority priority, Duration deadline);
   void Pump();
   void ArmTimer();
-  /// Returns true if the last free connection is kept for lease calls.
+  /// Returns true if the last free connection is reserved for lease calls.
   bool KeepsLastConnection() const;
   void SetOpen(const std::shared_ptr<WatchState>& watch, bool open);
   void Start(Pending call);
@@ -100,7 +101,8 @@
   std::map<CallTicket, Pending> pending_;
   std::vector<std::shared_ptr<Connection>> idle_;
   std::set<std::shared_ptr<Connection>> busy_;
-  std::set<std::shared_ptr<Connection>> alone_;  ///< Of calls beside the queue.
+  /// Connections of calls that bypass the queue.
+  std::set<std::shared_ptr<Connection>> alone_;
   std::set<std::shared_ptr<WatchState>> watches_;
   bool stopped_ = false;
 
--- a/src/store/store_connection.cc
+++ b/src/store/store_connection.cc
@@ -7,8 +7,8 @@
 #include <boost/beast/http.hpp>
 #include <charconv>
 
-// This compiler takes the library's frame allocator of coroutines for a plain
-// operator new and warns of a mismatch that does not exist.
+// The compiler mistakes the coroutine frame allocator of Boost.Asio for a plain
+// operator new and reports a mismatch that does not exist.
 #pragma GCC diagnostic ignored "-Wmismatched-new-delete"
 
 namespace indigolead::internal {
@@ -127,7 +127,7 @@
       if (!on_data({part.data(), part.size() - body.size})) {
         Close();
         co_return MakeError(ErrorCode::kProtocol, request.step,
-                            "a line does not follow the watch format");
+                            "a line does not conform to the watch format");
       }
     }
     Close();
@@ -156,7 +156,8 @@
                      "status " + std::to_string(status));
   }
 
-  /// Returns the error of a call that broke after its request was written.
+  /// Closes the connection and returns the error of a call that failed after
+  /// its request was written.
   Error Broken(const std::string& step, beast::error_code ec) {
     Close();
     if (ec == beast::error::timeout) {
@@ -168,12 +169,12 @@
         step, "connection broke: " + ec.message());
   }
 
-  /// Returns true if an idle connection can still be written to.
+  /// Returns true if an idle connection can still be used for a call.
   ///
-  /// A store that restarted has closed the connections of its predecessor. A
-  /// write on one of them is lost without a trace and would be reported as of
-  /// unknown effect, so a connection that has something to read while no call
-  /// is in flight (its end, or bytes nobody asked for) is replaced first.
+  /// A store that restarted has closed its old connections. A write sent on one
+  /// of them would be lost and reported as of unknown effect. So a connection
+  /// that has data to read while no call is in flight (end of stream, or
+  /// unsolicited bytes) is replaced.
   bool IsUsable() {
     if (!stream_.socket().is_open()) {
       return false;
--- a/src/store/store_connection.h
+++ b/src/store/store_connection.h
@@ -27,52 +27,52 @@
   std::string target;  ///< Path and query.
   std::optional<ExpectedVersion> expected;
   std::string body;
-  std::string content_type = {};  ///< Of the body; empty: not stated.
+  std::string content_type = {};  ///< Of the body; omitted if empty.
 };
 
-/// Returns true if a call of this step may change the store, so that its
-/// outcome is open when it breaks. A read that breaks has simply failed.
+/// Returns true if a call of this step may change the store. Its effect is
+/// unknown if the connection breaks, whereas a read has simply failed.
 inline bool IsWriteStep(const std::string& step) {
   return step == "store.put" || step == "store.delete";
 }
 
-/// HTTP answer of the object API.
+/// HTTP response of the object API.
 struct StoreReply {
   int status = 0;
   std::optional<std::uint64_t> version;  ///< `X-Version`.
   std::string body;
 };
 
-/// One keep-alive connection to the object API, with one call at a time.
+/// Keep-alive connection to the object API that carries one call at a time.
 ///
-/// Runs on the thread of its io_context. Coroutines keep the connection alive
-/// through the shared pointer that their caller holds.
+/// Runs on the thread of its io_context. Callers must hold a shared pointer to
+/// the connection while one of its coroutines runs.
 class StoreConnection {
  public:
   using SteadyTime = std::chrono::steady_clock::time_point;
 
-  /// `address` is "IP:port"; larger answers than `max_answer_bytes` fail.
+  /// `address` is "IP:port". Responses larger than `max_answer_bytes` fail.
   StoreConnection(boost::asio::io_context* io, std::string address,
                   std::uint64_t max_answer_bytes);
   ~StoreConnection();
   StoreConnection(const StoreConnection&) = delete;
   StoreConnection& operator=(const StoreConnection&) = delete;
 
-  /// Makes one call, connecting first if need be. Fails with `kUnavailable`
-  /// before the request was written, later with `kTimeout` or
-  /// `kUnknownEffect`.
+  /// Makes one call, connecting first if necessary. Fails with `kUnavailable`
+  /// before the request was written, and afterwards with `kTimeout`, or with
+  /// `kUnknownEffect` for a write.
   boost::asio::awaitable<Result<StoreReply>> Call(const StoreRequest& request,
                                                   SteadyTime deadline);
 
-  /// Opens a watch and calls `on_data` with each part of its body, until it
-  /// breaks or sends nothing for `silence`. Returns why it ended.
+  /// Opens a watch and passes each part of its body to `on_data`, until the
+  /// watch breaks, sends nothing for `silence`, or `on_data` returns false.
+  /// Calls `on_open` once the watch is accepted. Returns why it ended.
   boost::asio::awaitable<Error> Watch(
       const StoreRequest& request, SteadyTime deadline, Duration silence,
       const std::function<void()>& on_open,
       const std::function<bool(std::string_view)>& on_data);
 
-  /// Cuts the connection; a call in flight fails. Nothing happens afterwards
-  /// until the next call.
+  /// Closes the connection; a call in flight fails. The next call reconnects.
   void Close();
 
  private:
--- a/src/store/store_json.cc
+++ b/src/store/store_json.cc
@@ -78,7 +78,8 @@
     record.failure_domain = StringOrEmpty(item, "failure_domain");
     record.region = StringOrEmpty(item, "region");
     record.link_address = StringOrEmpty(item, "link_address");
-    // A state of a later platform is no reason to send new work there.
+    // States unknown to this version count as leaving, so that no new work is
+    // sent there.
     record.state = item["state"] == "live" ? InstanceState::kLive
                                            : InstanceState::kLeaving;
     list.instances.push_back(std::move(record));
--- a/src/store/store_json.h
+++ b/src/store/store_json.h
@@ -9,19 +9,20 @@
 
 namespace indigolead::internal {
 
-/// Returns the listing in the body of `GET /v1/objects?prefix=P`, or nothing
-/// if it does not follow docs/INTERFACES.md.
+/// Parses the body of `GET /v1/objects?prefix=P`. Returns nothing if it does
+/// not conform to docs/INTERFACES.md.
 std::optional<ObjectStore::Listing> ParseListing(const std::string& body);
 
-/// Returns the list in the body of `GET /v1/instances`, or nothing likewise.
+/// Parses the body of `GET /v1/instances`. Returns nothing if it does not
+/// conform.
 std::optional<InstanceList> ParseInstanceList(const std::string& body);
 
-/// Line of a watch that only shows that it is alive.
+/// Keep-alive line of a watch.
 struct IdleLine {
   friend bool operator==(const IdleLine&, const IdleLine&) = default;
 };
 
-/// Returns what one line of `GET /v1/watch` says, or nothing likewise.
+/// Parses one line of `GET /v1/watch`. Returns nothing if it does not conform.
 std::optional<std::variant<WatchEvent, IdleLine>> ParseWatchLine(
     const std::string& line);
 
--- a/src/store/watch_feed.cc
+++ b/src/store/watch_feed.cc
@@ -53,10 +53,10 @@
       std::max<Duration>(first + options_.answer_within - now, Duration{0});
   const std::uint64_t least = LeastAsked();
   if (least > version_) {
-    Forget();  // Nobody needs what was missed while nobody asked.
+    Forget();  // No poller needs the changes missed since the last call.
   }
-  // An asker that is behind what is kept: the changes are read once more, from
-  // where it stands, for all that are.
+  // If a poller is behind the kept changes, rereads them from the lowest
+  // requested version, for all pollers that are behind.
   rewound_ = version_ == 0 || least < kept_from_;
   again_ = false;
   repeat_until_ = first + options_.answer_within + options_.overdue_after;
@@ -75,14 +75,14 @@
               });
   run_after_(wait + options_.overdue_after, [this, alive = alive_, number] {
     if (*alive && number == call_ && clock_() <= repeat_until_) {
-      again_ = false;  // It did not break.
+      again_ = false;  // It is overdue but has not failed.
       CallFrom(called_from_, Duration{0});
     }
   });
 }
 
 void WatchFeed::OnAnswer(const Result<WatchBatch>& answer) {
-  ++call_;  // Its time is not looked at any more.
+  ++call_;  // Disables the overdue timer of this call.
   const bool forgotten =
       !IsOk(answer) && ErrorOf(answer).code == ErrorCode::kNotFound;
   if (!IsOk(answer) && !forgotten && !std::exchange(again_, true)) {
@@ -116,7 +116,8 @@
                          const Error& error) {
   planned_ = false;
   const ObjectStore::Listing known = hooks_.known();
-  // What this process knows is a measure only as of the last change kept.
+  // The difference is complete only if the known state has the version of the
+  // last kept change.
   const bool fits = version_ == 0 || known.version == version_;
   if (!IsOk(result) || !fits || ValueOf(result).version < known.version) {
     OnFailed(error);
@@ -133,7 +134,8 @@
 }
 
 void WatchFeed::AnswerAll() {
-  // Whoever is behind what was read came during the call.
+  // Polls that are behind the kept changes arrived during the call; they wait
+  // for the next one.
   const auto behind = std::stable_partition(
       questions_.begin(), questions_.end(),
       [this](const Question& it) { return it.from < kept_from_; });
@@ -153,7 +155,7 @@
 void WatchFeed::OnFailed(const Error& error) {
   std::vector<Question> failed;
   if (error.code == ErrorCode::kNotFound && rewound_ && version_ != 0) {
-    // The store has forgotten what one asker lacks; the others lack nothing.
+    // Only polls that need the changes the store no longer has fail.
     const auto behind = std::stable_partition(
         questions_.begin(), questions_.end(),
         [this](const Question& it) { return it.from >= kept_from_; });
@@ -205,7 +207,7 @@
   if (question.from > kept_from_ && question.from < gap_until_) {
     return Error{ErrorCode::kNotFound, "relay.feed", "",
                  "changes after version " + std::to_string(question.from) +
-                     " are known by their outcome only"};
+                     " are known only as a net difference"};
   }
   WatchBatch batch;
   const auto first = std::find_if(
--- a/src/store/watch_feed.h
+++ b/src/store/watch_feed.h
@@ -14,45 +14,50 @@
 
 namespace indigolead {
 
-/// Answers the questions of many watches of one prefix with few calls.
+/// Serves the polls of many watches of one prefix with few store calls.
 ///
-/// Every question is answered by a call of the store that ended after it came:
-/// an answer tells how things stood after its question was sent, and no clock
-/// in common is needed to know that. No call is made while nobody asks. A call
-/// that breaks is made once more at once, without waiting for changes, before
-/// all who asked are told so: each of them would make one of its own.
+/// Every poll is answered by a store call that completed after the poll
+/// arrived. A response therefore shows the state after its request was sent,
+/// without synchronized clocks. No call is made while no poll is pending. A
+/// call that fails is repeated once at once, without waiting for changes,
+/// before the error is passed to the pending polls, since each poller would
+/// then call the store itself.
 ///
-/// A store that has forgotten its changes is listed once, and all who asked are
-/// told how the list differs from what this process knew. Hundreds of entries
-/// would each list everything otherwise, in the same moment.
+/// If the store no longer has the changes, it is listed once, and the pending
+/// polls receive the difference between the list and the state known to this
+/// process. Otherwise hundreds of entries would list everything at the same
+/// time.
 ///
-/// Runs on the thread of its store. Memory: the changes kept.
+/// Runs on the thread of its store. Memory use is bounded by the number of kept
+/// changes.
 class WatchFeed {
  public:
   struct Options {
-    /// Least time between two calls of the store.
+    /// Minimum time between two store calls.
     Duration least_gap = std::chrono::milliseconds(400);
-    /// A question is answered within this, changes or not, while the store is
-    /// well.
+    /// Time within which a poll is answered, with or without changes, while the
+    /// store works.
     Duration answer_within = std::chrono::milliseconds(600);
-    /// A call that is not answered for so long after its wait is repeated
-    /// without one, until those who ask are about to give up: the store may
-    /// drop a call without a word, or keep silent for a while.
+    /// Time after the end of its wait at which an unanswered call is repeated
+    /// without waiting for changes, because the store may drop a call silently
+    /// or stop responding for a while. Repeats end shortly before the pollers
+    /// give up.
     Duration overdue_after = std::chrono::milliseconds(200);
-    /// Changes kept for askers that are behind.
+    /// Maximum number of changes kept for pollers that are behind.
     std::size_t max_events = 4096;
 
     friend bool operator==(const Options&, const Options&) = default;
   };
   struct Hooks {
-    /// Makes one call of the store that waits for changes after `from`, for
-    /// `wait` at most. Must not answer from inside the call.
+    /// Makes one store call that waits for changes after `from`, for at most
+    /// `wait`. Must not invoke `done` from inside the call.
     std::function<void(std::uint64_t from, Duration wait,
                        PolledWatch::PollDone done)>
         poll;
-    /// Reads all objects, not stale. Must not answer from inside the call.
+    /// Lists all objects, without stale reads. Must not invoke `done` from
+    /// inside the call.
     std::function<void(ObjectStore::Callback<ObjectStore::Listing> done)> list;
-    /// Returns what this process knows of the objects.
+    /// Returns the objects as known to this process.
     std::function<ObjectStore::Listing()> known;
   };
 
@@ -62,8 +67,8 @@
   WatchFeed(const WatchFeed&) = delete;
   WatchFeed& operator=(const WatchFeed&) = delete;
 
-  /// Asks for the changes after `from`. Never answered from inside the call.
-  /// Fails with `kNotFound` if the changes are not kept any more.
+  /// Requests the changes after `from`. Never answered from inside the call.
+  /// Fails with `kNotFound` if the changes are no longer available.
   void Ask(std::uint64_t from, PolledWatch::PollDone done);
 
  private:
@@ -93,20 +98,23 @@
   RunAfter run_after_;
   std::vector<Question> questions_;
   std::deque<WatchEvent> events_;
-  std::uint64_t kept_from_ = 0;  ///< All changes after it are in `events_`.
-  /// What happened after `kept_from_` and before this is known by its outcome
-  /// only, which says nothing to whoever stands in between.
+  std::uint64_t kept_from_ = 0;  ///< `events_` has all later changes.
+  /// Changes between `kept_from_` and this version are known only as a net
+  /// difference between two listings, which is of no use to a poller at a
+  /// version in between.
   std::uint64_t gap_until_ = 0;
-  std::uint64_t version_ = 0;  ///< Up to which they are; 0: nothing is known.
-  bool planned_ = false;       ///< A call is planned or in flight.
-  std::uint64_t call_ = 0;     ///< Number of the call in flight.
+  /// Version up to which `events_` is complete; 0 if no changes are known.
+  std::uint64_t version_ = 0;
+  bool planned_ = false;    ///< A call is planned or in flight.
+  std::uint64_t call_ = 0;  ///< Number of the call in flight.
   TimePoint called_at_{};
   std::uint64_t called_from_ = 0;
-  /// The call reads again what was forgotten, for an asker that is behind.
+  /// The call rereads changes that are no longer kept, for a poller that is
+  /// behind.
   bool rewound_ = false;
-  bool again_ = false;        ///< The call in flight repeats one that broke.
-  TimePoint repeat_until_{};  ///< Later, calls that are overdue are left.
-  /// Callbacks may come after this object is gone.
+  bool again_ = false;        ///< The call in flight repeats a failed one.
+  TimePoint repeat_until_{};  ///< No repeats of overdue calls after it.
+  /// False once this object is destroyed; callbacks may run later.
   std::shared_ptr<bool> alive_;
 };
 
--- a/src/store/watch_pace.cc
+++ b/src/store/watch_pace.cc
@@ -6,9 +6,9 @@
 
 Duration WatchPace::RestAfter(Duration in_flight, bool changed) {
   const Duration rest = std::max<Duration>(gap_ - in_flight, Duration{0});
-  // Nothing changed for as long as a change may stay unseen. Shorter spans of
-  // quiet are part of any swarm, and would bring a call for each of its
-  // changes.
+  // Quiet means no change for as long as a change may go unnoticed. Shorter
+  // pauses occur within any burst of changes, and reacting to them would cost a
+  // call for each change.
   const bool quiet = in_flight >= options_.most_gap;
   if (quiet) {
     gap_ = options_.least_gap;
--- a/src/store/watch_pace.h
+++ b/src/store/watch_pace.h
@@ -7,24 +7,23 @@
 
 namespace indigolead {
 
-/// Decides how long a watch that is a chain of waiting calls rests between two
-/// of them.
+/// Determines the delay between the long polls of a watch.
 ///
-/// The load: every entry follows every registration. On a fleet of 180 engines
-/// something changes several times a second, and each change ends the waiting
-/// call of each entry: 103 entries made 2.8 calls a second each. A watch that
-/// rests collects the changes of its rest in one answer. So the rest follows
-/// how often things change: a change after a quiet time is told at once, and
-/// where changes keep coming the rest doubles up to `most_gap`, the time for
-/// which a change may stay unseen.
+/// Every entry watches every registration. In a fleet of 180 engines something
+/// changes several times a second and each change ends the pending poll of each
+/// entry; 103 entries made 2.8 calls a second each. A delay lets one response
+/// collect several changes. The delay adapts to the rate of changes: a change
+/// after a quiet period is reported at once, and while changes keep coming the
+/// interval doubles up to `most_gap`, the time for which a change may go
+/// unnoticed.
 class WatchPace {
  public:
   struct Options {
-    /// From one call to the next while changes are rare: what a person who
-    /// drains a target and looks at it would not notice.
+    /// Interval between calls while changes are rare. Short enough to go
+    /// unnoticed by an operator who drains a target and checks the result.
     Duration least_gap = std::chrono::milliseconds(200);
-    /// From one call to the next while they keep coming. A change is known at
-    /// the latest after this time and the way of one answer.
+    /// Interval between calls while changes keep coming. A change is known
+    /// after at most this time and the latency of one response.
     Duration most_gap = std::chrono::milliseconds(800);
 
     friend bool operator==(const Options&, const Options&) = default;
@@ -33,11 +32,11 @@
   explicit WatchPace(const Options& options)
       : options_(options), gap_(options.least_gap) {}
 
-  /// Takes the answer of a call that was in flight for `in_flight`, and whether
-  /// it told of a change. Returns the rest before the next call.
+  /// Takes the duration of a completed call and whether it returned a change.
+  /// Returns the delay before the next call.
   Duration RestAfter(Duration in_flight, bool changed);
 
-  /// Returns the least time from one call to the next as it stands now.
+  /// Returns the current minimum interval between calls.
   Duration gap() const { return gap_; }
 
  private:
--- a/tests/shell/call_limiter_test.cc
+++ b/tests/shell/call_limiter_test.cc
@@ -11,7 +11,7 @@
 constexpr TimePoint kStart{seconds(1000)};
 constexpr TimePoint kNever{seconds(100000)};
 
-TEST_CASE("CallLimiter keeps to its rate") {
+TEST_CASE("CallLimiter limits the call rate") {
   CallLimiter limiter({.calls_per_second = 10, .burst = 4, .lease_reserve = 0},
                       kStart);
   for (CallTicket ticket = 1; ticket <= 6; ++ticket) {
@@ -21,14 +21,14 @@
     CHECK(limiter.Grant(kStart, false) == ticket);
   }
 
-  SECTION("after the burst a call waits for its token") {
+  SECTION("a call after the burst waits for a token") {
     CHECK(limiter.Grant(kStart, false) == std::nullopt);
     CHECK(limiter.NextEvent(kStart, false) == kStart + milliseconds(100));
     CHECK(limiter.Grant(kStart + milliseconds(99), false) == std::nullopt);
     CHECK(limiter.Grant(kStart + milliseconds(100), false) == 5);
   }
 
-  SECTION("idle time gives no more than one burst") {
+  SECTION("idle time does not accumulate more than one burst") {
     const TimePoint later = kStart + seconds(1000);
     for (CallTicket ticket = 7; ticket <= 20; ++ticket) {
       limiter.Enqueue(ticket, CallPriority::kOrder, kNever);
@@ -40,17 +40,17 @@
     CHECK(granted == 4);
   }
 
-  SECTION("a clock that seems to go back gives no token") {
+  SECTION("a clock that goes back grants no token") {
     CHECK(limiter.Grant(kStart - seconds(5), false) == std::nullopt);
   }
 }
 
-TEST_CASE("CallLimiter puts the lease before everything else") {
+TEST_CASE("CallLimiter prioritizes lease calls") {
   CallLimiter limiter(
       {.calls_per_second = 1, .burst = 4, .lease_reserve = 2, .max_queued = 4},
       kStart);
 
-  SECTION("in order of priority, then of arrival") {
+  SECTION("calls are granted by priority, then by arrival") {
     limiter.Enqueue(1, CallPriority::kAudit, kNever);
     limiter.Enqueue(2, CallPriority::kOrder, kNever);
     limiter.Enqueue(3, CallPriority::kLease, kNever);
@@ -59,7 +59,7 @@
     CHECK(limiter.Grant(kStart, false) == 2);
   }
 
-  SECTION("others leave the reserve to it") {
+  SECTION("other calls do not use the lease reserve") {
     for (CallTicket ticket = 1; ticket <= 3; ++ticket) {
       limiter.Enqueue(ticket, CallPriority::kAudit, kNever);
     }
@@ -70,7 +70,7 @@
     CHECK(limiter.Grant(kStart, false) == 4);
   }
 
-  SECTION("a full queue pushes out its least important call") {
+  SECTION("a full queue evicts the call with the lowest priority") {
     for (CallTicket ticket = 1; ticket <= 4; ++ticket) {
       CHECK(limiter.Enqueue(ticket, CallPriority::kStatus, kNever) ==
             std::nullopt);
@@ -80,7 +80,7 @@
     CHECK(limiter.queued() == 4);
   }
 
-  SECTION("the last connection is for it alone") {
+  SECTION("lease_only grants lease calls only") {
     limiter.Enqueue(1, CallPriority::kOrder, kNever);
     CHECK(limiter.Grant(kStart, true) == std::nullopt);
     limiter.Enqueue(2, CallPriority::kLease, kNever);
@@ -88,7 +88,7 @@
   }
 }
 
-TEST_CASE("CallLimiter gives up calls at their deadline") {
+TEST_CASE("CallLimiter expires calls at their deadline") {
   CallLimiter limiter({.calls_per_second = 1, .burst = 1, .lease_reserve = 0},
                       kStart);
   limiter.Enqueue(1, CallPriority::kOrder, kNever);
--- a/tests/shell/call_tally_test.cc
+++ b/tests/shell/call_tally_test.cc
@@ -8,9 +8,8 @@
 
 using std::chrono::seconds;
 
-// An operator sees that the fleet asks too much of the store, and wants to know
-// which of its duties does.
-TEST_CASE("Calls of the store are told by what they asked for") {
+// The counts show an operator which kind of call causes the load on the store.
+TEST_CASE("CallCounter logs store calls by step and kind of object") {
   std::vector<EventFields> lines;
   CallTally tally([&lines](const EventInfo&, const EventFields& fields) {
     lines.push_back(fields);
@@ -21,17 +20,17 @@
   tally.Add("store.watch", "servers");
   tally.Add("store.get", "control");
 
-  SECTION("nothing before the interval is over") {
+  SECTION("logs nothing before the interval is over") {
     tally.Tick(now + seconds(9));
     CHECK(lines.empty());
   }
-  SECTION("then one line, by step and kind") {
+  SECTION("logs one record after the interval") {
     tally.Tick(now + seconds(10));
     REQUIRE(lines.size() == 1);
     CHECK(lines[0] == EventFields{{"seconds", "10.000000"},
                                   {"store.get.control", "1"},
                                   {"store.watch.servers", "2"}});
-    SECTION("and the next one counts anew") {
+    SECTION("resets the counts after each record") {
       tally.Add("store.put", "entries");
       tally.Tick(now + seconds(20));
       REQUIRE(lines.size() == 2);
--- a/tests/shell/http_object_store_test.cc
+++ b/tests/shell/http_object_store_test.cc
@@ -13,7 +13,7 @@
 
 constexpr std::chrono::seconds kBound{30};
 
-/// Client with a queue and pool small enough to be filled.
+/// Client whose queue and connection pool are small enough to fill up.
 class Client {
  public:
   explicit Client(const std::string& address) {
@@ -25,7 +25,7 @@
                                                &metrics_);
   }
 
-  /// Starts a read; its outcome is appended to `outcomes()`.
+  /// Starts a read and appends its outcome to `outcomes()`.
   void Get(CallPriority priority, Duration deadline) {
     store_->Get(
         "a", {priority, deadline}, [this, priority](const auto& result) {
@@ -58,10 +58,10 @@
   std::unique_ptr<HttpObjectStore> store_;
 };
 
-TEST_CASE("HttpObjectStore keeps a way free for the lease") {
-  // Every connection but one is stuck at a silent store. A call of another
-  // kind waits in the queue until its deadline and says that it had no effect;
-  // a lease call goes out at once.
+TEST_CASE("HttpObjectStore reserves a connection for lease calls") {
+  // All connections but one are blocked by a silent store. Another kind of call
+  // waits in the queue until its deadline and fails without effect, while a
+  // lease call is sent at once.
   PlatformServer platform;
   PlatformFaults faults;
   faults.stall = true;
@@ -107,7 +107,7 @@
   CHECK(has("indigolead_store_calls_total{kind=\"watch\"} 1"));
 }
 
-TEST_CASE("HttpObjectStore that goes calls nothing any more") {
+TEST_CASE("HttpObjectStore calls no callback after its destruction") {
   PlatformServer platform;
   PlatformFaults faults;
   faults.slow_ms = 50;
@@ -117,9 +117,9 @@
   const auto watch = client.store()->StartWatch(
       "a", 0,
       [](const std::vector<WatchEvent>&) {
-        FAIL("event of a store that is gone");
+        FAIL("watch event after the store was destroyed");
       },
-      [](const Error&) { FAIL("end of a store that is gone"); });
+      [](const Error&) { FAIL("end of watch after the store was destroyed"); });
   REQUIRE(client.RunUntil([&] { return platform.calls()["get"] == 1; }));
   client.store().reset();
   const auto until =
--- a/tests/shell/list_watcher_test.cc
+++ b/tests/shell/list_watcher_test.cc
@@ -13,7 +13,7 @@
 using testing::MakeStoreWorld;
 using testing::StoreWorld;
 
-/// Watcher that remembers the versions it was told, and never goes back.
+/// Watcher that records its state and checks that versions never decrease.
 class Follower {
  public:
   explicit Follower(StoreWorld* world)
@@ -60,7 +60,7 @@
   REQUIRE(world->RunUntil(
       [&] { return follower.Value("deployments/a") == "one"; }));
 
-  SECTION("through changes and deletes") {
+  SECTION("applies changes and deletions") {
     const auto second = world->Poke("deployments/a", "two", first);
     world->Poke("deployments/b", "x", 0);
     REQUIRE(world->RunUntil(
@@ -74,7 +74,7 @@
     CHECK(follower.watcher().following());
   }
 
-  SECTION("through a store that goes down and comes back changed") {
+  SECTION("reads changes made while the store was down") {
     world->SetDown(true);
     REQUIRE(world->RunUntil([&] { return follower.errors().size() >= 3; }));
     CHECK(follower.Value("deployments/a") == "one");
@@ -84,7 +84,7 @@
         [&] { return follower.Value("deployments/a") == "two"; }));
   }
 
-  SECTION("through a watch that fell silent") {
+  SECTION("recovers from a silent watch") {
     PlatformFaults faults;
     faults.silence_watches = true;
     world->SetFaults(faults);
@@ -94,10 +94,9 @@
   }
 }
 
-TEST_CASE("ListWatcher never goes back on a stale listing") {
-  // The watch breaks just after a change, and the listing that follows shows
-  // the store as it was before it. The change stays in force, and changes that
-  // come later are still followed.
+TEST_CASE("ListWatcher ignores a stale listing") {
+  // The watch breaks just after a change, and the next listing is stale and
+  // lacks it. The watcher must keep the change and still receive later ones.
   const auto world = MakeStoreWorld(GENERATE("fake", "http"));
   const auto first = world->Poke("deployments/a", "one", 0);
   PlatformFaults faults;
@@ -117,7 +116,7 @@
       [&] { return follower.Value("deployments/a") == "three"; }));
 }
 
-TEST_CASE("ListWatcher that goes calls nothing any more") {
+TEST_CASE("ListWatcher calls no hook after its destruction") {
   const auto world = MakeStoreWorld(GENERATE("fake", "http"));
   world->Poke("deployments/a", "one", 0);
   { const Follower follower(world.get()); }
--- a/tests/shell/listing_changes_test.cc
+++ b/tests/shell/listing_changes_test.cc
@@ -6,11 +6,11 @@
 namespace indigolead {
 namespace {
 
-TEST_CASE("What has changed between two listings is told as changes") {
+TEST_CASE("DiffListings returns the difference of two listings") {
   const ObjectStore::Listing before{
       7, {{"targets/a", "ready", 3}, {"targets/b", "ready", 7}}};
 
-  SECTION("an object that is new, one with another value, one that is gone") {
+  SECTION("reports new, modified and deleted objects") {
     const ObjectStore::Listing after{
         20, {{"targets/b", "leaving", 12}, {"targets/c", "ready", 15}}};
     CHECK(ChangesBetween(before, after) ==
@@ -18,12 +18,12 @@
                                   {"targets/c", "ready", 20},
                                   {"targets/a", std::nullopt, 20}});
   }
-  SECTION("an object that was written again with the same value is none") {
+  SECTION("ignores an object rewritten with the same value") {
     const ObjectStore::Listing after{
         20, {{"targets/a", "ready", 19}, {"targets/b", "ready", 20}}};
     CHECK(ChangesBetween(before, after).empty());
   }
-  SECTION("an empty list has lost all") {
+  SECTION("reports all objects as deleted for an empty listing") {
     CHECK(ChangesBetween(before, {9, {}}).size() == 2);
   }
 }
--- a/tests/shell/object_store_contract_test.cc
+++ b/tests/shell/object_store_contract_test.cc
@@ -1,4 +1,4 @@
-// One suite for every implementation of `ObjectStore`.
+// Conformance tests that every implementation of `ObjectStore` must pass.
 
 #include <catch2/catch.hpp>
 
@@ -43,7 +43,7 @@
   return IsOk(result) ? "ok" : std::string(ErrorCodeName(ErrorOf(result).code));
 }
 
-/// Watch that remembers what it was told.
+/// Watch that records its events and errors.
 struct Watched {
   Watched(StoreWorld* world, std::uint64_t from)
       : watch(world->store().StartWatch(
@@ -58,14 +58,14 @@
   std::unique_ptr<ObjectStore::Watch> watch;
 };
 
-TEST_CASE("ObjectStore keeps objects, versions and conditions") {
+TEST_CASE("ObjectStore reads and writes versioned objects") {
   const auto world = MakeStoreWorld(GENERATE("fake", "http", "platform"));
 
-  SECTION("an absent object is nothing, not an error") {
+  SECTION("reading an absent object is not an error") {
     CHECK(ValueOf(Get(world.get())) == std::nullopt);
   }
 
-  SECTION("a write needs the version that the object has") {
+  SECTION("a write must state the current version") {
     const auto first = ValueOf(Put(world.get(), "one", 0));
     CHECK(ValueOf(Get(world.get())) == StoredObject{"a/b", "one", first});
     const auto conflict = Put(world.get(), "two", 0);
@@ -74,14 +74,14 @@
     CHECK(ValueOf(Put(world.get(), "two", first)) > first);
   }
 
-  SECTION("values are bytes of any kind") {
+  SECTION("values may hold arbitrary bytes") {
     const std::string bytes("\0\xff\n{\"", 5);
     Put(world.get(), bytes, 0);
     CHECK(ValueOf(Get(world.get()))->value == bytes);
     CHECK(ValueOf(List(world.get())).objects.at(0).value == bytes);
   }
 
-  SECTION("a delete needs the version too, and leaves nothing") {
+  SECTION("a delete must state the current version and removes the object") {
     const auto version = ValueOf(Put(world.get(), "one", 0));
     const auto remove = [&](ExpectedVersion expected) {
       return world->Ask<Unit>([&](auto done) {
@@ -93,7 +93,7 @@
     CHECK(ValueOf(Get(world.get())) == std::nullopt);
   }
 
-  SECTION("a write to an object that is gone conflicts: there is none") {
+  SECTION("a write to a deleted object conflicts with version 0") {
     const auto version = ValueOf(Put(world.get(), "one", 0));
     world->Ask<Unit>([&](auto done) {
       world->store().Delete("a/b", version, LongCall(), done);
@@ -108,7 +108,7 @@
     CHECK(Outcome(Put(world.get(), "three", 0)) == "ok");
   }
 
-  SECTION("a listing has its prefix only, and the store's version") {
+  SECTION("a listing is limited to its prefix and has the store's version") {
     Put(world.get(), "one", 0);
     const auto other = world->Poke("c", "x", 0);
     const auto listing = ValueOf(List(world.get()));
@@ -117,7 +117,7 @@
     CHECK(listing.objects[0].key == "a/b");
   }
 
-  SECTION("a bad key and a value above 1 MiB are refused") {
+  SECTION("an invalid key and a value above 1 MiB are rejected") {
     const auto bad = world->Ask<std::uint64_t>([&](auto done) {
       world->store().Put("a b", "x", 0, LongCall(), done);
     });
@@ -126,9 +126,9 @@
     CHECK(Outcome(Put(world.get(), large, 0)) == "invalid-input");
   }
 
-  SECTION("a store that came back takes the next write") {
-    // The connections of before are dead. A write sent on one of them would
-    // be reported as of unknown effect though nothing happened to it.
+  SECTION("a write succeeds after a restart of the store") {
+    // Connections from before the restart are dead. A write sent on one of them
+    // would be reported as of unknown effect although it had none.
     const auto first = ValueOf(Put(world.get(), "one", 0));
     world->SetDown(true);
     world->SetDown(false);
@@ -136,7 +136,7 @@
   }
 }
 
-TEST_CASE("ObjectStore's instance list tells leaving from live") {
+TEST_CASE("ObjectStore's instance list distinguishes leaving from live") {
   const auto world = MakeStoreWorld(GENERATE("fake", "http"));
   world->PutInstance(
       {"t1", "target", "bilbao-a", "norte", "", InstanceState::kLeaving});
@@ -147,7 +147,7 @@
   CHECK(ValueOf(list).instances[0].failure_domain == "bilbao-a");
 }
 
-TEST_CASE("ObjectStore watches tell each change once and in order") {
+TEST_CASE("ObjectStore watches report each change once and in order") {
   const auto world = MakeStoreWorld(GENERATE("fake", "http", "platform"));
   const auto first = world->Poke("a/b", "one", 0);
   Watched watched(world.get(), first);
@@ -155,7 +155,7 @@
   REQUIRE(world->RunUntil([&] { return watched.events.size() == 1; }));
   CHECK(watched.events[0] == WatchEvent{"a/b", "two", second});
 
-  SECTION("also deletes, and nothing of other prefixes") {
+  SECTION("deletions are reported, other prefixes are not") {
     world->Poke("c", "x", 0);
     world->Ask<Unit>([&](auto done) {
       world->store().Delete("a/b", second, LongCall(), done);
@@ -164,19 +164,19 @@
     CHECK(watched.events[1].value == std::nullopt);
   }
 
-  SECTION("a watch that is dropped says so once") {
+  SECTION("a dropped watch reports its end once") {
     world->DropWatches();
     REQUIRE(world->RunUntil([&] { return !watched.ends.empty(); }));
     CHECK(watched.ends.size() == 1);
   }
 
-  SECTION("a version no longer held asks for a new listing") {
+  SECTION("an unavailable version ends the watch with not-found") {
     Watched late(world.get(), second + 100);
     REQUIRE(world->RunUntil([&] { return !late.ends.empty(); }));
     CHECK(late.ends[0] == ErrorCode::kNotFound);
   }
 
-  SECTION("a stopped watch says nothing more") {
+  SECTION("a stopped watch reports nothing more") {
     watched.watch.reset();
     world->Poke("a/b", "three", second);
     Get(world.get());
@@ -185,7 +185,7 @@
   }
 }
 
-/// One row of the fault table: what the caller is told, and what is true.
+/// Row of the fault table: the reported outcomes and the actual effect.
 struct FaultCase {
   std::string name;
   bool down = false;
@@ -233,12 +233,12 @@
   return faults;
 }
 
-TEST_CASE("ObjectStore tells what is known of a call under each fault") {
-  // The caller asks for a write and two reads, each with a short deadline,
-  // while the store misbehaves in one way. Each call ends by its deadline with
-  // one answer. "Unavailable" is said only of a write that had no effect;
-  // "timeout" and "unknown-effect" leave it open, because a slow store does
-  // the write after its caller has gone, and a lost answer says nothing.
+TEST_CASE("ObjectStore reports the outcome of calls under each fault") {
+  // Makes a write and two reads with short deadlines under one fault. Each call
+  // must end by its deadline with one result. A write may report "unavailable"
+  // only if it had no effect. It reports "timeout" or "unknown-effect" if the
+  // effect is open: a slow store performs the write after the caller has given
+  // up, and a lost response proves nothing.
   const auto world = MakeStoreWorld(GENERATE("fake", "http", "platform"));
   const FaultCase fault = GENERATE(values<FaultCase>({
       {"down", true, {}, "unavailable", "unavailable", "unavailable", false},
@@ -274,9 +274,9 @@
   CHECK(ValueOf(Get(world.get()))->value == expected);
 }
 
-// A delete is a write: when its answer is lost nobody knows whether the object
-// is there. Taken for harmless, it would be reported as certainly not done.
-TEST_CASE("ObjectStore leaves open what became of a delete without answer") {
+// A delete whose response is lost has an unknown effect, like any write.
+// Treated as a read, it would be reported as certainly not done.
+TEST_CASE("ObjectStore reports unknown effect for a delete without response") {
   const auto world = MakeStoreWorld(GENERATE("fake", "http", "platform"));
   const auto version = world->Poke("a/b", "one", 0);
   world->SetFaults(Losing(false));
@@ -287,17 +287,16 @@
   CHECK(ValueOf(Get(world.get())) == std::nullopt);
 }
 
-TEST_CASE("ObjectStore ends a silent watch, and one whose store is down") {
-  // The caller follows a prefix. Something between the two ends loses the
-  // connection, or the store goes: no change arrives any more, and without an
-  // end the caller would keep an old state for good.
+TEST_CASE("ObjectStore ends a watch that goes silent or loses its store") {
+  // The connection of a watch is lost silently, or the store goes down. Unless
+  // the watch ends, the caller would keep an outdated state forever.
   const auto world = MakeStoreWorld(GENERATE("fake", "http", "platform"));
   const auto version = world->Poke("a/b", "one", 0);
   Watched watched(world.get(), version);
   const auto second = world->Poke("a/b", "two", version);
   REQUIRE(world->RunUntil([&] { return watched.events.size() == 1; }));
 
-  SECTION("silent") {
+  SECTION("a silent watch times out") {
     PlatformFaults faults;
     faults.silence_watches = true;
     world->SetFaults(faults);
@@ -307,7 +306,7 @@
     CHECK(watched.events.size() == 1);
   }
 
-  SECTION("down, and the next watch cannot be opened") {
+  SECTION("a store that is down ends the watch and rejects the next") {
     world->SetDown(true);
     REQUIRE(world->RunUntil([&] { return !watched.ends.empty(); }));
     Watched next(world.get(), second);
--- a/tests/shell/settled_write_test.cc
+++ b/tests/shell/settled_write_test.cc
@@ -32,10 +32,10 @@
   return world->Ask<std::uint64_t>([&](auto done) { writer.Put(put, done); });
 }
 
-TEST_CASE("SettledWriter finds out what became of a lost answer") {
-  // The store does the write and its answer is lost, by a cut or by silence.
-  // The writer repeats the write, is told of a conflict, reads back, and
-  // recognises its own nonce: it succeeded once, and says so.
+TEST_CASE("IdempotentWriter determines the outcome after a lost response") {
+  // The store performs the write but its response is lost, by a closed
+  // connection or by silence. The writer repeats the write, gets a conflict,
+  // reads back and recognizes its own nonce, so it reports a single success.
   const auto world = MakeStoreWorld(GENERATE("fake", "http"));
   const bool by_silence = GENERATE(false, true);
   const auto first = world->Poke("control/lease", "nonce=old", 0);
@@ -52,19 +52,19 @@
   CHECK(ValueOf(result) == first + 1);
 }
 
-TEST_CASE("SettledWriter does not take another's write for its own") {
+TEST_CASE("IdempotentWriter does not mistake another write for its own") {
   const auto world = MakeStoreWorld(GENERATE("fake", "http"));
   const auto first = world->Poke("control/lease", "nonce=other", 0);
 
-  SECTION("a plain conflict is proof that nothing was done") {
+  SECTION("a conflict on the first attempt means no effect") {
     const auto result = Settle(world.get(), Write("mine", 0));
     CHECK(ErrorOf(result).code == ErrorCode::kConflict);
     CHECK(world->Peek("control/lease")->version == first);
   }
 
-  SECTION("after a lost answer, another's value leaves it unknown") {
-    // Our write takes effect, its answer is lost, and another writer replaces
-    // it before we read back.
+  SECTION("another writer's value after a lost response means unknown effect") {
+    // The write takes effect and its response is lost. Another writer replaces
+    // the value before it is read back.
     PlatformFaults faults;
     faults.lose_answers = 1;
     world->SetFaults(faults);
@@ -81,7 +81,7 @@
     CHECK(ErrorOf(*result).code == ErrorCode::kUnknownEffect);
   }
 
-  SECTION("a store that stays silent leaves it a timeout") {
+  SECTION("a store that stays silent causes a timeout") {
     PlatformFaults faults;
     faults.stall = true;
     world->SetFaults(faults);
@@ -90,17 +90,17 @@
     CHECK(ErrorOf(Settle(world.get(), put)).code == ErrorCode::kTimeout);
   }
 
-  SECTION("a store that is down had no effect, at once") {
+  SECTION("a store that is down fails the write at once") {
     world->SetDown(true);
     CHECK(ErrorOf(Settle(world.get(), Write("mine", first))).code ==
           ErrorCode::kUnavailable);
   }
 }
 
-TEST_CASE("SettledWriter is not misled by a stale read") {
-  // The answer is lost and the read back shows the store as it was before the
-  // write. The conflict of the repeat proves that the read is old; the writer
-  // reads on until the store shows the truth.
+TEST_CASE("IdempotentWriter detects a stale read") {
+  // The response is lost and reading back returns the state before the write.
+  // The conflict of the repeat proves that the read is stale, so the writer
+  // keeps trying until the store returns the current state.
   const auto world = MakeStoreWorld(GENERATE("fake", "http"));
   const auto first = world->Poke("control/lease", "nonce=old", 0);
   PlatformFaults faults;
