--- a/src/cli/operator_store.cc
+++ b/src/cli/operator_store.cc
@@ -53,7 +53,7 @@
 Result<std::uint64_t> OperatorStore::Put(
     const std::string& key, const std::string& value, ExpectedVersion expected,
     std::function<bool(const std::string& value)> is_ours) {
-  SettledPut put;
+  IdempotentPut put;
   put.key = key;
   put.value = value;
   put.expected = expected;
--- a/src/cli/operator_store.h
+++ b/src/cli/operator_store.h
@@ -10,7 +10,7 @@
 #include "cli/command.h"
 #include "observe/metrics.h"
 #include "store/http_object_store.h"
-#include "store/settled_write.h"
+#include "store/idempotent_write.h"
 
 namespace indigolead::cli {
 
@@ -39,7 +39,7 @@
   boost::asio::io_context io_;
   MetricsRegistry metrics_;
   HttpObjectStore store_;
-  SettledWriter writer_;
+  IdempotentWriter writer_;
 };
 
 /// Returns the store that --store or [store] in --settings names. On a problem
--- a/src/entry/target_follower.cc
+++ b/src/entry/target_follower.cc
@@ -58,7 +58,7 @@
   }
   const auto due = hooks_.asks_at();
   if (due && clock_() >= *due && watcher_.fresh_at() < *due) {
-    watcher_.Ask();
+    watcher_.Refresh();
   }
   hooks_.on_known_until(watcher_.fresh_at());
 }
--- a/src/store/base64.h
+++ b/src/store/base64.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_PLATFORM_BASE64_H_
-#define INDIGOLEAD_PLATFORM_BASE64_H_
+#ifndef INDIGOLEAD_STORE_BASE64_H_
+#define INDIGOLEAD_STORE_BASE64_H_
 
 #include <optional>
 #include <string>
@@ -15,4 +15,4 @@
 
 }  // namespace indigolead
 
-#endif  // INDIGOLEAD_PLATFORM_BASE64_H_
+#endif  // INDIGOLEAD_STORE_BASE64_H_
--- a/src/store/call_tally.cc
+++ b/src/store/call_counter.cc
@@ -1,4 +1,4 @@
-#include "store/call_tally.h"
+#include "store/call_counter.h"
 
 #include <utility>
 
@@ -6,18 +6,19 @@
 
 namespace indigolead {
 
-void CallTally::Add(const std::string& step, const std::string& kind) {
+void CallCounter::Add(const std::string& step, const std::string& kind) {
   ++counts_[step + "." + kind];
 }
 
-void CallTally::Tick(TimePoint now) {
-  if (since_ == TimePoint{}) {
-    since_ = now;
+void CallCounter::Tick(TimePoint now) {
+  if (interval_start_ == TimePoint{}) {
+    interval_start_ = now;
   }
-  if (now - since_ < kInterval) {
+  if (now - interval_start_ < kInterval) {
     return;
   }
-  const std::chrono::duration<double> span = now - std::exchange(since_, now);
+  const std::chrono::duration<double> span =
+      now - std::exchange(interval_start_, now);
   EventFields fields{{"seconds", std::to_string(span.count())}};
   for (const auto& [what, n] : std::exchange(counts_, {})) {
     fields.emplace_back(what, std::to_string(n));
--- a/src/store/call_tally.h
+++ b/src/store/call_counter.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_STORE_CALL_TALLY_H_
-#define INDIGOLEAD_STORE_CALL_TALLY_H_
+#ifndef INDIGOLEAD_STORE_CALL_COUNTER_H_
+#define INDIGOLEAD_STORE_CALL_COUNTER_H_
 
 #include <cstdint>
 #include <map>
@@ -15,13 +15,13 @@
 ///
 /// The store's rate metrics cover the whole fleet and each call is billed;
 /// without these counts the source of excess calls could not be identified.
-class CallTally {
+class CallCounter {
  public:
   /// Long enough for a record to hold meaningful counts, and short enough for
   /// at least one record in each phase of an outage.
   static constexpr Duration kInterval = std::chrono::seconds(10);
 
-  explicit CallTally(EventLog log) : log_(std::move(log)) {}
+  explicit CallCounter(EventLog log) : log_(std::move(log)) {}
 
   /// Counts a call of `step`, as named in errors ("store.get"), on objects of
   /// `kind`.
@@ -34,9 +34,9 @@
  private:
   EventLog log_;
   std::map<std::string, std::uint64_t> counts_;  ///< By "STEP.KIND".
-  TimePoint since_{};
+  TimePoint interval_start_{};
 };
 
 }  // namespace indigolead
 
-#endif  // INDIGOLEAD_STORE_CALL_TALLY_H_
+#endif  // INDIGOLEAD_STORE_CALL_COUNTER_H_
--- a/src/store/call_limiter.cc
+++ b/src/store/call_limiter.cc
@@ -12,7 +12,7 @@
 }  // namespace
 
 CallLimiter::CallLimiter(Options options, TimePoint now)
-    : options_(options), tokens_(options.burst), counted_at_(now) {
+    : options_(options), tokens_(options.burst), refilled_at_(now) {
   // A reserve as large as the bucket would block every other call.
   options_.lease_reserve =
       std::clamp(options_.lease_reserve, 0.0, options_.burst / 2);
@@ -21,18 +21,19 @@
 std::optional<CallTicket> CallLimiter::Enqueue(CallTicket ticket,
                                                CallPriority priority,
                                                TimePoint deadline) {
-  queue_.emplace(Place{priority, next_order_++}, Waiting{ticket, deadline});
+  queue_.emplace(QueueKey{priority, next_order_++},
+                 QueuedCall{ticket, deadline});
   if (queue_.size() <= options_.max_queued) {
     return std::nullopt;
   }
   const auto last = std::prev(queue_.end());
-  const CallTicket pushed_out = last->second.ticket;
+  const CallTicket evicted = last->second.ticket;
   queue_.erase(last);
-  return pushed_out;
+  return evicted;
 }
 
 double CallLimiter::TokensAt(TimePoint now) const {
-  const Duration passed = std::max(now - counted_at_, Duration::zero());
+  const Duration passed = std::max(now - refilled_at_, Duration::zero());
   return std::min(options_.burst,
                   tokens_ + Seconds(passed) * options_.calls_per_second);
 }
@@ -53,7 +54,7 @@
     return std::nullopt;
   }
   tokens_ = tokens - 1;
-  counted_at_ = std::max(now, counted_at_);
+  refilled_at_ = std::max(now, refilled_at_);
   const CallTicket ticket = first->second.ticket;
   queue_.erase(first);
   return ticket;
@@ -78,8 +79,8 @@
     return std::nullopt;
   }
   TimePoint next = queue_.begin()->second.deadline;
-  for (const auto& [place, waiting] : queue_) {
-    next = std::min(next, waiting.deadline);
+  for (const auto& [key, queued_call] : queue_) {
+    next = std::min(next, queued_call.deadline);
   }
   if (!expiry_only) {
     const double missing =
--- a/src/store/call_limiter.h
+++ b/src/store/call_limiter.h
@@ -60,13 +60,13 @@
   std::size_t queued() const { return queue_.size(); }
 
  private:
-  struct Place {
+  struct QueueKey {
     CallPriority priority;
     std::uint64_t order;
 
-    friend auto operator<=>(const Place&, const Place&) = default;
+    friend auto operator<=>(const QueueKey&, const QueueKey&) = default;
   };
-  struct Waiting {
+  struct QueuedCall {
     CallTicket ticket;
     TimePoint deadline;
   };
@@ -76,9 +76,9 @@
 
   Options options_;
   double tokens_;
-  TimePoint counted_at_;
+  TimePoint refilled_at_;
   std::uint64_t next_order_ = 0;
-  std::map<Place, Waiting> queue_;
+  std::map<QueueKey, QueuedCall> queue_;
 };
 
 }  // namespace indigolead
--- a/src/store/http_object_store.cc
+++ b/src/store/http_object_store.cc
@@ -22,8 +22,8 @@
 constexpr int kUnavailable = 503;
 
 /// Returns the error for a status other than success.
-Error ErrorOfStatus(const std::string& step, const std::string& peer,
-                    const StoreReply& reply) {
+Error ErrorForStatus(const std::string& step, const std::string& peer,
+                     const StoreReply& reply) {
   const std::string status = "status " + std::to_string(reply.status);
   switch (reply.status) {
     case kConflict:
@@ -47,7 +47,7 @@
       step, peer, status};
 }
 
-Error BadAnswer(const std::string& step, const std::string& peer) {
+Error InvalidResponseError(const std::string& step, const std::string& peer) {
   return {IsWriteStep(step) ? ErrorCode::kUnknownEffect : ErrorCode::kProtocol,
           step, peer, "the response does not conform to the object API"};
 }
@@ -67,14 +67,14 @@
         }
         StoreReply reply = ValueOf(std::move(result));
         if (reply.status != kOk) {
-          done(ErrorOfStatus(step, peer, reply));
+          done(ErrorForStatus(step, peer, reply));
           return;
         }
         auto value = convert(std::move(reply));
         if (value) {
           done(std::move(*value));
         } else {
-          done(BadAnswer(step, peer));
+          done(InvalidResponseError(step, peer));
         }
       };
 }
@@ -120,8 +120,8 @@
 
 HttpObjectStore::~HttpObjectStore() { calls_->Stop(); }
 
-bool HttpObjectStore::Accepts(const StoreRequest& request,
-                              const std::string& key) {
+bool HttpObjectStore::IsValidRequest(const StoreRequest& request,
+                                     const std::string& key) {
   return IsObjectKey(key) && request.body.size() <= kMaxObjectBytes;
 }
 
@@ -208,10 +208,10 @@
 void HttpObjectStore::Send(StoreRequest request, const std::string& key,
                            const CallOptions& options,
                            std::function<void(Result<StoreReply>)> done) {
-  if (!Accepts(request, key)) {
-    calls_->Refuse(Error{ErrorCode::kInvalidInput, request.step, address_,
-                         kObjectLimitsText},
-                   std::move(done));
+  if (!IsValidRequest(request, key)) {
+    calls_->PostError(Error{ErrorCode::kInvalidInput, request.step, address_,
+                            kObjectLimitsText},
+                      std::move(done));
     return;
   }
   calls_->Submit(std::move(request), options, std::move(done));
--- a/src/store/http_object_store.h
+++ b/src/store/http_object_store.h
@@ -73,8 +73,8 @@
                      Callback<InstanceList> done) override;
 
  private:
-  static bool Accepts(const internal::StoreRequest& request,
-                      const std::string& key);
+  static bool IsValidRequest(const internal::StoreRequest& request,
+                             const std::string& key);
   /// Queues `request`, or fails it if `key` or the value is invalid.
   void Send(internal::StoreRequest request, const std::string& key,
             const CallOptions& options,
--- a/src/store/settled_write.cc
+++ b/src/store/idempotent_write.cc
@@ -1,4 +1,4 @@
-#include "store/settled_write.h"
+#include "store/idempotent_write.h"
 
 #include <optional>
 #include <utility>
@@ -9,14 +9,14 @@
 constexpr char kStep[] = "store.settle";
 
 /// Returns true if a write that ended with `code` may have taken effect.
-bool LeavesDoubt(ErrorCode code) {
+bool IsOutcomeUnknown(ErrorCode code) {
   return code == ErrorCode::kTimeout || code == ErrorCode::kUnknownEffect;
 }
 
 }  // namespace
 
 /// State shared with the writes in progress, which end once `closed` is set.
-struct SettledWriter::Shared {
+struct IdempotentWriter::Shared {
   ObjectStore* store;
   Clock clock;
   RunAfter run_after;
@@ -24,13 +24,13 @@
 };
 
 /// One write in progress, kept alive by its pending callbacks.
-class SettledWriter::Attempt : public std::enable_shared_from_this<Attempt> {
+class IdempotentWriter::Attempt : public std::enable_shared_from_this<Attempt> {
  public:
-  Attempt(std::shared_ptr<Shared> shared, SettledPut put, Done done)
+  Attempt(std::shared_ptr<Shared> shared, IdempotentPut put, Done done)
       : shared_(std::move(shared)),
         put_(std::move(put)),
         done_(std::move(done)),
-        give_up_at_(shared_->clock() + put_.settle_for) {}
+        deadline_(shared_->clock() + put_.total_timeout) {}
 
   void Write() {
     if (shared_->closed) {
@@ -53,10 +53,10 @@
       return;
     }
     const Error& error = ErrorOf(result);
-    if (LeavesDoubt(error.code)) {
-      in_doubt_ = true;
+    if (IsOutcomeUnknown(error.code)) {
+      outcome_unknown_ = true;
       Retry(error);
-    } else if (!in_doubt_) {
+    } else if (!outcome_unknown_) {
       done_(error);
     } else if (error.code == ErrorCode::kConflict) {
       ReadBack();
@@ -67,7 +67,7 @@
 
   /// Repeats the write after the retry delay, or fails if time is up.
   void Retry(const Error& cause) {
-    if (shared_->clock() + put_.retry_delay >= give_up_at_) {
+    if (shared_->clock() + put_.retry_delay >= deadline_) {
       done_(Error{
           ErrorCode::kTimeout, kStep, cause.peer,
           "outcome not determined before the deadline: " + ToString(cause)});
@@ -112,20 +112,20 @@
   }
 
   std::shared_ptr<Shared> shared_;
-  SettledPut put_;
+  IdempotentPut put_;
   Done done_;
-  TimePoint give_up_at_;
-  bool in_doubt_ = false;
+  TimePoint deadline_;
+  bool outcome_unknown_ = false;
 };
 
-SettledWriter::SettledWriter(ObjectStore* store, Clock clock,
-                             RunAfter run_after)
+IdempotentWriter::IdempotentWriter(ObjectStore* store, Clock clock,
+                                   RunAfter run_after)
     : shared_(std::make_shared<Shared>(
           Shared{store, std::move(clock), std::move(run_after)})) {}
 
-SettledWriter::~SettledWriter() { shared_->closed = true; }
+IdempotentWriter::~IdempotentWriter() { shared_->closed = true; }
 
-void SettledWriter::Put(SettledPut put, Done done) {
+void IdempotentWriter::Put(IdempotentPut put, Done done) {
   std::make_shared<Attempt>(shared_, std::move(put), std::move(done))->Write();
 }
 
--- a/src/store/settled_write.h
+++ b/src/store/idempotent_write.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_STORE_SETTLED_WRITE_H_
-#define INDIGOLEAD_STORE_SETTLED_WRITE_H_
+#ifndef INDIGOLEAD_STORE_IDEMPOTENT_WRITE_H_
+#define INDIGOLEAD_STORE_IDEMPOTENT_WRITE_H_
 
 #include <cstdint>
 #include <functional>
@@ -13,7 +13,7 @@
 namespace indigolead {
 
 /// Conditional write whose value identifies its writer.
-struct SettledPut {
+struct IdempotentPut {
   std::string key;
   std::string value;
   ExpectedVersion expected = 0;
@@ -21,7 +21,7 @@
   /// Returns true if a value read back comes from this write, that is, holds
   /// its unique nonce.
   std::function<bool(const std::string& value)> is_ours;
-  Duration settle_for = std::chrono::seconds(10);  ///< For all attempts.
+  Duration total_timeout = std::chrono::seconds(10);  ///< For all attempts.
   Duration retry_delay = std::chrono::milliseconds(100);
 };
 
@@ -39,17 +39,17 @@
 ///
 /// With `expected` = 0 this holds only if nobody deletes the object meanwhile,
 /// because an object can become absent again.
-class SettledWriter {
+class IdempotentWriter {
  public:
   using Done = ObjectStore::Callback<std::uint64_t>;
 
   /// `store` must outlive this object.
-  SettledWriter(ObjectStore* store, Clock clock, RunAfter run_after);
+  IdempotentWriter(ObjectStore* store, Clock clock, RunAfter run_after);
 
   /// Abandons all writes in progress; their callbacks are not called.
-  ~SettledWriter();
-  SettledWriter(const SettledWriter&) = delete;
-  SettledWriter& operator=(const SettledWriter&) = delete;
+  ~IdempotentWriter();
+  IdempotentWriter(const IdempotentWriter&) = delete;
+  IdempotentWriter& operator=(const IdempotentWriter&) = delete;
 
   /// Makes the write and calls `done` once, with
   /// - the version, if the write took effect and is the newest;
@@ -59,7 +59,7 @@
   /// - `kUnknownEffect`, if the object now holds another write, which may have
   ///   replaced this one;
   /// - `kTimeout`, if the outcome could not be determined in time.
-  void Put(SettledPut put, Done done);
+  void Put(IdempotentPut put, Done done);
 
  private:
   struct Shared;
@@ -69,4 +69,4 @@
 
 }  // namespace indigolead
 
-#endif  // INDIGOLEAD_STORE_SETTLED_WRITE_H_
+#endif  // INDIGOLEAD_STORE_IDEMPOTENT_WRITE_H_
--- a/src/store/list_watcher.cc
+++ b/src/store/list_watcher.cc
@@ -27,7 +27,7 @@
 
 void ListWatcher::Start() {
   List();
-  TryLater();
+  ScheduleRetry();
 }
 
 TimePoint ListWatcher::fresh_at() const {
@@ -39,14 +39,14 @@
   return watch_ ? std::max(heard_at_, watch_->heard_at(clock_())) : heard_at_;
 }
 
-void ListWatcher::NoteHeard(TimePoint known_until) {
+void ListWatcher::RecordResponse(TimePoint known_until) {
   known_until_ = std::max(known_until_, known_until);
   heard_at_ = clock_();
 }
 
 ObjectStore::Listing ListWatcher::Known() const {
   ObjectStore::Listing known;
-  known.version = std::max(version_, watch_ ? watch_->told_version() : 0);
+  known.version = std::max(version_, watch_ ? watch_->reported_version() : 0);
   for (const auto& [key, object] : state_) {
     known.objects.push_back(object);
   }
@@ -55,7 +55,7 @@
 
 void ListWatcher::List() {
   listing_ = true;
-  listed_from_ = clock_();
+  list_started_at_ = clock_();
   CallOptions options = options_.list;
   options.may_be_stale = options_.first_may_be_stale && !listed_;
   options.new_connection = listed_;
@@ -91,7 +91,7 @@
     return;  // Another retry already succeeded.
   }
   if (!IsOk(result)) {
-    NoteLost(ErrorOf(result));
+    ReportError(ErrorOf(result));
     return;
   }
   heard_at_ = clock_();
@@ -102,7 +102,7 @@
                          {"held", std::to_string(version_)}});
   } else {
     const auto alive = alive_;
-    TakeListing(listing);
+    ApplyListing(listing);
     if (!*alive) {
       return;
     }
@@ -110,14 +110,14 @@
   StartWatch();
 }
 
-void ListWatcher::TakeListing(const ObjectStore::Listing& listing) {
+void ListWatcher::ApplyListing(const ObjectStore::Listing& listing) {
   State state;
   for (const auto& object : listing.objects) {
     state.emplace(object.key, object);
   }
   const bool may_be_stale = options_.first_may_be_stale && !listed_;
   if (!may_be_stale) {
-    NoteHeard(listed_from_);
+    RecordResponse(list_started_at_);
   }
   listed_ = true;
   version_ = listing.version;
@@ -173,18 +173,18 @@
   const TimePoint now = clock_();
   known_until_ = std::max(known_until_, watch_->known_until(now));
   heard_at_ = std::max(heard_at_, watch_->heard_at(now));
-  version_ = std::max(version_, watch_->told_version());
+  version_ = std::max(version_, watch_->reported_version());
   // A watch that lasted shows that the store works; one that ends immediately
   // must not cause a tight retry loop.
   if (now - watch_started_ > options_.max_backoff) {
     failures_ = 0;
   }
   watch_.reset();
-  TryLater();
-  NoteLost(error);
+  ScheduleRetry();
+  ReportError(error);
 }
 
-void ListWatcher::NoteLost(const Error& error) {
+void ListWatcher::ReportError(const Error& error) {
   log_(kWatcherRetry, {{"prefix", options_.prefix},
                        {"error", ToString(error)},
                        {"version", std::to_string(version_)},
@@ -206,19 +206,19 @@
 }
 
 // Exactly one retry is scheduled while no watch is active.
-void ListWatcher::TryLater() {
-  const std::uint64_t number = ++next_try_;
+void ListWatcher::ScheduleRetry() {
+  const std::uint64_t number = ++next_retry_;
   run_after_(NextDelay(), [this, alive = alive_, number] {
-    if (*alive && number == next_try_ && !watch_) {
-      Try();
+    if (*alive && number == next_retry_ && !watch_) {
+      Retry();
     }
   });
 }
 
-void ListWatcher::Try() {
-  TryLater();  // Scheduled regardless of the outcome of this one.
+void ListWatcher::Retry() {
+  ScheduleRetry();  // Scheduled regardless of the outcome of this one.
   // A store may answer lists but not reads of changes.
-  const bool lists = !listed_ || ++tries_ % 2 == 0;
+  const bool lists = !listed_ || ++retry_count_ % 2 == 0;
   if (lists && !listing_) {
     List();
   } else if (listed_) {
@@ -228,33 +228,33 @@
 
 void ListWatcher::ReadChanges() {
   CallOptions options = options_.list;
-  options.deadline = options_.try_deadline;
+  options.deadline = options_.read_deadline;
   options.new_connection = true;
   store_->ReadChanges(options_.prefix, version_, options,
-                      [this, alive = alive_,
-                       tried_at = clock_()](const Result<WatchBatch>& result) {
+                      [this, alive = alive_, started_at = clock_()](
+                          const Result<WatchBatch>& result) {
                         if (*alive) {
-                          OnTried(tried_at, result);
+                          OnChangesRead(started_at, result);
                         }
                       });
 }
 
-void ListWatcher::OnTried(TimePoint tried_at,
-                          const Result<WatchBatch>& result) {
+void ListWatcher::OnChangesRead(TimePoint started_at,
+                                const Result<WatchBatch>& result) {
   if (watch_) {
     return;  // Another retry already succeeded.
   }
   if (!IsOk(result)) {
-    OnTryFailed(tried_at, ErrorOf(result));
+    OnReadChangesFailed(started_at, ErrorOf(result));
     return;
   }
-  NoteHeard(tried_at);
+  RecordResponse(started_at);
   const WatchBatch& batch = ValueOf(result);
   log_(kWatcherResumed, {{"prefix", options_.prefix},
                          {"held", std::to_string(version_)},
                          {"told", std::to_string(batch.version)},
                          {"changes", std::to_string(batch.events.size())},
-                         {"after_ms", Milliseconds(clock_() - tried_at)}});
+                         {"after_ms", Milliseconds(clock_() - started_at)}});
   ApplyAll(batch.events);
   version_ = std::max(version_, batch.version);
   const auto alive = alive_;
@@ -264,45 +264,47 @@
   }
 }
 
-void ListWatcher::OnTryFailed(TimePoint tried_at, const Error& error) {
+void ListWatcher::OnReadChangesFailed(TimePoint started_at,
+                                      const Error& error) {
   if (error.code != ErrorCode::kNotFound) {
-    log_(kWatcherTryFailed, {{"prefix", options_.prefix},
-                             {"error", ToString(error)},
-                             {"after_ms", Milliseconds(clock_() - tried_at)}});
+    log_(kWatcherTryFailed,
+         {{"prefix", options_.prefix},
+          {"error", ToString(error)},
+          {"after_ms", Milliseconds(clock_() - started_at)}});
   } else if (!listing_) {
     List();
   }
 }
 
-void ListWatcher::Ask() {
+void ListWatcher::Refresh() {
   const TimePoint now = clock_();
-  if (!watch_ || now < asked_at_ + options_.max_backoff) {
+  if (!watch_ || now < refreshed_at_ + options_.max_backoff) {
     return;
   }
-  asked_at_ = now;
+  refreshed_at_ = now;
   CallOptions options = options_.list;
-  options.deadline = options_.try_deadline;
+  options.deadline = options_.read_deadline;
   options.new_connection = true;
   store_->ReadChanges(
-      options_.prefix, std::max(version_, watch_->told_version()), options,
+      options_.prefix, std::max(version_, watch_->reported_version()), options,
       [this, alive = alive_, now](const Result<WatchBatch>& result) {
         if (*alive) {
-          OnAsked(now, result);
+          OnRefreshed(now, result);
         }
       });
 }
 
-void ListWatcher::OnAsked(TimePoint asked_at,
-                          const Result<WatchBatch>& result) {
+void ListWatcher::OnRefreshed(TimePoint requested_at,
+                              const Result<WatchBatch>& result) {
   log_(kWatcherAsked,
        {{"prefix", options_.prefix},
-        {"after_ms", Milliseconds(clock_() - asked_at)},
+        {"after_ms", Milliseconds(clock_() - requested_at)},
         {"outcome", IsOk(result) ? "told" : ToString(ErrorOf(result))}});
   // If the watch has ended, a retry reads the changes since then.
   if (!IsOk(result) || !watch_) {
     return;
   }
-  NoteHeard(asked_at);
+  RecordResponse(requested_at);
   if (ApplyAll(ValueOf(result).events)) {
     hooks_.on_state(state_, version_);
   }
--- a/src/store/list_watcher.h
+++ b/src/store/list_watcher.h
@@ -47,7 +47,7 @@
     Duration min_backoff = std::chrono::milliseconds(200);
     Duration max_backoff = std::chrono::seconds(10);
     /// Deadline of one read of changes.
-    Duration try_deadline = std::chrono::milliseconds(700);
+    Duration read_deadline = std::chrono::milliseconds(700);
   };
 
   struct Hooks {
@@ -100,23 +100,23 @@
   /// Reads changes at once, in addition to the active watch; the response
   /// advances `fresh_at`. Does nothing without an active watch, or within
   /// `max_backoff` of the previous such read.
-  void Ask();
+  void Refresh();
 
  private:
   void List();
-  void Try();
+  void Retry();
   void ReadChanges();
-  void OnTried(TimePoint tried_at, const Result<WatchBatch>& result);
-  void OnTryFailed(TimePoint tried_at, const Error& error);
-  void OnAsked(TimePoint asked_at, const Result<WatchBatch>& result);
+  void OnChangesRead(TimePoint started_at, const Result<WatchBatch>& result);
+  void OnReadChangesFailed(TimePoint started_at, const Error& error);
+  void OnRefreshed(TimePoint requested_at, const Result<WatchBatch>& result);
   bool ApplyAll(const std::vector<WatchEvent>& events);
-  void NoteHeard(TimePoint known_until);
-  void NoteLost(const Error& error);
-  void TryLater();
+  void RecordResponse(TimePoint known_until);
+  void ReportError(const Error& error);
+  void ScheduleRetry();
   Duration NextDelay();
   void OnListed(const Result<ObjectStore::Listing>& result);
   void OnPart(const ObjectStore::Listing& part);
-  void TakeListing(const ObjectStore::Listing& listing);
+  void ApplyListing(const ObjectStore::Listing& listing);
   void StartWatch();
   void OnEvents(const std::vector<WatchEvent>& events);
   bool Apply(const WatchEvent& event, std::uint64_t known);
@@ -135,11 +135,11 @@
   TimePoint known_until_{};  ///< From responses outside the watch.
   TimePoint heard_at_{};     ///< From responses outside the watch.
   TimePoint watch_started_{};
-  std::uint64_t next_try_ = 0;  ///< Number of the next retry.
+  std::uint64_t next_retry_ = 0;  ///< Number of the next retry.
   bool listing_ = false;
-  std::uint32_t tries_ = 0;  ///< Retries after the first list.
-  TimePoint asked_at_{};     ///< Time of the latest `Ask`.
-  TimePoint listed_from_{};  ///< Start time of the list in flight.
+  std::uint32_t retry_count_ = 0;  ///< Retries after the first list.
+  TimePoint refreshed_at_{};       ///< Time of the latest `Refresh`.
+  TimePoint list_started_at_{};    ///< Start time of the list in flight.
   std::unique_ptr<ObjectStore::Watch> watch_;
   std::shared_ptr<bool> alive_;
 };
--- a/src/store/listing_changes.h
+++ b/src/store/listing_changes.h
@@ -11,8 +11,8 @@
 /// `after` of the same prefix, in the form a watch reports it: one change for
 /// each object that is new, has another value or was deleted. All changes have
 /// the version of `after`, since their own versions are unknown.
-std::vector<WatchEvent> ChangesBetween(const ObjectStore::Listing& before,
-                                       const ObjectStore::Listing& after);
+std::vector<WatchEvent> DiffListings(const ObjectStore::Listing& before,
+                                     const ObjectStore::Listing& after);
 
 }  // namespace indigolead
 
--- a/src/store/object_store.h
+++ b/src/store/object_store.h
@@ -114,7 +114,7 @@
 
     /// Returns the version up to which every change has been reported, or 0 if
     /// the watch does not track it.
-    virtual std::uint64_t told_version() const { return 0; }
+    virtual std::uint64_t reported_version() const { return 0; }
   };
 
   /// Receives the changes of one response, in order; there is at least one.
--- a/src/store/polled_watch.cc
+++ b/src/store/polled_watch.cc
@@ -36,13 +36,13 @@
               });
 }
 
-Duration PolledWatch::Take(const WatchBatch& batch) {
+Duration PolledWatch::ApplyBatch(const WatchBatch& batch) {
   version_ = std::max(version_, batch.version);
   known_until_ = batch.relayed ? sent_at_ - kRelayLag : sent_at_;
   heard_at_ = clock_();
   return batch.relayed
              ? Duration{0}
-             : pace_.RestAfter(heard_at_ - sent_at_, !batch.events.empty());
+             : pace_.DelayAfter(heard_at_ - sent_at_, !batch.events.empty());
 }
 
 void PolledWatch::OnAnswer(const Result<WatchBatch>& answer) {
@@ -51,7 +51,7 @@
     return;
   }
   const WatchBatch& batch = ValueOf(answer);
-  const Duration rest = Take(batch);
+  const Duration delay = ApplyBatch(batch);
   const auto alive = alive_;
   if (!batch.events.empty()) {
     hooks_.on_events(batch.events);
@@ -59,7 +59,7 @@
   if (!*alive) {
     return;
   }
-  run_after_(rest, [this, alive] {
+  run_after_(delay, [this, alive] {
     if (*alive) {
       Poll();
     }
--- a/src/store/polled_watch.h
+++ b/src/store/polled_watch.h
@@ -45,14 +45,14 @@
     return known_until_;
   }
   TimePoint heard_at(TimePoint /*now*/) const override { return heard_at_; }
-  std::uint64_t told_version() const override { return version_; }
+  std::uint64_t reported_version() const override { return version_; }
 
  private:
   void Poll();
   void OnAnswer(const Result<WatchBatch>& answer);
   /// Records the versions and times of a response. Returns the delay before the
   /// next poll.
-  Duration Take(const WatchBatch& batch);
+  Duration ApplyBatch(const WatchBatch& batch);
 
   std::uint64_t version_;
   WatchPace pace_;
--- a/src/store/relayed_polls.cc
+++ b/src/store/relayed_poller.cc
@@ -1,29 +1,29 @@
-#include "store/relayed_polls.h"
+#include "store/relayed_poller.h"
 
 #include <utility>
 
 namespace indigolead {
 
-RelayedPolls::RelayedPolls(Duration answer_within, Hooks hooks,
-                           RunAfter run_after)
+RelayedPoller::RelayedPoller(Duration answer_within, Hooks hooks,
+                             RunAfter run_after)
     : answer_within_(answer_within),
       hooks_(std::move(hooks)),
       run_after_(std::move(run_after)),
       alive_(std::make_shared<bool>(true)) {}
 
-RelayedPolls::~RelayedPolls() { *alive_ = false; }
+RelayedPoller::~RelayedPoller() { *alive_ = false; }
 
-void RelayedPolls::Poll(std::uint64_t from, PolledWatch::PollDone done) {
-  called_ = false;
+void RelayedPoller::Poll(std::uint64_t from, PolledWatch::PollDone done) {
+  store_called_ = false;
   from_ = from;
   done_ = std::move(done);
-  if (!Ask()) {
-    Call(StoreWait::kWait);
+  if (!AskRelay()) {
+    CallStore(WaitMode::kWait);
   }
 }
 
-bool RelayedPolls::Ask() {
-  const std::uint64_t number = ++number_;
+bool RelayedPoller::AskRelay() {
+  const std::uint64_t number = ++request_number_;
   relay_ = hooks_.ask(
       from_, [this, alive = alive_, number](const Result<WatchBatch>& answer) {
         if (*alive) {
@@ -43,16 +43,16 @@
   return true;
 }
 
-void RelayedPolls::OnRelayed(std::uint64_t number,
-                             const Result<WatchBatch>& answer) {
-  if (number != number_ || !relay_) {
+void RelayedPoller::OnRelayed(std::uint64_t number,
+                              const Result<WatchBatch>& answer) {
+  if (number != request_number_ || !relay_) {
     return;  // Already answered or timed out.
   }
   const std::string relay = *std::exchange(relay_, std::nullopt);
   if (!IsOk(answer)) {
     hooks_.on_failed(relay, ErrorOf(answer));
-    if (!called_) {
-      Call(StoreWait::kDoNotWait);
+    if (!store_called_) {
+      CallStore(WaitMode::kNoWait);
       return;
     }
   }
@@ -60,16 +60,16 @@
   done(answer);
 }
 
-void RelayedPolls::Call(StoreWait wait) {
-  called_ = true;
+void RelayedPoller::CallStore(WaitMode wait) {
+  store_called_ = true;
   hooks_.call(
       from_, wait, [this, alive = alive_](const Result<WatchBatch>& answer) {
         if (!*alive) {
           return;
         }
-        const bool away =
+        const bool unavailable =
             !IsOk(answer) && ErrorOf(answer).code != ErrorCode::kNotFound;
-        if (away && Ask()) {
+        if (unavailable && AskRelay()) {
           return;
         }
         const PolledWatch::PollDone done = std::move(done_);
--- a/src/store/relayed_polls.h
+++ b/src/store/relayed_poller.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_STORE_RELAYED_POLLS_H_
-#define INDIGOLEAD_STORE_RELAYED_POLLS_H_
+#ifndef INDIGOLEAD_STORE_RELAYED_POLLER_H_
+#define INDIGOLEAD_STORE_RELAYED_POLLER_H_
 
 #include <cstdint>
 #include <functional>
@@ -14,7 +14,7 @@
 namespace indigolead {
 
 /// Whether a store call waits for changes if there are none yet.
-enum class StoreWait { kWait, kDoNotWait };
+enum class WaitMode { kWait, kNoWait };
 
 /// Makes the polls of one watch, through an entry that relays the store's
 /// changes if there is one, otherwise directly at the store.
@@ -25,7 +25,7 @@
 /// call without a response until its timeout, and changes would be missed for
 /// that long. If the direct call fails as well, one more relay is asked,
 /// because a store may reject this entry and serve others.
-class RelayedPolls {
+class RelayedPoller {
  public:
   struct Hooks {
     /// Asks a relay for the changes after `from`. Returns the relay's name, or
@@ -35,17 +35,17 @@
         ask;
     /// Calls the store, which waits for changes or returns the current state at
     /// once. Must not invoke `done` from inside the call.
-    std::function<void(std::uint64_t from, StoreWait wait,
+    std::function<void(std::uint64_t from, WaitMode wait,
                        PolledWatch::PollDone done)>
         call;
     /// Called when the relay failed or did not respond in time.
     std::function<void(const std::string& relay, const Error& error)> on_failed;
   };
 
-  RelayedPolls(Duration answer_within, Hooks hooks, RunAfter run_after);
-  ~RelayedPolls();
-  RelayedPolls(const RelayedPolls&) = delete;
-  RelayedPolls& operator=(const RelayedPolls&) = delete;
+  RelayedPoller(Duration answer_within, Hooks hooks, RunAfter run_after);
+  ~RelayedPoller();
+  RelayedPoller(const RelayedPoller&) = delete;
+  RelayedPoller& operator=(const RelayedPoller&) = delete;
 
   /// Polls once for changes after `from`. One poll may be in progress at a
   /// time.
@@ -55,17 +55,17 @@
   bool relayed() const { return relay_.has_value(); }
 
  private:
-  bool Ask();
+  bool AskRelay();
   void OnRelayed(std::uint64_t number, const Result<WatchBatch>& answer);
-  void Call(StoreWait wait);
+  void CallStore(WaitMode wait);
 
   Duration answer_within_;
   Hooks hooks_;
   RunAfter run_after_;
   std::optional<std::string> relay_;  ///< Relay of the pending request.
-  std::uint64_t number_ = 0;          ///< Number of the latest relay request.
+  std::uint64_t request_number_ = 0;  ///< Number of the latest relay request.
   std::uint64_t from_ = 0;
-  bool called_ = false;  ///< The store was called during this poll.
+  bool store_called_ = false;  ///< The store was called during this poll.
   PolledWatch::PollDone done_;
   /// False once this object is destroyed; callbacks may run later.
   std::shared_ptr<bool> alive_;
@@ -73,4 +73,4 @@
 
 }  // namespace indigolead
 
-#endif  // INDIGOLEAD_STORE_RELAYED_POLLS_H_
+#endif  // INDIGOLEAD_STORE_RELAYED_POLLER_H_
--- a/src/store/relayed_store.cc
+++ b/src/store/relayed_store.cc
@@ -8,7 +8,7 @@
 /// Watch that owns the poller it reads from.
 class RelayedWatch : public ObjectStore::Watch {
  public:
-  RelayedWatch(std::unique_ptr<RelayedPolls> polls, std::uint64_t from_version,
+  RelayedWatch(std::unique_ptr<RelayedPoller> polls, std::uint64_t from_version,
                const WatchPace::Options& pace, PolledWatch::Hooks hooks,
                Clock clock, RunAfter run_after)
       : polls_(std::move(polls)),
@@ -21,10 +21,12 @@
   TimePoint heard_at(TimePoint now) const override {
     return watch_.heard_at(now);
   }
-  std::uint64_t told_version() const override { return watch_.told_version(); }
+  std::uint64_t reported_version() const override {
+    return watch_.reported_version();
+  }
 
  private:
-  std::unique_ptr<RelayedPolls> polls_;
+  std::unique_ptr<RelayedPoller> polls_;
   PolledWatch watch_;
 };
 
@@ -77,17 +79,17 @@
 std::unique_ptr<ObjectStore::Watch> RelayedStore::StartWatch(
     const std::string& prefix, std::uint64_t from_version,
     OnWatchEvents on_events, std::function<void(const Error&)> on_end) {
-  RelayedPolls::Hooks calls;
+  RelayedPoller::Hooks calls;
   calls.ask = [this, prefix](std::uint64_t from, PolledWatch::PollDone done) {
     return hooks_.ask(prefix, from, std::move(done));
   };
-  calls.call = [this, prefix](std::uint64_t from, StoreWait wait,
+  calls.call = [this, prefix](std::uint64_t from, WaitMode wait,
                               PolledWatch::PollDone done) {
     hooks_.call(prefix, from, wait, std::move(done));
   };
   calls.on_failed = hooks_.on_failed;
-  auto polls = std::make_unique<RelayedPolls>(options_.answer_within,
-                                              std::move(calls), run_after_);
+  auto polls = std::make_unique<RelayedPoller>(options_.answer_within,
+                                               std::move(calls), run_after_);
   PolledWatch::Hooks hooks;
   hooks.poll = [it = polls.get()](std::uint64_t from,
                                   PolledWatch::PollDone done) {
--- a/src/store/relayed_store.h
+++ b/src/store/relayed_store.h
@@ -9,7 +9,7 @@
 
 #include "store/object_store.h"
 #include "store/polled_watch.h"
-#include "store/relayed_polls.h"
+#include "store/relayed_poller.h"
 #include "store/run_after.h"
 #include "store/watch_pace.h"
 
@@ -28,13 +28,13 @@
     Duration answer_within = std::chrono::milliseconds(800);
   };
   struct Hooks {
-    /// As in `RelayedPolls`, for one prefix.
+    /// As in `RelayedPoller`, for one prefix.
     std::function<std::optional<std::string>(const std::string& prefix,
                                              std::uint64_t from,
                                              PolledWatch::PollDone done)>
         ask;
     std::function<void(const std::string& prefix, std::uint64_t from,
-                       StoreWait wait, PolledWatch::PollDone done)>
+                       WaitMode wait, PolledWatch::PollDone done)>
         call;
     std::function<void(const std::string& relay, const Error& error)> on_failed;
   };
--- a/src/store/store_calls.cc
+++ b/src/store/store_calls.cc
@@ -62,13 +62,13 @@
   Pending call{std::move(request), {}, std::move(done), nullptr};
   if (options.new_connection) {
     call.deadline = SteadyClock::now() + options.deadline;
-    StartAlone(std::move(call));
+    StartUnqueued(std::move(call));
     return;
   }
   Enqueue(std::move(call), options.priority, options.deadline);
 }
 
-void StoreCalls::Refuse(const Error& error, ReplyCallback done) {
+void StoreCalls::PostError(const Error& error, ReplyCallback done) {
   asio::post(*io_, [self = shared_from_this(), error, done = std::move(done)] {
     if (!self->stopped_) {
       done(error);
@@ -95,7 +95,7 @@
     Reject(*out, "the call queue is full");
   }
   // Posted, because a callback must not run inside the caller's call.
-  asio::post(*io_, [self = shared_from_this()] { self->Pump(); });
+  asio::post(*io_, [self = shared_from_this()] { self->DispatchQueued(); });
 }
 
 void StoreCalls::Reject(CallTicket ticket, const std::string& detail) {
@@ -122,7 +122,7 @@
   });
 }
 
-void StoreCalls::Pump() {
+void StoreCalls::DispatchQueued() {
   if (stopped_) {
     return;
   }
@@ -131,7 +131,7 @@
     Reject(ticket, "no rate token or free connection before the deadline");
   }
   while (busy_.size() < options_.max_connections) {
-    const auto ticket = limiter_.Grant(now, KeepsLastConnection());
+    const auto ticket = limiter_.Grant(now, ReservesLastConnection());
     if (!ticket) {
       break;
     }
@@ -145,7 +145,7 @@
   ArmTimer();
 }
 
-bool StoreCalls::KeepsLastConnection() const {
+bool StoreCalls::ReservesLastConnection() const {
   return options_.max_connections > 1 &&
          busy_.size() + 1 >= options_.max_connections;
 }
@@ -156,7 +156,7 @@
   // A token is useless without a free connection, and a timer for it would fire
   // repeatedly. The queue is checked again when a connection becomes free.
   const bool full = busy_.size() >= options_.max_connections ||
-                    (KeepsLastConnection() && !limiter_.lease_waiting());
+                    (ReservesLastConnection() && !limiter_.lease_waiting());
   const auto next = limiter_.NextEvent(now, full);
   if (!next) {
     timer_.cancel();
@@ -166,7 +166,7 @@
   timer_.async_wait([weak = weak_from_this()](boost::system::error_code ec) {
     const auto self = weak.lock();
     if (!ec && self) {
-      self->Pump();
+      self->DispatchQueued();
     }
   });
 }
@@ -176,20 +176,20 @@
                                       options_.max_answer_bytes);
 }
 
-void StoreCalls::StartAlone(Pending call) {
+void StoreCalls::StartUnqueued(Pending call) {
   asio::post(*io_, [self = shared_from_this(), call = std::move(call)] {
     if (self->stopped_) {
       return;
     }
     self->CountCall(call.request.step);
     auto connection = self->MakeConnection();
-    self->alone_.insert(connection);
+    self->unqueued_.insert(connection);
     asio::co_spawn(*self->io_, self->Perform(std::move(connection), call),
                    asio::detached);
   });
 }
 
-void StoreCalls::Keep(std::shared_ptr<Connection> connection) {
+void StoreCalls::ReturnToPool(std::shared_ptr<Connection> connection) {
   if (idle_.size() >= options_.max_connections) {
     idle_.erase(idle_.begin());
   }
@@ -221,14 +221,14 @@
       std::chrono::duration<double>(SteadyClock::now() - started).count());
   CountFailure(call.request.step, !IsOk(reply));
   busy_.erase(connection);
-  alone_.erase(connection);
+  unqueued_.erase(connection);
   if (!IsOk(reply) && ErrorOf(reply).code == ErrorCode::kTimeout) {
     // The cause of this timeout may affect all idle connections, and each would
     // cost a call its deadline.
     idle_.clear();
   }
-  Keep(std::move(connection));
-  Pump();
+  ReturnToPool(std::move(connection));
+  DispatchQueued();
   call.done(std::move(reply));
 }
 
@@ -245,7 +245,9 @@
   const auto watch = call.watch;
   const std::function<void()> on_open = [this, watch] { SetOpen(watch, true); };
   const std::function<bool(std::string_view)> on_data =
-      [this, watch](std::string_view data) { return TakeData(watch, data); };
+      [this, watch](std::string_view data) {
+        return HandleWatchData(watch, data);
+      };
   const Error error = co_await watch->connection->Watch(
       call.request, call.deadline, options_.watch_silence, on_open, on_data);
   if (stopped_) {
@@ -266,8 +268,8 @@
   }
 }
 
-bool StoreCalls::TakeData(const std::shared_ptr<WatchState>& watch,
-                          std::string_view data) {
+bool StoreCalls::HandleWatchData(const std::shared_ptr<WatchState>& watch,
+                                 std::string_view data) {
   std::string& text = watch->partial_line;
   text.append(data);
   std::size_t at = 0;
@@ -316,7 +318,7 @@
   for (const auto& connection : busy_) {
     connection->Close();
   }
-  for (const auto& connection : alone_) {
+  for (const auto& connection : unqueued_) {
     connection->Close();
   }
   for (const auto& watch : watches_) {
@@ -324,7 +326,7 @@
     watch->connection->Close();
   }
   busy_.clear();
-  alone_.clear();
+  unqueued_.clear();
   watches_.clear();
   idle_.clear();
 }
--- a/src/store/store_calls.h
+++ b/src/store/store_calls.h
@@ -37,7 +37,7 @@
               ReplyCallback done);
 
   /// Posts a call of `done` with `error` to the io_context.
-  void Refuse(const Error& error, ReplyCallback done);
+  void PostError(const Error& error, ReplyCallback done);
 
   /// State of one watch, shared with its coroutine.
   struct WatchState {
@@ -70,15 +70,15 @@
 
   std::shared_ptr<Connection> MakeConnection();
   /// Starts a call on a new connection, bypassing the queue.
-  void StartAlone(Pending call);
+  void StartUnqueued(Pending call);
   /// Returns a connection to the idle pool.
-  void Keep(std::shared_ptr<Connection> connection);
+  void ReturnToPool(std::shared_ptr<Connection> connection);
 
   void Enqueue(Pending call, CallPriority priority, Duration deadline);
-  void Pump();
+  void DispatchQueued();
   void ArmTimer();
   /// Returns true if the last free connection is reserved for lease calls.
-  bool KeepsLastConnection() const;
+  bool ReservesLastConnection() const;
   void SetOpen(const std::shared_ptr<WatchState>& watch, bool open);
   void Start(Pending call);
   void StartWatch(Pending call);
@@ -86,8 +86,8 @@
                                        Pending call);
   boost::asio::awaitable<void> PerformWatch(Pending call);
   void Reject(CallTicket ticket, const std::string& detail);
-  bool TakeData(const std::shared_ptr<WatchState>& watch,
-                std::string_view data);
+  bool HandleWatchData(const std::shared_ptr<WatchState>& watch,
+                       std::string_view data);
   void CountCall(const std::string& step);
   void CountFailure(const std::string& step, bool failed);
 
@@ -102,7 +102,7 @@
   std::vector<std::shared_ptr<Connection>> idle_;
   std::set<std::shared_ptr<Connection>> busy_;
   /// Connections of calls that bypass the queue.
-  std::set<std::shared_ptr<Connection>> alone_;
+  std::set<std::shared_ptr<Connection>> unqueued_;
   std::set<std::shared_ptr<WatchState>> watches_;
   bool stopped_ = false;
 
--- a/src/store/store_connection.cc
+++ b/src/store/store_connection.cc
@@ -73,7 +73,7 @@
     co_await http::async_read(stream_, buf_, parser,
                               asio::redirect_error(asio::use_awaitable, ec));
     if (ec) {
-      co_return Broken(request.step, ec);
+      co_return CloseWithError(request.step, ec);
     }
     const auto& message = parser.get();
     StoreReply reply;
@@ -105,12 +105,12 @@
     co_await http::async_read_header(
         stream_, buf_, parser, asio::redirect_error(asio::use_awaitable, ec));
     if (ec) {
-      co_return Broken(request.step, ec);
+      co_return CloseWithError(request.step, ec);
     }
     const int status = static_cast<int>(parser.get().result_int());
     if (status != kOkStatus) {
       Close();
-      co_return RefusedWatch(request.step, status);
+      co_return WatchRefusedError(request.step, status);
     }
     on_open();
     std::array<char, kReadBytes> part;
@@ -122,7 +122,7 @@
       co_await http::async_read_some(
           stream_, buf_, parser, asio::redirect_error(asio::use_awaitable, ec));
       if (ec && ec != http::error::need_buffer) {
-        co_return Broken(request.step, ec);
+        co_return CloseWithError(request.step, ec);
       }
       if (!on_data({part.data(), part.size() - body.size})) {
         Close();
@@ -147,7 +147,7 @@
     return Error{code, step, address_, std::move(detail)};
   }
 
-  Error RefusedWatch(const std::string& step, int status) const {
+  Error WatchRefusedError(const std::string& step, int status) const {
     if (status == kGoneStatus) {
       return MakeError(ErrorCode::kNotFound, step,
                        "the version is no longer held; list again");
@@ -158,7 +158,7 @@
 
   /// Closes the connection and returns the error of a call that failed after
   /// its request was written.
-  Error Broken(const std::string& step, beast::error_code ec) {
+  Error CloseWithError(const std::string& step, beast::error_code ec) {
     Close();
     if (ec == beast::error::timeout) {
       return MakeError(ErrorCode::kTimeout, step,
@@ -227,7 +227,7 @@
     co_await http::async_write(stream_, message,
                                asio::redirect_error(asio::use_awaitable, ec));
     if (ec) {
-      co_return Broken(request.step, ec);
+      co_return CloseWithError(request.step, ec);
     }
     co_return std::nullopt;
   }
--- a/src/store/watch_feed.h
+++ b/src/store/watch_feed.h
@@ -34,7 +34,7 @@
  public:
   struct Options {
     /// Minimum time between two store calls.
-    Duration least_gap = std::chrono::milliseconds(400);
+    Duration min_interval = std::chrono::milliseconds(400);
     /// Time within which a poll is answered, with or without changes, while the
     /// store works.
     Duration answer_within = std::chrono::milliseconds(600);
@@ -72,47 +72,47 @@
   void Ask(std::uint64_t from, PolledWatch::PollDone done);
 
  private:
-  struct Question {
+  struct PendingPoll {
     std::uint64_t from = 0;
-    TimePoint asked_at{};
+    TimePoint requested_at{};
     PolledWatch::PollDone done;
   };
 
-  void CallSoon();
+  void ScheduleCall();
   void Call();
   void CallFrom(std::uint64_t from, Duration wait);
   void OnAnswer(const Result<WatchBatch>& answer);
   void OnFailed(const Error& error);
-  void ListAnew(const Error& error);
+  void Relist(const Error& error);
   void OnListed(const Result<ObjectStore::Listing>& result, const Error& error);
-  void Keep(const WatchBatch& batch);
+  void AddEvents(const WatchBatch& batch);
   void Trim();
-  void Forget();
+  void ClearEvents();
   void AnswerAll();
-  Result<WatchBatch> AnswerTo(const Question& question) const;
-  std::uint64_t LeastAsked() const;
+  Result<WatchBatch> AnswerTo(const PendingPoll& pending_poll) const;
+  std::uint64_t LowestRequestedVersion() const;
 
   Options options_;
   Hooks hooks_;
   Clock clock_;
   RunAfter run_after_;
-  std::vector<Question> questions_;
+  std::vector<PendingPoll> pending_polls_;
   std::deque<WatchEvent> events_;
   std::uint64_t kept_from_ = 0;  ///< `events_` has all later changes.
   /// Changes between `kept_from_` and this version are known only as a net
   /// difference between two listings, which is of no use to a poller at a
   /// version in between.
-  std::uint64_t gap_until_ = 0;
+  std::uint64_t diff_until_ = 0;
   /// Version up to which `events_` is complete; 0 if no changes are known.
   std::uint64_t version_ = 0;
-  bool planned_ = false;    ///< A call is planned or in flight.
-  std::uint64_t call_ = 0;  ///< Number of the call in flight.
+  bool call_scheduled_ = false;  ///< A call is planned or in flight.
+  std::uint64_t call_ = 0;       ///< Number of the call in flight.
   TimePoint called_at_{};
   std::uint64_t called_from_ = 0;
   /// The call rereads changes that are no longer kept, for a poller that is
   /// behind.
-  bool rewound_ = false;
-  bool again_ = false;        ///< The call in flight repeats a failed one.
+  bool rereading_ = false;
+  bool is_repeat_ = false;    ///< The call in flight repeats a failed one.
   TimePoint repeat_until_{};  ///< No repeats of overdue calls after it.
   /// False once this object is destroyed; callbacks may run later.
   std::shared_ptr<bool> alive_;
--- a/tests/platform/change_waits_test.cc
+++ b/tests/platform/change_waits_test.cc
@@ -34,12 +34,12 @@
   constexpr Duration kUse = milliseconds(150);
 
   SECTION("a change while the store is followed") {
-    CHECK(store.watch_pace.most_gap + kAnswer + kUse <= leaving);
-    CHECK(relay.feed.least_gap + relayed.answer_within + kAnswer + kUse <=
+    CHECK(store.watch_pace.max_interval + kAnswer + kUse <= leaving);
+    CHECK(relay.feed.min_interval + relayed.answer_within + kAnswer + kUse <=
           leaving);
   }
   SECTION("one call that is lost drops no target") {
-    const Duration lost = store.watch_pace.most_gap + store.watch_wait +
+    const Duration lost = store.watch_pace.max_interval + store.watch_wait +
                           store.watch_slack + watch.min_backoff + kAnswer;
     CHECK(lost < directory.min_outage);
     CHECK(lost + kUse <= contact);
--- a/tests/shell/settled_write_test.cc
+++ b/tests/shell/idempotent_write_test.cc
@@ -1,4 +1,4 @@
-#include "store/settled_write.h"
+#include "store/idempotent_write.h"
 
 #include <catch2/catch.hpp>
 
@@ -13,8 +13,8 @@
 using testing::MakeStoreWorld;
 using testing::StoreWorld;
 
-SettledPut Write(const std::string& nonce, ExpectedVersion expected) {
-  SettledPut put;
+IdempotentPut Write(const std::string& nonce, ExpectedVersion expected) {
+  IdempotentPut put;
   put.key = "control/lease";
   put.value = "nonce=" + nonce;
   put.expected = expected;
@@ -26,9 +26,9 @@
   return put;
 }
 
-Result<std::uint64_t> Settle(StoreWorld* world, const SettledPut& put) {
-  SettledWriter writer(&world->store(), BootTimeNow,
-                       MakeRunAfter(&world->io()));
+Result<std::uint64_t> Settle(StoreWorld* world, const IdempotentPut& put) {
+  IdempotentWriter writer(&world->store(), BootTimeNow,
+                          MakeRunAfter(&world->io()));
   return world->Ask<std::uint64_t>([&](auto done) { writer.Put(put, done); });
 }
 
@@ -68,10 +68,10 @@
     PlatformFaults faults;
     faults.lose_answers = 1;
     world->SetFaults(faults);
-    SettledPut put = Write("mine", first);
+    IdempotentPut put = Write("mine", first);
     put.retry_delay = milliseconds(200);
-    SettledWriter writer(&world->store(), BootTimeNow,
-                         MakeRunAfter(&world->io()));
+    IdempotentWriter writer(&world->store(), BootTimeNow,
+                            MakeRunAfter(&world->io()));
     std::optional<Result<std::uint64_t>> result;
     writer.Put(put, [&](const auto& answer) { result = answer; });
     REQUIRE(world->RunUntil(
@@ -85,8 +85,8 @@
     PlatformFaults faults;
     faults.stall = true;
     world->SetFaults(faults);
-    SettledPut put = Write("mine", first);
-    put.settle_for = milliseconds(700);
+    IdempotentPut put = Write("mine", first);
+    put.total_timeout = milliseconds(700);
     CHECK(ErrorOf(Settle(world.get(), put)).code == ErrorCode::kTimeout);
   }
 
@@ -107,8 +107,8 @@
   faults.lose_answers = 1;
   faults.stale_reads = true;
   world->SetFaults(faults);
-  SettledWriter writer(&world->store(), BootTimeNow,
-                       MakeRunAfter(&world->io()));
+  IdempotentWriter writer(&world->store(), BootTimeNow,
+                          MakeRunAfter(&world->io()));
   std::optional<Result<std::uint64_t>> result;
   writer.Put(Write("mine", first),
              [&](const auto& answer) { result = answer; });
--- a/tests/shell/listing_changes_test.cc
+++ b/tests/shell/listing_changes_test.cc
@@ -13,7 +13,7 @@
   SECTION("reports new, modified and deleted objects") {
     const ObjectStore::Listing after{
         20, {{"targets/b", "leaving", 12}, {"targets/c", "ready", 15}}};
-    CHECK(ChangesBetween(before, after) ==
+    CHECK(DiffListings(before, after) ==
           std::vector<WatchEvent>{{"targets/b", "leaving", 20},
                                   {"targets/c", "ready", 20},
                                   {"targets/a", std::nullopt, 20}});
@@ -21,10 +21,10 @@
   SECTION("ignores an object rewritten with the same value") {
     const ObjectStore::Listing after{
         20, {{"targets/a", "ready", 19}, {"targets/b", "ready", 20}}};
-    CHECK(ChangesBetween(before, after).empty());
+    CHECK(DiffListings(before, after).empty());
   }
   SECTION("reports all objects as deleted for an empty listing") {
-    CHECK(ChangesBetween(before, {9, {}}).size() == 2);
+    CHECK(DiffListings(before, {9, {}}).size() == 2);
   }
 }
 
--- a/tests/shell/object_store_contract_test.cc
+++ b/tests/shell/object_store_contract_test.cc
@@ -44,12 +44,12 @@
 }
 
 /// Watch that records its events and errors.
-struct Watched {
-  Watched(StoreWorld* world, std::uint64_t from)
+struct RecordedWatch {
+  RecordedWatch(StoreWorld* world, std::uint64_t from)
       : watch(world->store().StartWatch(
             "a/", from,
-            [this](const std::vector<WatchEvent>& told) {
-              events.insert(events.end(), told.begin(), told.end());
+            [this](const std::vector<WatchEvent>& new_events) {
+              events.insert(events.end(), new_events.begin(), new_events.end());
             },
             [this](const Error& error) { ends.push_back(error.code); })) {}
 
@@ -150,7 +150,7 @@
 TEST_CASE("ObjectStore watches report each change once and in order") {
   const auto world = MakeStoreWorld(GENERATE("fake", "http", "platform"));
   const auto first = world->Poke("a/b", "one", 0);
-  Watched watched(world.get(), first);
+  RecordedWatch watched(world.get(), first);
   const auto second = world->Poke("a/b", "two", first);
   REQUIRE(world->RunUntil([&] { return watched.events.size() == 1; }));
   CHECK(watched.events[0] == WatchEvent{"a/b", "two", second});
@@ -171,7 +171,7 @@
   }
 
   SECTION("an unavailable version ends the watch with not-found") {
-    Watched late(world.get(), second + 100);
+    RecordedWatch late(world.get(), second + 100);
     REQUIRE(world->RunUntil([&] { return !late.ends.empty(); }));
     CHECK(late.ends[0] == ErrorCode::kNotFound);
   }
@@ -292,7 +292,7 @@
   // the watch ends, the caller would keep an outdated state forever.
   const auto world = MakeStoreWorld(GENERATE("fake", "http", "platform"));
   const auto version = world->Poke("a/b", "one", 0);
-  Watched watched(world.get(), version);
+  RecordedWatch watched(world.get(), version);
   const auto second = world->Poke("a/b", "two", version);
   REQUIRE(world->RunUntil([&] { return watched.events.size() == 1; }));
 
@@ -309,7 +309,7 @@
   SECTION("a store that is down ends the watch and rejects the next") {
     world->SetDown(true);
     REQUIRE(world->RunUntil([&] { return !watched.ends.empty(); }));
-    Watched next(world.get(), second);
+    RecordedWatch next(world.get(), second);
     REQUIRE(world->RunUntil([&] { return !next.ends.empty(); }));
     CHECK(next.ends[0] == ErrorCode::kUnavailable);
   }
--- a/tests/shell/watch_fleet_test.cc
+++ b/tests/shell/watch_fleet_test.cc
@@ -89,7 +89,7 @@
 TEST_CASE("A swarm of changes costs a fleet few calls") {
   constexpr Duration kMost = seconds(2);
   WatchPace::Options pace;
-  pace.most_gap = kMost;
+  pace.max_interval = kMost;
   Fleet fleet(100, pace);
   const double rate = fleet.CallRate([&fleet] { fleet.Swarm(8, seconds(30)); });
 
@@ -166,26 +166,26 @@
   WatchPace pace({milliseconds(200), milliseconds(1600)});
 
   SECTION("none after a call that waited") {
-    CHECK(pace.RestAfter(seconds(4), false) == Duration{0});
-    CHECK(pace.RestAfter(seconds(1), true) == Duration{0});
+    CHECK(pace.DelayAfter(seconds(4), false) == Duration{0});
+    CHECK(pace.DelayAfter(seconds(1), true) == Duration{0});
   }
   SECTION("it doubles while every call finds a change, up to its bound") {
-    CHECK(pace.RestAfter(milliseconds(4), true) == milliseconds(196));
-    CHECK(pace.RestAfter(milliseconds(4), true) == milliseconds(396));
-    CHECK(pace.RestAfter(milliseconds(4), true) == milliseconds(796));
-    CHECK(pace.RestAfter(milliseconds(4), true) == milliseconds(1596));
-    CHECK(pace.RestAfter(milliseconds(4), true) == milliseconds(1596));
+    CHECK(pace.DelayAfter(milliseconds(4), true) == milliseconds(196));
+    CHECK(pace.DelayAfter(milliseconds(4), true) == milliseconds(396));
+    CHECK(pace.DelayAfter(milliseconds(4), true) == milliseconds(796));
+    CHECK(pace.DelayAfter(milliseconds(4), true) == milliseconds(1596));
+    CHECK(pace.DelayAfter(milliseconds(4), true) == milliseconds(1596));
     SECTION("stays there through a short lull") {
-      CHECK(pace.RestAfter(milliseconds(900), true) == milliseconds(700));
+      CHECK(pace.DelayAfter(milliseconds(900), true) == milliseconds(700));
       CHECK(pace.gap() == milliseconds(1600));
     }
     SECTION("and is short again after a quiet time") {
-      CHECK(pace.RestAfter(milliseconds(1700), true) == Duration{0});
+      CHECK(pace.DelayAfter(milliseconds(1700), true) == Duration{0});
       CHECK(pace.gap() == milliseconds(200));
     }
   }
   SECTION("a store that answers at once with nothing makes no tight loop") {
-    CHECK(pace.RestAfter(milliseconds(1), false) == milliseconds(199));
+    CHECK(pace.DelayAfter(milliseconds(1), false) == milliseconds(199));
   }
 }
 
--- a/tests/shell/watch_relay_fleet_test.cc
+++ b/tests/shell/watch_relay_fleet_test.cc
@@ -193,7 +193,7 @@
   ObjectStore::Listing Known(std::size_t entry) const {
     const Node& node = *nodes_[entry];
     ObjectStore::Listing known;
-    known.version = std::max(node.version, node.watch->told_version());
+    known.version = std::max(node.version, node.watch->reported_version());
     for (const auto& [key, value] : node.objects) {
       known.objects.push_back({key, value, known.version});
     }
@@ -212,7 +212,7 @@
     WatchRelay::Options options;
     options.choice.own_name = NameOf(entry);
     options.choice.failure_domain = CandidateOf(entry).failure_domain;
-    options.feed.least_gap = kLeastGap;
+    options.feed.min_interval = kLeastGap;
     options.feed.answer_within = kAnswerWithin;
     options.feed.overdue_after = kBound / 20;
     options.prefixes = {kPrefix};
@@ -254,7 +254,7 @@
         std::make_unique<WatchRelay>(options, std::move(hooks), Now(), After(),
                                      MakeNullEventLog(), &metrics_);
     RelayedStore::Options store_options;
-    store_options.watch_pace.most_gap = kBound / 2;
+    store_options.watch_pace.max_interval = kBound / 2;
     store_options.answer_within = kAnswerWithin + kBound / 10;
     RelayedStore::Hooks store_hooks;
     store_hooks.ask = [&node](const std::string& prefix, std::uint64_t from,
@@ -262,9 +262,9 @@
       return node.relay->Ask(prefix, from, std::move(done));
     };
     store_hooks.call = [this, entry](const std::string&, std::uint64_t from,
-                                     StoreWait wait,
+                                     WaitMode wait,
                                      PolledWatch::PollDone done) {
-      Call(entry, from, wait == StoreWait::kWait ? kDirectWait : Duration{0},
+      Call(entry, from, wait == WaitMode::kWait ? kDirectWait : Duration{0},
            std::move(done));
     };
     store_hooks.on_failed = [this, &node](const std::string& relay,
@@ -580,7 +580,7 @@
     ask_from(53);  // Told by the store itself in between.
     timeline.RunFor(seconds(3));
     REQUIRE(answers.size() == 2);
-    const auto changes = ChangesBetween(known, store.Listed());
+    const auto changes = DiffListings(known, store.Listed());
     CHECK(answers[0] == std::to_string(changes.size()));
     CHECK_THAT(answers[1], Catch::Matchers::Contains("outcome only"));
   }
