--- a/src/entry/account_counters.cc
+++ b/src/entry/account_counters.cc
@@ -3,11 +3,11 @@
 namespace indigolead {
 namespace {
 
-// No account has one of these names: a name has no blanks.
+// These labels cannot equal an account name, because names contain no spaces.
 
-/// Stands for the accounts beyond the bound.
+/// Label shared by the accounts beyond the bound.
 constexpr char kOthers[] = "(all others)";
-/// Stands for requests that no account made, as those of open routes.
+/// Label of requests without an account, such as those of open routes.
 constexpr char kNobody[] = "(no account)";
 
 std::string Escaped(const std::string& text) {
--- a/src/entry/account_counters.h
+++ b/src/entry/account_counters.h
@@ -9,10 +9,10 @@
 
 namespace indigolead {
 
-/// Counts the ends of requests by client account.
+/// Counts finished requests by client account.
 ///
-/// Accounts come from the operator's configuration, and each has counters of
-/// its own up to a bound; those that come later are counted together.
+/// Accounts come from the operator's configuration. Each has its own counters
+/// up to a bound; accounts seen after that share one pair of counters.
 class AccountCounters {
  public:
   /// `metrics` must outlive this object.
@@ -20,7 +20,7 @@
                            std::size_t most_accounts = 1000);
 
   void OnAnswered(const std::string& account) { Of(account).answered.Add(); }
-  /// Refused, or ended without a whole answer.
+  /// The request was refused or ended without a complete answer.
   void OnFailed(const std::string& account) { Of(account).failed.Add(); }
 
  private:
--- a/src/entry/crash_detector.h
+++ b/src/entry/crash_detector.h
@@ -13,25 +13,26 @@
 
 namespace indigolead {
 
-/// Tells the crash of a target from the break of one connection to it.
+/// Distinguishes the crash of a target from the loss of a single connection.
 ///
-/// Both look the same to a request. After a crash nobody listens at the
-/// target's address, so the target is called once: only a refused connection
-/// makes a crash of the breaks. Whatever else comes of the call says that the
-/// target lives, or nothing.
+/// Both look the same to a request. After a crash nothing listens at the
+/// target's address, so the detector probes the target: only a refused
+/// connection is taken as a crash. Any other outcome means that the target is
+/// alive, or proves nothing.
 ///
 /// Runs on one thread.
 class CrashDetector {
  public:
   struct Options {
-    /// Breaks within this time after a crash belong to it.
+    /// Connections that break within this time after a crash belong to it.
     Duration same_crash = std::chrono::seconds(1);
-    /// Calls of one target: a kept connection may break like the requests'.
+    /// Maximum number of probes. A probe on a pooled connection may break like
+    /// the requests did.
     int max_calls = 3;
   };
   struct Hooks {
-    /// Makes a call that runs nothing. Must not answer from inside the call;
-    /// never answers if the target cannot be called now.
+    /// Probes the target without running a request. Must not call `done` before
+    /// it returns; never calls `done` if the target cannot be called now.
     std::function<void(const std::string& target,
                        std::function<void(const Status&)> done)>
         call;
@@ -43,7 +44,7 @@
 
   /// The connection of a request broke after it had been written.
   void OnBroken(const TargetCrash& run, Fingerprint request);
-  /// Forgets what is over. Call several times a second.
+  /// Removes expired entries. Call several times a second.
   void Tick();
 
  private:
@@ -51,7 +52,7 @@
     std::vector<Fingerprint> running;
     int calls = 0;
     bool crashed = false;
-    TimePoint until;  ///< Forgotten then.
+    TimePoint until;  ///< Time of removal.
   };
 
   void Call(const TargetCrash& run);
--- a/src/entry/crash_report_json.cc
+++ b/src/entry/crash_report_json.cc
@@ -70,9 +70,9 @@
         const auto name = running.get<std::string>();
         const auto request = ReadFingerprint(name);
         if (!request) {
-          return Unreadable(peer,
-                            "\"" + name + "\" in \"running\" of crash \"" +
-                                record.crash.target + "\" is no fingerprint");
+          return Unreadable(
+              peer, "\"" + name + "\" in \"running\" of crash \"" +
+                        record.crash.target + "\" is not a fingerprint");
         }
         record.running.push_back(*request);
       }
@@ -83,7 +83,7 @@
       const auto request = ReadFingerprint(name);
       if (!request) {
         return Unreadable(peer, "\"" + name +
-                                    "\" in \"cleared\" is no "
+                                    "\" in \"cleared\" is not a "
                                     "fingerprint");
       }
       ClearedRequest cleared{*request, {}};
--- a/src/entry/crash_report_json.h
+++ b/src/entry/crash_report_json.h
@@ -11,8 +11,7 @@
 /// Returns the report as JSON.
 std::string EncodeCrashReport(const CrashReport& report);
 
-/// Returns the report in `text`, which the entry named `peer` wrote, or the
-/// error in it.
+/// Parses the report in `text`. Errors name `peer`, the writer of the report.
 Result<CrashReport> DecodeCrashReport(const std::string& peer,
                                       const std::string& text);
 
--- a/src/entry/crash_service.cc
+++ b/src/entry/crash_service.cc
@@ -99,8 +99,8 @@
 }
 
 void CrashService::Write() {
-  // Before the first list this object may hold what an earlier process of this
-  // entry saw, which a write would lose.
+  // Until the first list has been read, the stored object may hold reports of a
+  // previous process of this entry, which a write would overwrite.
   if (!listed_ || !untold_ || std::exchange(writing_, true)) {
     return;
   }
--- a/src/entry/crash_service.h
+++ b/src/entry/crash_service.h
@@ -16,25 +16,25 @@
 
 namespace indigolead {
 
-/// Keeps the crash ledgers of all entries in step through the store.
+/// Synchronizes the crash ledgers of all entries through the store.
 ///
-/// Each entry writes one object, the crashes that it has seen, and watches
-/// those of all others. So no write has a rival, and what is known outlives
-/// every process. While the store is away each entry counts alone.
+/// Each entry writes one object with the crashes that it has seen, and watches
+/// the objects of the others. Writes therefore never conflict, and the reports
+/// survive restarts. While the store is unavailable each entry counts alone.
 ///
 /// Runs on the thread of its stores.
 class CrashService {
  public:
   struct Options {
-    std::string
-        instance;  ///< Names this entry's object; the same at a restart.
+    /// Name of this entry's object, stable across restarts.
+    std::string instance;
     std::string prefix = "crashes/";
     CrashLedger::Options ledger;
     ListWatcher::Options watch;  ///< Without the prefix.
     CallOptions write{CallPriority::kConfig, std::chrono::milliseconds(1500)};
-    /// Answers that clear requests are told together, if nothing is urgent.
+    /// Delay that batches non-urgent reports of answers that clear requests.
     Duration clear_together = std::chrono::seconds(2);
-    /// After a write that failed.
+    /// Delay before a failed write is retried.
     Duration write_again = std::chrono::milliseconds(500);
   };
 
@@ -47,16 +47,16 @@
   ~CrashService();
 
   void Start() { watcher_.Start(); }
-  /// Returns true once the reports have been read.
+  /// Returns true once the reports have been listed.
   bool listed() const { return listed_; }
-  /// Returns what this entry knows of the reports.
+  /// Returns the reports known to this entry.
   ObjectStore::Listing Known() const { return watcher_.Known(); }
 
   void OnCrash(const TargetCrash& crash,
                const std::vector<Fingerprint>& running);
-  /// The request has a whole answer of a target.
+  /// Records that a target answered the request completely.
   void OnAnswered(Fingerprint request);
-  /// Returns for how long the request is not to run; nothing if it may.
+  /// Returns how much longer the request is blocked; nullopt if it may run.
   std::optional<Duration> StoppedFor(Fingerprint request) const {
     return ledger_.StoppedFor(request, clock_());
   }
@@ -75,9 +75,9 @@
   CrashLedger ledger_;
   OwnObject own_object_;
   bool listed_ = false;
-  bool untold_ = false;               ///< The own object lacks something.
-  std::optional<TimePoint> tell_at_;  ///< Of what is not urgent.
-  bool writing_ = false;  ///< A write is in flight, or one waits for its time.
+  bool untold_ = false;               ///< The stored object is out of date.
+  std::optional<TimePoint> tell_at_;  ///< Due time of non-urgent changes.
+  bool writing_ = false;  ///< A write is in flight or its retry is scheduled.
   Gauge& suspects_;
   Counter& crashes_;
   std::shared_ptr<bool> alive_;
--- a/src/entry/direct_carrier.cc
+++ b/src/entry/direct_carrier.cc
@@ -32,7 +32,7 @@
   return "mixed";
 }
 
-/// Returns true if nothing of the call that ended so was written.
+/// Returns true if no byte of a call with this error was written.
 bool IsUnsent(const Error& error) {
   return error.code == ErrorCode::kUnavailable ||
          error.code == ErrorCode::kOverloaded;
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-/// Running checksum of a body, as the end frame states it.
+/// Running checksum of a body for its end frame.
 struct DirectCarrier::Run::Checksum {
   Checksum() : state(XXH64_createState()) { XXH64_reset(state, 0); }
   ~Checksum() { XXH64_freeState(state); }
@@ -122,10 +122,10 @@
     return;
   }
   it->second.record = record;
-  // The kept connections lead to the run before: a request written to one is
-  // lost with it, and may not be repeated. A new client begins without any.
-  // Calls that are open end by themselves, since nobody can tell here to which
-  // of the runs they went; the new run may be answering them.
+  // Pooled connections belong to the previous run: a request written to one is
+  // lost and may not be repeated. A new client starts without connections.
+  // Open calls are left to end on their own, since it is unknown which run
+  // received them; the new run may be answering them.
   RenewClient(&it->second);
   flow_->OnSideChanged(it->second.link, InfoOf(record), clock_());
 }
@@ -189,7 +189,7 @@
   TargetClient* client = ClientOf(at);
   if (!client) {
     RefuseRun(id, {"prefill_gone", AttemptReach::kNothing,
-                   "the engine chosen to read is gone"});
+                   "the engine chosen for prefill has been removed"});
     return;
   }
   run.called = FindTarget(at)->run;
@@ -254,7 +254,7 @@
     StartRun(id);
   } else {
     RefuseRun(id, {"no_runner", AttemptReach::kPrefillEngine,
-                   "no engine can make the answer now", true});
+                   "no engine can decode the answer now", true});
   }
 }
 
@@ -272,11 +272,11 @@
   return true;
 }
 
-// The failure: an engine that changes its role refuses what has not started,
-// for seconds, and no entry is told. The symptom: a prompt that was read is
-// thrown away, its caller refused, or the prompt read once more. The KV cache
-// is still at its reader, so another engine can take it over: one arrival more
-// in place of two, and none where the first one could not be reached.
+// An engine that changes its role refuses requests that have not started, for
+// seconds, without notice to the entries. A full retry would discard the
+// prefilled prompt and refuse the caller or prefill again. The KV cache is
+// still on the prefill engine, so another engine can decode from it: that costs
+// one arrival instead of two, and none if the first engine was unreachable.
 bool DirectCarrier::RunElsewhere(const AttemptId& id, Run* run,
                                  const std::string& why) {
   if (!run->handle || run->runners >= options_.max_runners) {
@@ -351,7 +351,7 @@
   TellLimit(run->instance, *run, status, headers);
   run->status = status;
   if (meaning != AnswerMeaning::kAnswer) {
-    // Told once the answer is read, so that its connection can be kept.
+    // Reported when the answer has been read, to keep the connection reusable.
     run->refused = meaning;
     return;
   }
@@ -373,8 +373,8 @@
   XXH64_update(run->checksum->state, data.data(), data.size());
   run->body_bytes += data.size();
   if (run->body_bytes >= run->credit && !run->paused && run->call) {
-    // The caller takes less than the target gives: what it has not taken must
-    // not pile up here.
+    // The caller reads more slowly than the target sends. Pausing bounds the
+    // data buffered here.
     run->paused = true;
     run->call->PauseReading(true);
   }
@@ -451,7 +451,7 @@
                                 const Status& status) {
   const TargetRecord* target = FindTarget(instance);
   if (target && target->run != called) {
-    return;  // Of the run before, which says nothing of this one.
+    return;  // The call went to a previous run of the target.
   }
   const bool says_nothing =
       !IsOk(status) && (ErrorOf(status).code == ErrorCode::kTimeout ||
@@ -493,7 +493,7 @@
   TargetClient* client =
       held_at == targets_.end() ? nullptr : ClientForExtraCall(held_at->first);
   if (!client) {
-    return;  // A handle that is not freed expires.
+    return;  // An unreleased handle expires.
   }
   TargetRequest request = dialect_.release(handle);
   request.deadline = options_.release_deadline;
@@ -515,7 +515,7 @@
   calls_beside_[number] = FetchAnswer(
       client, std::move(request), options_.max_handle_bytes,
       [this, number, done = std::move(done)](const Result<TargetAnswer>& it) {
-        // Not from inside the call that ends here.
+        // Deferred, because the call must not be destroyed in its own callback.
         boost::asio::post(*io_,
                           [this, number] { calls_beside_.erase(number); });
         done(IsOk(it) ? Status(Unit{}) : Status(ErrorOf(it)));
@@ -542,7 +542,7 @@
 }
 
 void DirectCarrier::Act(const SendCancel& action) {
-  // Closing the connection is what stops a target.
+  // Destroying the call closes its connection, which stops the target.
   const auto node = runs_.extract(action.ref.attempt);
   if (!node.empty() && node.mapped().handle && !node.mapped().written) {
     FreeHandle(*node.mapped().handle);
--- a/src/entry/direct_carrier.h
+++ b/src/entry/direct_carrier.h
@@ -21,84 +21,87 @@
 
 namespace indigolead {
 
-/// Carries attempts from the request flow straight to targets over HTTP.
+/// Sends the attempts of the request flow directly to targets over HTTP.
 ///
-/// The other carrier is the link to a side. The flow cannot tell them apart: a
-/// target is announced as a side would be, starts and cancels come as actions,
-/// and what becomes of an attempt is told in the same numbered frames. So all
-/// that decides about a request is one code for both.
+/// The alternative is the link to a side. Both look alike to the flow: each
+/// target is registered as a side, starts and cancels arrive as actions, and
+/// progress is reported in the same numbered frames. The request logic is
+/// therefore shared.
 ///
-/// An attempt may have two calls: one engine reads the prompt, and another
-/// makes the answer from its KV cache. Until the second call is written the
-/// request has not run.
+/// An attempt may take two calls: a prefill on one engine, and a decode on
+/// another from the KV cache of the first. The request has not run until the
+/// decode call is written.
 ///
 /// Runs on the thread of its io_context.
 class DirectCarrier {
  public:
   struct Options {
     HttpTargetClient::Options client;  ///< Without the address.
-    /// Returns a client of the target at "IP:port"; empty: one as above.
+    /// Creates the client of the target at "IP:port". If empty, an
+    /// `HttpTargetClient` with the options above is used.
     std::function<std::unique_ptr<TargetClient>(const std::string& address)>
         make_client;
-    /// Longest answer to the call that reads a prompt.
+    /// Maximum size of the answer to a prefill call.
     std::size_t max_handle_bytes = 4096;
-    /// Longest wait for a prompt to be read, and the share of the time left
-    /// that it may take: a reader that has gone dark must leave time for
-    /// another. The longest prompts take 0.7 s at a full backlog.
+    /// A prefill may take the larger of this time and `max_prefill_share` of
+    /// the time left, so that a silent engine leaves time for another one. The
+    /// longest prompts take 0.7 s with a full backlog.
     Duration max_prefill_wait = std::chrono::milliseconds(1600);
     double max_prefill_share = 0.4;
-    /// Targets that may be asked to take over one prompt that has been read: a
-    /// second one, and a third where the first could not even be reached.
+    /// Maximum number of targets asked to decode one prefilled prompt. The
+    /// third is for the case that the first could not be reached at all.
     std::uint32_t max_runners = 3;
-    /// Bound on calls about handles.
+    /// Deadline of the call that releases a KV handle.
     Duration release_deadline = std::chrono::seconds(2);
   };
   struct Hooks {
-    /// The prompt of an attempt has been read.
+    /// The prefill of an attempt is complete.
     std::function<void(const AttemptId&)> on_prefilled;
-    /// Returns the engine from which the reader may copy what an attempt's
-    /// prompt shares with others; empty if there is none.
+    /// Returns the engine from which the prefill engine may copy the KV cache
+    /// of the attempt's shared prompt prefix; empty if there is none.
     std::function<std::string(const AttemptId&)> copy_source;
-    /// The head of an attempt's answer came.
+    /// The head of an attempt's answer arrived.
     std::function<void(const AttemptId&)> on_answering;
-    /// Returns the target that makes the answer, now that the prompt has been
-    /// read; nothing if none can.
+    /// Returns the target that decodes the prefilled prompt, or nullopt if
+    /// none can.
     std::function<std::optional<std::string>(const AttemptId&,
                                              const CallerRequest&)>
         choose_runner;
-    /// The target chosen to make the answer did not take it over.
+    /// The target chosen to decode did not accept the attempt.
     std::function<void(const AttemptId&)> on_runner_refused;
-    /// Asks whether the request may arrive at one more target.
+    /// Returns true if the request may be sent to one more target, and charges
+    /// the retry budget for it.
     std::function<bool(const CallerRequest&)> may_arrive_again;
-    /// What was allowed so was not made after all.
+    /// The request that `may_arrive_again` allowed was not sent.
     std::function<void(const CallerRequest&)> on_no_arrival;
-    /// The body of a target's answer to a request ended as its framing says,
-    /// which alone does not show that it is whole.
+    /// The body of a target's answer ended according to its framing, but that
+    /// does not prove that it is complete.
     std::function<void(const AnswerBodyEnd&)> on_doubtful_end;
-    /// A call to a target ended as it should, or broke: its connection was
-    /// lost or could not be made. A call that ran out of time is neither, nor
-    /// is one that was not to be written.
+    /// A call to a target succeeded, or broke: its connection was lost or could
+    /// not be established. Not called for a timeout, nor for a call that
+    /// `may_write` stopped.
     std::function<void(const std::string& instance, bool broke)> on_call_end;
-    /// The connection of a request that had been written broke.
+    /// The connection broke after the request had been written.
     std::function<void(const std::string& instance,
                        const std::optional<TargetRun>& run,
                        const CallerRequest&)>
         on_request_broke;
-    /// A request that no route decided goes to a target.
+    /// A call outside the routed attempts is about to go to a target.
     std::function<void(const std::string& instance)> on_extra_call;
-    /// The head of a target's answer came; it names a limit, or none.
+    /// The head of a target's answer arrived, with a rate limit or without.
     std::function<void(const std::string& instance, const LimitNotice&)>
         on_limit_notice;
-    /// Asked immediately before the first byte of any call to a target is
-    /// written. An error of `kOverloaded` stops it.
+    /// Called immediately before the first byte of any call to a target is
+    /// written. A `kOverloaded` error stops the call.
     std::function<Status(const std::string& instance, bool is_new_work)>
         may_write;
-    /// The head of a target's answer, of any kind, asks this entry for rest.
+    /// The head of any answer of the target asks for a rest: this entry is to
+    /// send it no calls for `length`.
     std::function<void(const std::string& instance, Duration length)>
         on_rest_asked;
-    /// The head of a target's answer, of any kind, says that it leaves.
+    /// The head of any answer of the target announces that it is leaving.
     std::function<void(const std::string& instance)> on_leaving_told;
-    /// Called after the flow was told something.
+    /// Called after each event passed to the flow.
     std::function<void()> flush;
   };
 
@@ -109,26 +112,26 @@
   DirectCarrier(const DirectCarrier&) = delete;
   DirectCarrier& operator=(const DirectCarrier&) = delete;
 
-  /// Takes over what the directory says of a target.
+  /// Applies a change from the target directory.
   void OnTarget(const TargetChange& change);
 
-  /// Carries out the flow's actions.
+  /// Executes an action of the flow.
   void Act(const SendStart& action);
   void Act(const SendCredit& action);
   void Act(const SendCancel& action);
   void Act(const SendResume& action);
 
-  /// Makes a call that runs nothing, to find out whether a target is alive.
-  /// Never calls `done` if the target is gone or may not be called now.
+  /// Probes whether a target is alive with a call that runs no request. Never
+  /// calls `done` if the target is unknown or may not be called now.
   void AskAlive(const std::string& instance,
                 std::function<void(const Status&)> done);
-  /// Returns the client of a target, for one call beside the attempts, or null
-  /// if the target is gone or may not be called now. The call counts like any
-  /// other request to the target.
+  /// Returns the client of a target for one call outside the attempts, or null
+  /// if the target is unknown or may not be called now. The call counts against
+  /// the target's limit like any other.
   TargetClient* ClientForExtraCall(const std::string& instance);
   const TargetRecord* FindTarget(const std::string& instance) const;
   std::size_t running() const { return runs_.size(); }
-  /// Returns false if nothing of the call that runs the attempt was written.
+  /// Returns false if no byte of the call that runs the attempt was written.
   bool MayHaveStarted(const AttemptId& attempt) const;
 
  private:
@@ -136,28 +139,29 @@
     TargetRecord record;
     SideLink link;
     std::unique_ptr<TargetClient> client;
-    std::uint64_t client_number = 0;  ///< Another one for each client.
+    std::uint64_t client_number = 0;  ///< Unique per client.
   };
   struct Run {
     SideLink link;
     std::string instance;
-    std::string reader;  ///< Reads the prompt; empty: `instance` does.
+    /// Prefill engine; empty if `instance` prefills.
+    std::string reader;
     std::shared_ptr<const CallerRequest> request;
     TimePoint deadline;
     std::string resume_after;
     std::unique_ptr<TargetClient::Call> call;
-    std::optional<TargetRun> called;  ///< Known run of its target, at the call.
+    std::optional<TargetRun> called;  ///< Run of its target, if known.
     TimePoint called_at{};
-    std::optional<KvHandle> handle;  ///< Read, and not handed over yet.
-    std::uint32_t runners = 0;       ///< Targets asked to take it over.
-    bool written = false;            ///< The call that runs it.
+    std::optional<KvHandle> handle;  ///< Prefilled, not decoded yet.
+    std::uint32_t runners = 0;       ///< Targets asked to decode.
+    bool written = false;            ///< The call that runs the request.
     bool paused = false;
-    /// Set if its answer's head says that it was not run.
+    /// Set if the head of the answer says that the request did not run.
     std::optional<AnswerMeaning> refused;
     int status = 0;
     std::uint64_t next_sequence = 0;
     std::uint64_t body_bytes = 0;
-    std::uint64_t credit = 0;  ///< Bytes that may be sent in all.
+    std::uint64_t credit = 0;  ///< Total bytes that may be sent.
     struct Checksum;
     std::shared_ptr<Checksum> checksum;
   };
@@ -166,11 +170,11 @@
   TargetClient* ClientOf(const std::string& instance);
   void Add(const TargetRecord& record);
   void Restart(const TargetRecord& record);
-  /// Gives the target a client of its present run.
+  /// Replaces the target's client by one for its current run.
   void RenewClient(Target* target);
   std::unique_ptr<TargetClient> MakeClient(const std::string& address);
-  /// Tells what the head of any answer that came by the client of that number
-  /// says of its target.
+  /// Reports the notices that an answer head carries about its target. Ignores
+  /// answers of replaced clients.
   void TellNotices(const std::string& instance, std::uint64_t client_number,
                    int status, const std::vector<HttpHeader>& headers);
   void StartPrefill(const AttemptId& id, const std::string& at);
@@ -185,7 +189,7 @@
   void OnBody(const AttemptId& id, std::string_view data);
   void OnBodyEnd(const AttemptId& id, const AnswerBodyEnd& end);
   void OnEnd(const AttemptId& id, const Status& status);
-  /// Why an attempt did not start its request.
+  /// Reason why an attempt did not start its request.
   struct Refused {
     std::string code;
     AttemptReach reach;
@@ -196,10 +200,10 @@
   void TellCallEnd(const std::string& instance,
                    const std::optional<TargetRun>& called,
                    const Status& status);
-  /// Tells what the head of an answer of `instance` says of its limit.
+  /// Reports the limit in the head of an answer of `instance`.
   void TellLimit(const std::string& instance, const Run& run, int status,
                  const std::vector<HttpHeader>& headers);
-  /// How far an attempt came whose request was not written to its target.
+  /// Returns how far an attempt got whose run call was not written.
   static AttemptReach ReachBeforeRun(const Run& run);
   void RefuseRun(const AttemptId& id, Refused why);
   void FreeHandle(const KvHandle& handle);
@@ -219,7 +223,7 @@
   EventLog log_;
   std::map<std::string, Target> targets_;
   std::unordered_map<AttemptId, Run> runs_;
-  /// Calls beside the attempts, by number, until they end.
+  /// Open calls outside the attempts, by number.
   std::map<std::uint64_t, std::unique_ptr<TargetClient::Call>> calls_beside_;
   std::uint64_t next_call_beside_ = 0;
   std::uint64_t next_link_ = 0;
--- a/src/entry/direct_carrier_notices.cc
+++ b/src/entry/direct_carrier_notices.cc
@@ -1,4 +1,4 @@
-// What the answers of targets say of the targets themselves.
+// Notices about a target in the heads of its answers.
 
 #include "entry/direct_carrier.h"
 #include "entry/events.h"
@@ -38,7 +38,7 @@
                                 const std::vector<HttpHeader>& headers) {
   const auto it = targets_.find(instance);
   if (it == targets_.end() || it->second.client_number != client_number) {
-    return;  // Of the run before, which says nothing of this one.
+    return;  // The answer came through a replaced client.
   }
   const TargetRecord& target = it->second.record;
   const auto rest = dialect_.asked_rest
--- a/src/entry/direct_dispatcher.cc
+++ b/src/entry/direct_dispatcher.cc
@@ -8,14 +8,14 @@
 namespace indigolead {
 namespace {
 
-/// Arrivals at targets of one attempt. A prompt that is read apart arrives at
-/// two of them, and both count.
+/// Arrivals at targets per attempt. With a separate prefill the request arrives
+/// at two targets, and both count.
 constexpr double kArrivalsWhole = 1;
 constexpr double kArrivalsReadApart = 2;
 
 constexpr double kBitsPerByte = 8;
-/// KV cache takes twice as long between failure domains, and about half of it
-/// goes there.
+/// Mean cost of a KV cache transfer. It takes twice as long between failure
+/// domains, and about half of the transfers cross them.
 constexpr double kTransferCost = 1.5;
 
 std::string_view KindName(TargetChange::Kind kind) {
@@ -379,8 +379,9 @@
 
 bool DirectDispatcher::SpendRetry(const CallerRequest& request,
                                   AttemptReach reach) {
-  // One reading is part of a first attempt. If that is all there was, the next
-  // attempt brings one arrival more than a request may make.
+  // A request may make the arrivals of one attempt without charge. If an
+  // attempt reached only the prefill engine, another one exceeds them by one
+  // arrival.
   const double arrivals = reach == AttemptReach::kPrefillEngine
                               ? kArrivalsWhole
                               : ArrivalsOfAttempt(request.deployment);
@@ -432,7 +433,7 @@
 }
 
 EntryRetryBudget& DirectDispatcher::BudgetOf(const std::string& service) {
-  FollowRetryPart();  // A process that stood still wakes with an old list.
+  FollowRetryPart();  // The list may be stale after a process stall.
   const auto held = budgets_.find(service);
   if (held != budgets_.end()) {
     return held->second;
@@ -450,7 +451,7 @@
 
 void DirectDispatcher::Flush() {
   if (std::exchange(flushing_, true)) {
-    return;  // The loop below takes what was added meanwhile.
+    return;  // The outer call's loop takes the new actions.
   }
   for (;;) {
     actions_.clear();
--- a/src/entry/direct_dispatcher.h
+++ b/src/entry/direct_dispatcher.h
@@ -29,11 +29,11 @@
 
 namespace indigolead {
 
-/// Joins request flow, placement, target directory and direct carrier, for an
-/// entry that speaks to its targets itself.
+/// Connects the request flow, placement, target directory and direct carrier
+/// in an entry that calls its targets without sides.
 ///
-/// Runs with its callers' server on one thread: on a fifth of a core each hop
-/// between threads is a wake-up that costs more than the work it moves.
+/// Shares one thread with the callers' server: on a fifth of a core, waking
+/// another thread costs more than the work handed to it.
 class DirectDispatcher {
  public:
   struct Options {
@@ -44,38 +44,40 @@
     EnginePlacement::Options placement;
     FailureGuard::Options guard;
     CrashDetector::Options crashes;
-    EntryRetryBudget::Options retry_budget;  ///< Of each service.
-    /// Divided among the entries in place of a fixed part of each budget.
+    EntryRetryBudget::Options retry_budget;  ///< Per service.
+    /// If set, an allowance divided among the entries replaces the fixed part
+    /// of each budget.
     std::optional<RetryAllowance> retry_allowance;
     LimitShare::Options limit_share;
-    /// Least time after which a caller may come back who was refused since
-    /// every target was closed: by a limit that it names, or since it rests.
+    /// Minimum retry delay told to a caller that was refused because no target
+    /// accepts requests, because of limits or requested rests.
     Duration least_closed_wait = std::chrono::milliseconds(200);
-    /// Bounds that time where limits alone are the reason.
+    /// Upper bound of that delay if limits are the only reason.
     Duration longest_limited_wait = std::chrono::milliseconds(2500);
-    /// A target that leaves holds what it has read for so long yet: at least
-    /// the time for which a planned shutdown goes on serving.
+    /// How long KV cache may be copied from a leaving target: at least the time
+    /// for which a planned shutdown keeps serving.
     Duration copy_from_leaving = std::chrono::seconds(2);
-    /// Plain services: attempts by which a target in the entry's own failure
-    /// domain may be busier and still be preferred.
+    /// Plain services: extra open attempts that a target in the entry's own
+    /// failure domain may have and still be preferred.
     std::uint32_t domain_attempts = 2;
   };
   struct Hooks {
     std::function<void(ToCallers&&)> to_callers;
-    /// A change of what is known of a target.
+    /// The directory's record of a target changed.
     std::function<void(const TargetChange&)> on_target;
-    /// Tells the other entries of a target's limit, in requests a second, or
-    /// that it has none any more.
+    /// Shares a target's limit with the other entries, in requests per second;
+    /// nullopt if the target no longer has one.
     std::function<void(const TargetRecord&, std::optional<double>)> share_limit;
-    /// A target crashed under these requests of this entry.
+    /// A target crashed while it ran these requests of this entry.
     std::function<void(const TargetCrash&, const std::vector<Fingerprint>&)>
         on_crash;
-    /// A target has answered the request with success.
+    /// A target answered the request successfully.
     std::function<void(Fingerprint)> on_answered;
-    /// Returns for how long the request is not to run, since targets crash
-    /// under it; nothing if it may.
+    /// Returns how much longer the request is blocked because targets crashed
+    /// while running it; nullopt if it may run.
     std::function<std::optional<Duration>(Fingerprint)> stopped_for;
-    /// A target began to run the request, or may have: once for each request.
+    /// A target started to run the request, or may have. Called once per
+    /// request.
     std::function<void(const CallerRequest&, TimePoint)> on_begun;
   };
 
@@ -90,50 +92,51 @@
   void OnCallerGone(const RequestId& id);
   void OnCallerTook(const RequestId& id, std::uint64_t bytes);
 
-  /// Takes over newer routes; older ones are ignored. Returns true if taken.
+  /// Applies routes of a newer version and ignores others. Returns true if they
+  /// were applied.
   bool OnRoutes(RouteConfiguration routes);
   void OnTargets(const std::vector<TargetRecord>& listed);
   void OnStoreLost(TimePoint heard_at);
   void OnStoreFollowed();
-  /// As `TargetDirectory::AbsenceDue`.
+  /// See `TargetDirectory::AbsenceDue`.
   std::optional<TimePoint> AbsenceDue() const {
     return directory_.AbsenceDue();
   }
-  /// Every change of the targets until `known_until` has been told.
+  /// All target changes up to `known_until` have been reported.
   void OnTargetsKnownUntil(TimePoint known_until) {
     directory_.OnKnownUntil(known_until);
   }
-  /// Takes the list of entries, among which targets' limits and the allowance
-  /// of further attempts are parted.
+  /// Sets the list of entries among which the targets' limits and the retry
+  /// allowance are divided.
   void OnEntries(EntryView view);
-  /// Returns true while a target names a limit.
+  /// Returns true while any target has a limit.
   bool any_limited() const { return limits_.size() > 0; }
 
-  /// Returns the load that the work of `service` puts on its engines.
+  /// Returns the load of `service` on its engines.
   RoleLoad LoadOf(const std::string& service);
   /// Returns the services that run on model engines.
   std::vector<std::string> EngineServices() const;
 
-  /// Acts on what time alone decides. Call every 20 to 50 ms.
+  /// Performs time-driven work. Call every 20 to 50 ms.
   void Tick();
 
-  /// Returns the routes in force, or null before the first.
+  /// Returns the active routes, or null before the first.
   std::shared_ptr<const RouteTable> routes() const { return routes_; }
   DirectCarrier& carrier() { return carrier_; }
   std::size_t open_requests() const { return open_.size(); }
 
  private:
-  /// A request on its way, for logs and metrics.
+  /// An open request, for logs and metrics.
   struct Open {
     std::shared_ptr<const CallerRequest> request;
     std::uint32_t attempts = 0;
     std::string last_target;
     bool streaming = false;
-    bool begun = false;                 ///< `on_begun` was told.
-    std::optional<TimePoint> sent_at;   ///< Of its latest attempt.
-    std::optional<TimePoint> first_at;  ///< Of its answer's first bytes.
-    TimePoint latest_at{};              ///< Of the latest ones.
-    Duration longest_pause{0};          ///< Between two of them.
+    bool begun = false;                 ///< `on_begun` was called.
+    std::optional<TimePoint> sent_at;   ///< Time of the latest attempt.
+    std::optional<TimePoint> first_at;  ///< First bytes of the answer.
+    TimePoint latest_at{};              ///< Latest bytes of the answer.
+    Duration longest_pause{0};          ///< Longest gap between bytes.
   };
 
   RequestFlowHooks FlowHooks();
@@ -141,8 +144,8 @@
   DirectCarrier::Hooks CarrierHooks();
   RouteResult Route(const CallerRequest& request,
                     const std::vector<Candidate>& candidates, TimePoint now);
-  /// Returns the refusal of a request that is stopped since targets crash under
-  /// it; nothing if it may run.
+  /// Returns the refusal of a request that is blocked because targets crashed
+  /// while running it; nullopt if it may run.
   std::optional<Refusal> RefuseCrashing(const CallerRequest& request) const;
   void OnRequestBroke(const std::string& instance,
                       const std::optional<TargetRun>& run,
@@ -155,7 +158,8 @@
   RouteResult RouteToService(const std::string& service,
                              const std::vector<Candidate>& candidates,
                              TimePoint now) const;
-  /// Returns the time until targets of each kind take a request of this entry.
+  /// Returns the time until a target of every role accepts a request of this
+  /// entry, at least `least_closed_wait`.
   Duration WaitForTargets(const std::vector<Candidate>& candidates,
                           TimePoint now) const;
   Refusal TargetsClosed(const std::string& service,
@@ -165,14 +169,15 @@
       const std::string& service, const std::vector<Candidate>& candidates,
       TimePoint now) const;
   void NoteLeaving(const TargetChange& change);
-  /// Which doubts about targets are believed, given how many they concern.
+  /// Suspicions about targets that are plausible given how many targets they
+  /// concern.
   struct Doubts {
-    bool broken = false;  ///< Their calls broke one after the other.
-    bool left = false;    ///< They are off the list, and may be alive.
+    bool broken = false;  ///< Consecutive calls broke.
+    bool left = false;    ///< Off the list, but possibly alive.
   };
   Doubts DoubtsOf(const std::vector<Candidate>& candidates,
                   TimePoint now) const;
-  /// Returns true if the target gets work only where no other can.
+  /// Returns true if the target gets work only when no other can take it.
   bool IsSecondChoice(const std::string& instance, const Doubts& doubts,
                       TimePoint now) const;
   bool GuardIsPlausible(const std::vector<Candidate>& candidates,
@@ -180,23 +185,25 @@
   void OnCallEnd(const std::string& instance, bool broke);
   void OnLimitNotice(const std::string& instance, const LimitNotice& notice);
   void OnSharedLimit(const TargetRecord& target);
-  /// Keeps limits with the address that they hold for.
+  /// Tracks the target's address. Drops the limit of an address when its only
+  /// target restarts or gives it up.
   void FollowAddress(const TargetChange& change);
-  /// Returns what limits of a target are kept by: its address. What is sent for
-  /// an earlier target of an address reaches the one that has it now.
+  /// Returns the key of a target's limit: its address, because requests for a
+  /// former target at an address reach the target that has it now.
   const std::string& LimitKeyOf(const std::string& instance) const;
-  /// Returns the time until the target may be sent a request; zero if it may.
+  /// Returns the time until a request may be sent to the target; zero if now.
   Duration WaitToSend(const std::string& instance, TimePoint now) const;
   bool MaySendTo(const std::string& instance, TimePoint now) const {
     return WaitToSend(instance, now) == Duration{0};
   }
-  /// Returns the targets that may have given an answer of `instance`: all that
-  /// are listed at its address.
+  /// Returns the targets that may have sent an answer attributed to `instance`:
+  /// all that are listed at its address.
   std::vector<std::string> MaySpeakFor(const std::string& instance) const;
   void OnRestAsked(const std::string& instance, Duration length);
   void OnLeavingTold(const std::string& instance);
-  /// Stops what was decided before its target asked for rest or left, and what
-  /// no choice among targets decides.
+  /// Stops calls to a target that asks for rest, and new work for one that is
+  /// leaving. Covers calls that were routed before, and calls that are not
+  /// routed at all.
   Status MayWrite(const std::string& instance, bool is_new_work);
   void EndRests();
   void NoteLimitChange(const std::string& instance, const LimitChange& change,
@@ -207,14 +214,14 @@
   void OnAttemptEnd(const CallerRequest& request, const AttemptId& id,
                     AttemptOutcome outcome, TimePoint now);
   bool SpendRetry(const CallerRequest& request, AttemptReach reach);
-  /// Takes over what lists and time have made of this entry's part.
+  /// Updates this entry's part of the retry allowance.
   void FollowRetryPart();
   void LogRetry(const CallerRequest& request, double arrivals, double left,
                 bool granted);
   EnginePlacement& PlacementOf(const std::string& service);
   EngineLimits LimitsOf(const std::string& service) const;
   EntryRetryBudget& BudgetOf(const std::string& service);
-  /// Returns the most arrivals that one attempt at the service makes.
+  /// Returns the maximum number of arrivals per attempt at the service.
   double ArrivalsOfAttempt(const std::string& service) const;
   void Apply(const std::vector<TargetChange>& changes);
   void Flush();
@@ -238,20 +245,20 @@
   FailureGuard guard_;
   CrashDetector crashes_;
   TargetAddresses addresses_;
-  SharedRateLimits limits_;  ///< By the targets' addresses.
+  SharedRateLimits limits_;  ///< By target address.
   TargetCooldowns rests_;
   EntryView entries_;
   std::shared_ptr<const RouteTable> routes_;
   std::map<std::string, EnginePlacement> placements_;
   std::map<std::string, EntryRetryBudget> budgets_;
-  /// Targets that left a moment ago, by id.
+  /// Targets that started leaving recently, by id.
   struct Leaving {
     TargetRecord record;
-    TimePoint until;  ///< What it holds may be copied until then.
+    TimePoint until;  ///< End of copying its KV cache.
   };
   std::map<std::string, Leaving> leaving_;
   std::unordered_map<RequestId, Open> open_;
-  /// Decided by `Route` for the `OnSent` that follows it.
+  /// Set by `Route` for the `OnSent` that follows.
   std::optional<EngineAssignment> decided_;
   std::vector<RequestAction> actions_;
   bool flushing_ = false;
--- a/src/entry/direct_dispatcher_crashes.cc
+++ b/src/entry/direct_dispatcher_crashes.cc
@@ -1,4 +1,4 @@
-// Requests under which targets crash.
+// Handling of requests that crash targets.
 
 #include "entry/direct_dispatcher.h"
 #include "entry/event_fields.h"
@@ -25,7 +25,7 @@
                                       const CallerRequest& request) {
   const SideTable::Side* side = flow_.sides().Find(instance);
   if (!side || !SideTable::AcceptsAttempts(*side)) {
-    return;  // One that leaves cuts off what has not ended.
+    return;  // A leaving target cuts off unfinished requests.
   }
   crashes_.OnBroken({instance, run ? run->started_ms : 0}, request.fingerprint);
 }
--- a/src/entry/direct_dispatcher_limits.cc
+++ b/src/entry/direct_dispatcher_limits.cc
@@ -1,4 +1,4 @@
-// What targets say of their limits, and what this entry's share of them is.
+// Rate limits of targets, and this entry's share of them.
 
 #include <algorithm>
 #include <utility>
@@ -24,7 +24,8 @@
 }
 
 void DirectDispatcher::LogStanding(LimitShare::Standing before) {
-  // Without limits lists are read seldom, and the standing says nothing.
+  // Without limits the list of entries is rarely read, so the standing is not
+  // meaningful.
   if (limits_.standing() != before && any_limited()) {
     log_(kLimitStandingChanged,
          {{"standing", std::string(NameOf(limits_.standing()))},
--- a/src/entry/direct_dispatcher_log.cc
+++ b/src/entry/direct_dispatcher_log.cc
@@ -1,4 +1,4 @@
-// What an entry's dispatcher tells of its requests' ends: lines and metrics.
+// Log lines and metrics about the ends of requests.
 
 #include <algorithm>
 #include <utility>
@@ -10,7 +10,7 @@
 namespace indigolead {
 namespace {
 
-/// Lowest status of an answer that tells of a failure.
+/// Lowest HTTP status that reports a failure.
 constexpr int kFirstFailure = 400;
 
 double Seconds(Duration length) {
@@ -63,9 +63,9 @@
   }
 }
 
-// A generation begins to run with its first token, which is the first that is
-// heard of it. Any other request begins when its target has taken it, of which
-// nothing is heard before its end.
+// A generation starts to run with its first token, the first sign of it that
+// reaches the entry. Any other request starts when its target receives it,
+// which the entry learns only at the end of the request.
 void DirectDispatcher::NoteEndedRun(Open* open) {
   const bool generation = !open->request->prompt_parts.empty();
   if (!generation && open->sent_at) {
@@ -80,7 +80,7 @@
   }
   NoteEndedRun(&it->second);
   if (status < kFirstFailure) {
-    NoteBegun(&it->second, clock_());  // An answer that came all at once.
+    NoteBegun(&it->second, clock_());  // For an answer that was not streamed.
     if (hooks_.on_answered) {
       hooks_.on_answered(it->second.request->fingerprint);
     }
--- a/src/entry/direct_dispatcher_notices.cc
+++ b/src/entry/direct_dispatcher_notices.cc
@@ -1,5 +1,5 @@
-// What targets say of themselves in any of their answers: that they want rest,
-// or that they leave.
+// Notices in the answers of targets: a request for rest, or that the target is
+// leaving.
 
 #include "entry/direct_dispatcher.h"
 #include "entry/event_fields.h"
@@ -47,10 +47,10 @@
   if (left == Duration{0} && !(is_new_work && leaves)) {
     return Unit{};
   }
-  const std::string reason =
-      left > Duration{0}
-          ? "the target wants no request for " + Milliseconds(left) + " ms"
-          : "the target leaves";
+  const std::string reason = left > Duration{0}
+                                 ? "the target accepts no calls for another " +
+                                       Milliseconds(left) + " ms"
+                                 : "the target is leaving";
   calls_held_back_.Add();
   log_(kCallHeldBack, {{"target", instance}, {"reason", reason}});
   return Error{ErrorCode::kOverloaded, "target.write", instance, reason};
--- a/src/entry/direct_dispatcher_route.cc
+++ b/src/entry/direct_dispatcher_route.cc
@@ -1,4 +1,4 @@
-// Where requests go: the choice among the targets that may get work now.
+// Routing: the choice among the targets that may get work now.
 
 #include <algorithm>
 
@@ -19,7 +19,7 @@
 }
 
 Refusal NoTarget(const std::string& service) {
-  // Lost engines are replaced, or change their role, within seconds.
+  // Within seconds lost engines are replaced, or others change their role.
   return {503, RunState::kNotRun, "no_target",
           "No target of " + service + " can take the request now.",
           milliseconds(500)};
@@ -48,7 +48,7 @@
 std::optional<std::string> DirectDispatcher::ChooseRunner(
     const AttemptId& id, const CallerRequest& request) {
   if (RefuseCrashing(request)) {
-    return std::nullopt;  // It became known while the prompt was read.
+    return std::nullopt;  // The block began during the prefill.
   }
   const auto engines =
       EnginesOf(request.deployment,
@@ -146,8 +146,8 @@
   return NoTarget(request.deployment);
 }
 
-// The work of engines needs one that reads and one that makes the answer, so
-// the kind that is closed for longer decides.
+// A request to engines needs one for prefill and one for decode, so the role
+// that is unavailable for longer decides.
 Duration DirectDispatcher::WaitForTargets(
     const std::vector<Candidate>& candidates, TimePoint now) const {
   std::map<EngineRole, Duration> least;
@@ -194,7 +194,8 @@
       continue;
     }
     const bool far = it.side->failure_domain != options_.failure_domain;
-    // A target that was tried comes last: it may be the reason for the retry.
+    // A target that was tried already comes last, as it may have caused the
+    // retry.
     const bool last =
         it.tried || IsSecondChoice(it.side->instance, doubts, now);
     const std::uint64_t cost = it.outstanding +
--- a/src/entry/load_control.cc
+++ b/src/entry/load_control.cc
@@ -8,15 +8,15 @@
 namespace indigolead {
 namespace {
 
-/// Answers of an account seen before its requests are refused for what they
-/// are expected to take.
+/// Minimum number of completed requests of an account before its requests are
+/// refused by their expected duration.
 constexpr std::uint32_t kMinSamples = 20;
 
-/// What was learned counts for so long. After that one request has to show
-/// anew, or a wrong expectation would refuse all that could correct it.
+/// Validity of a learned duration ratio. It expires because a wrong ratio would
+/// otherwise refuse all requests that could correct it.
 constexpr Duration kLearnedFor = std::chrono::seconds(10);
 
-/// Requests that a plain service, which reports no load, takes at once.
+/// Concurrent requests assumed for a plain service, which reports no load.
 constexpr std::uint32_t kServiceSlots = 256;
 
 RouterOptions RouterOptionsFor(const DeploymentSpec& spec,
@@ -140,7 +140,7 @@
     if (deployments_.size() >= options_.max_deployments) {
       return;
     }
-    // Each router draws from a sequence of its own.
+    // Each router has its own random sequence.
     auto made = std::make_unique<Deployment>(
         RouterOptionsFor(spec, options_.failure_domain, options_.max_targets),
         AdmissionOptionsFor(spec), MakeSeededRandom(random_()));
@@ -160,7 +160,7 @@
   }
 }
 
-// What sides say.
+// Messages of sides.
 
 void LoadControl::Observe(Deployment* deployment, const SideInfo& info) {
   Target& target = deployment->targets[info.instance];
@@ -222,7 +222,8 @@
   const auto side = sides_.find(link);
   Deployment* deployment =
       side == sides_.end() ? nullptr : Find(side->second.deployment);
-  // A side that has no figures of its target yet sends only its own.
+  // Without slots the report has no figures of the target yet, only those of
+  // the side itself.
   if (deployment == nullptr || load.slots() == 0) {
     return;
   }
@@ -241,7 +242,7 @@
   }
 }
 
-// What the request flow asks.
+// Hooks of the request flow.
 
 RouteQuery LoadControl::QueryOf(const Deployment& deployment,
                                 const CallerRequest& request,
@@ -253,7 +254,8 @@
   query.output_tokens = request.max_output_tokens;
   const auto ratio = deployment.ratios.find(request.client_account);
   if (ratio != deployment.ratios.end()) {
-    // A limit of thousands of tokens that is never used up is no work.
+    // An output limit of thousands of tokens that the account's requests never
+    // use up overstates the work.
     query.output_tokens =
         static_cast<std::uint64_t>(static_cast<double>(query.output_tokens) *
                                    std::clamp(ratio->second.ratio, 0.02, 1.0));
@@ -279,8 +281,8 @@
                                TimePoint now) const {
   FleetLoad fleet = deployment.router.Fleet(now);
   if (fleet.serving == 0) {
-    // With no target there is nothing to protect: the flow waits a moment for
-    // one, and then refuses with that reason.
+    // Without a target there is no capacity to protect: the flow waits briefly
+    // for a target, and then refuses the request for the lack of one.
     fleet.serving = 1;
     fleet.slots = static_cast<double>(options_.max_requests);
   }
@@ -321,8 +323,8 @@
   return Gate::kOpen;
 }
 
-// The flow's candidates are the truth about who may be chosen: it knows of
-// drains and leaving instances that no side has told of yet.
+// The flow's candidates are authoritative for which targets may be chosen: the
+// flow knows of drains and leaving instances that no side has reported yet.
 void LoadControl::Match(Deployment* deployment,
                         const std::vector<Candidate>& candidates,
                         std::vector<TargetHandle>* tried) {
@@ -461,8 +463,8 @@
   queued_.Set(queued);
 }
 
-// Called with decisions on requests that were held back. A refusal comes back
-// through `OnDone`, which finds no ticket and nothing queued.
+// Applies a decision on a queued request. A refusal leads to `OnDone`, which
+// then finds nothing to release.
 void LoadControl::Take(const AdmissionDecision& decision, TimePoint now) {
   if (decision.verdict == AdmissionVerdict::kRefused) {
     held_.erase(decision.id);
--- a/src/entry/load_control.h
+++ b/src/entry/load_control.h
@@ -20,11 +20,11 @@
 
 namespace indigolead {
 
-/// Joins admission and routing to the entry's dispatch thread: one of each for
-/// every deployment.
+/// Connects admission and routing to the request flow, with one instance of
+/// each per deployment.
 ///
-/// Feeds them with what sides report and what the request flow sends, and
-/// answers the flow's hooks. Lives on the dispatch thread.
+/// Feeds them with the reports of sides and the flow's attempts, and implements
+/// the flow's hooks. Runs on the dispatch thread.
 class LoadControl {
  public:
   struct Options {
@@ -32,9 +32,9 @@
     std::uint32_t max_targets = 512;
     std::size_t max_requests = 8192;
     std::size_t max_deployments = 256;
-    std::size_t block_bytes = 1024;  ///< Of a prompt, in one prefix block.
+    std::size_t block_bytes = 1024;  ///< Prompt bytes per prefix block.
   };
-  /// Ways to tell the request flow about a request that was held back.
+  /// Callbacks that report the decision on a queued request to the flow.
   struct Outputs {
     std::function<void(const RequestId&, TimePoint)> admitted;
     std::function<void(const RequestId&, Refusal, TimePoint)> refused;
@@ -44,14 +44,14 @@
   LoadControl(Options options, Outputs outputs, RandomSource random,
               MetricsRegistry* metrics);
 
-  /// Sets the hooks that this object answers.
+  /// Sets the hooks that this object implements.
   void Install(RequestFlowHooks* hooks);
 
-  /// Returns the service through which it sees the messages of sides. This
-  /// object must outlive it.
+  /// Returns the service that receives the messages of sides. This object must
+  /// outlive it.
   EntryService Service(Clock clock);
 
-  /// Takes over a deployment's limits and accounts.
+  /// Applies the limits and client accounts of a deployment.
   void OnRevision(const Revision& revision);
 
  private:
@@ -60,8 +60,8 @@
     SideInfo info;
     bool offered = false;  ///< Among the candidates of this decision.
   };
-  /// How long an account's requests take over the time expected of them,
-  /// which takes the limit on the output for its length.
+  /// Ratio of the actual to the expected duration of an account's requests. The
+  /// expectation assumes that the output reaches its length limit.
   struct FinishRatio {
     double ratio = 1;
     std::uint32_t samples = 0;
@@ -78,7 +78,7 @@
   };
   struct Held {
     std::string deployment;
-    std::optional<AdmissionTicket> ticket;  ///< Absent while it waits.
+    std::optional<AdmissionTicket> ticket;  ///< Absent while queued.
     AdmissionEnd end = AdmissionEnd::kNeutral;
   };
   struct Sent {
@@ -123,10 +123,10 @@
   std::map<LinkId, SideInfo> sides_;
   std::unordered_map<RequestId, Held> held_;
   std::unordered_map<AttemptId, Sent> sent_;
-  /// Leg decided by `Route` for the `OnSent` that follows it.
+  /// Set by `Route` for the `OnSent` that follows.
   RouteLeg decided_;
-  /// Refusals of requests that others displaced. Told on the next tick,
-  /// because the flow is in the middle of the request that did it.
+  /// Refusals of requests that others displaced. Reported on the next tick,
+  /// because the flow is still processing the request that displaced them.
   std::vector<AdmissionDecision> displaced_;
   Counter& refusals_;
   Gauge& queued_;
--- a/src/entry/target_dialect.h
+++ b/src/entry/target_dialect.h
@@ -15,7 +15,7 @@
 
 namespace indigolead {
 
-/// KV cache of a prompt, held by the engine that has read it.
+/// KV cache of a prompt on the engine that prefilled it.
 struct KvHandle {
   std::string source_address;  ///< "IP:port" of that engine.
   std::string name;
@@ -23,61 +23,62 @@
   friend bool operator==(const KvHandle&, const KvHandle&) = default;
 };
 
-/// How one attempt is made.
+/// Options of one attempt.
 struct RunOptions {
-  Duration left{0};                ///< Until the caller's deadline.
-  std::optional<KvHandle> source;  ///< KV cache to go on from.
-  std::string resume_after;        ///< Event after which to go on, if any.
-  /// "IP:port" of an engine that holds what the prompt shares with others;
-  /// empty: it is read.
+  Duration left{0};                ///< Time to the caller's deadline.
+  std::optional<KvHandle> source;  ///< KV cache to decode from.
+  std::string resume_after;        ///< Last event received, if resuming.
+  /// "IP:port" of an engine from which to copy the KV cache of the shared
+  /// prompt prefix; if empty, the prefix is prefilled.
   std::string copy_from = {};
 
   friend bool operator==(const RunOptions&, const RunOptions&) = default;
 };
 
-/// What an answer's head says of the request.
+/// What the head of an answer says about its request.
 enum class AnswerMeaning {
-  kAnswer,       ///< The target's answer, good or bad: it has run.
-  kNotRun,       ///< The target did not run it, and has no room now.
-  kWrongTarget,  ///< Not run: another target, or one in another role, answered.
+  kAnswer,       ///< The request ran, whether it succeeded or failed.
+  kNotRun,       ///< Not run: the target has no capacity now.
+  kWrongTarget,  ///< Not run: another target or another role answered.
 };
 
-/// How targets are spoken to where no side stands before them. The attempt's
-/// course is decided by the request flow; only the words are here.
+/// Protocol of targets that the entry calls without a side: builds the calls
+/// and interprets the answers. The request flow decides which calls are made.
 struct TargetDialect {
-  /// Makes the call that runs `request`.
+  /// Builds the call that runs `request`.
   std::function<TargetRequest(const CallerRequest& request,
                               const TargetRecord& target,
                               const RunOptions& options)>
       run;
-  /// Makes the call that only reads the prompt.
+  /// Builds the call that only prefills the prompt.
   std::function<TargetRequest(const CallerRequest& request,
                               const TargetRecord& target,
                               const RunOptions& options)>
       prefill;
-  /// Reads the answer to that call, made by `target`.
+  /// Parses the answer of `target` to the prefill call.
   std::function<Result<KvHandle>(const TargetRecord& target,
                                  const TargetAnswer& answer)>
       read_handle;
-  /// Makes the call that frees a handle which is not used.
+  /// Builds the call that releases an unused handle.
   std::function<TargetRequest(const KvHandle& handle)> release;
-  /// Makes a call that runs nothing and that a live target answers at once.
+  /// Builds a liveness probe: a call that runs no request and that a live
+  /// target answers at once.
   std::function<TargetRequest(const TargetRecord& target)> ask_alive;
-  /// Judges the head of an answer.
+  /// Classifies the head of an answer.
   std::function<AnswerMeaning(int status,
                               const std::vector<HttpHeader>& headers)>
       meaning;
-  /// Returns the requests a second that the target takes from all entries
-  /// together, if the head of its answer names them.
+  /// Returns the limit in the head of an answer, in requests per second from
+  /// all entries together; nullopt if it has none.
   std::function<Result<std::optional<double>>(
       const TargetRecord& target, const std::vector<HttpHeader>& headers)>
       named_limit;
-  /// Returns for how long the target wants no request of this entry, by the
-  /// head of an answer; zero if it does not say so.
+  /// Returns for how long the head of an answer asks this entry to send no
+  /// requests; zero if it does not ask.
   std::function<Result<Duration>(const TargetRecord& target, int status,
                                  const std::vector<HttpHeader>& headers)>
       asked_rest;
-  /// Returns true if the head of an answer says that its target leaves.
+  /// Returns true if the head of an answer says that its target is leaving.
   std::function<Result<bool>(const TargetRecord& target,
                              const std::vector<HttpHeader>& headers)>
       says_leaving;
--- a/src/entry/target_follower.cc
+++ b/src/entry/target_follower.cc
@@ -21,9 +21,9 @@
   hooks.on_state = [this](const ListWatcher::State& state, std::uint64_t) {
     OnListed(state);
   };
-  // Entries that all start at once wait for each other's lists at the store,
-  // seconds where there are thousands of targets. With some of the targets
-  // they serve until they know the rest.
+  // When all entries start at once, their list requests queue at the store, for
+  // seconds if there are thousands of targets. An entry serves with the targets
+  // listed so far until the list is complete.
   hooks.on_part = [this](const ListWatcher::State& state) { OnListed(state); };
   hooks.on_error = [this](const Error& error) {
     if (std::exchange(following_, false)) {
@@ -51,8 +51,8 @@
 }
 
 void TargetFollower::Tick() {
-  // A watch that follows tells of the store's return even when nothing on the
-  // list has changed.
+  // An established watch shows that the store is reachable again, even if the
+  // list has not changed.
   if (watcher_.following() && !following_) {
     NoteFollowed();
   }
--- a/src/entry/target_follower.h
+++ b/src/entry/target_follower.h
@@ -11,26 +11,25 @@
 
 namespace indigolead {
 
-/// Follows the targets' registrations in the store, and tells what an entry
-/// needs to judge them by: the list, whether the store can be followed, and up
-/// to when the list is known.
+/// Watches the targets' registrations in the store. Reports the list, whether
+/// the store can be watched, and the time up to which the list is current.
 ///
 /// Runs on the thread of its store.
 class TargetFollower {
  public:
   struct Hooks {
-    /// The list, whole or, while the first one is read, a part of it.
+    /// Receives the list, or a part of it while the first list is read.
     std::function<void(const ListWatcher::State&)> on_listed;
-    /// The store cannot be followed; it was last heard at `heard_at`.
+    /// The store cannot be watched; it last responded at `heard_at`.
     std::function<void(TimePoint heard_at)> on_lost;
-    /// The store can be followed again. May come repeatedly.
+    /// The store can be watched. May be called repeatedly.
     std::function<void()> on_followed;
-    /// Every change until then is in the list told last.
+    /// The last reported list contains every change up to `known_until`.
     std::function<void(TimePoint known_until)> on_known_until;
-    /// Returns when something begins to depend on how the list stands then;
-    /// nothing if nothing does. The store is asked at that time.
+    /// Returns the time at which a current list is needed, or nullopt if none
+    /// is. The store is asked then unless the list is already as recent.
     std::function<std::optional<TimePoint>()> asks_at;
-    /// Returns a number in [0, 1) that spreads the tries to reach the store.
+    /// Returns a number in [0, 1) that randomizes the delay between retries.
     std::function<double()> jitter;
   };
 
@@ -40,14 +39,14 @@
   TargetFollower(const TargetFollower&) = delete;
   TargetFollower& operator=(const TargetFollower&) = delete;
 
-  /// Starts with the first list.
+  /// Requests the first list.
   void Start() { watcher_.Start(); }
   /// Call several times a second.
   void Tick();
 
-  /// Returns true once a list, or a part of the first one, was told.
+  /// Returns true once a list, or a part of the first one, was reported.
   bool listed() const { return listed_; }
-  /// Returns the state with the version up to which every change is in it.
+  /// Returns the state with the store version up to which it is complete.
   ObjectStore::Listing Known() const { return watcher_.Known(); }
 
  private:
--- a/src/entry/watched_target_client.h
+++ b/src/entry/watched_target_client.h
@@ -9,14 +9,14 @@
 
 namespace indigolead {
 
-/// Client that lets its owner watch each call to one target, whatever the call
-/// is for: it may stop the call before its first byte is written, and sees the
-/// head of its answer.
+/// Client that lets its owner observe every call to one target. The owner may
+/// stop a call before its first byte is written, and sees the head of each
+/// answer.
 class WatchedTargetClient : public TargetClient {
  public:
   struct Watcher {
-    /// Asked immediately before the first byte is written. An error stops the
-    /// call, and is its end.
+    /// Called immediately before the first byte is written. An error stops the
+    /// call and becomes its result.
     std::function<Status(bool is_new_work)> may_write;
     std::function<void(int status, const std::vector<HttpHeader>&)> on_head;
   };
--- a/tests/shell/account_counters_test.cc
+++ b/tests/shell/account_counters_test.cc
@@ -6,7 +6,8 @@
 namespace indigolead {
 namespace {
 
-/// Returns true if the metrics have the line "NAME{account="ACCOUNT"} VALUE".
+/// Returns true if the metrics show `value` for the counter `name` of
+/// `account`.
 bool Shows(const MetricsRegistry& metrics, const std::string& name,
            const std::string& account, int value) {
   const std::string line = "\nindigolead_account_requests_" + name +
@@ -15,7 +16,7 @@
   return metrics.ToPrometheusText().find(line) != std::string::npos;
 }
 
-TEST_CASE("Requests are counted by account") {
+TEST_CASE("Requests are counted by client account") {
   MetricsRegistry metrics;
   AccountCounters counters(&metrics, /*most_accounts=*/2);
   counters.OnAnswered("salon");
@@ -26,7 +27,7 @@
   CHECK(Shows(metrics, "failed", "salon", 1));
   CHECK(Shows(metrics, "answered", "(no account)", 1));
 
-  SECTION("those beyond the bound together") {
+  SECTION("accounts beyond the bound share counters") {
     counters.OnAnswered("owner");
     counters.OnAnswered("head-office");
     counters.OnAnswered("salon");
@@ -36,7 +37,7 @@
   }
 }
 
-TEST_CASE("A name cannot break out of its label") {
+TEST_CASE("An account name is escaped in its label") {
   MetricsRegistry metrics;
   AccountCounters counters(&metrics);
   counters.OnAnswered("a\"b\\c");
--- a/tests/shell/crash_detector_test.cc
+++ b/tests/shell/crash_detector_test.cc
@@ -33,15 +33,15 @@
   detector.OnBroken(run, 2);
   REQUIRE(calls.size() == 1);
 
-  SECTION("is a crash if nobody listens any more") {
+  SECTION("is a crash if the probe is refused") {
     calls[0](Failed(ErrorCode::kUnavailable));
     CHECK(crashed == std::vector<Fingerprint>{1, 2});
-    SECTION("to which breaks that are read later belong") {
+    SECTION("later breaks belong to the same crash") {
       detector.OnBroken(run, 3);
       CHECK(calls.size() == 1);
       CHECK(crashed == std::vector<Fingerprint>{1, 2, 3});
     }
-    SECTION("but no break of much later") {
+    SECTION("a much later break is probed separately") {
       now += seconds(2);
       detector.Tick();
       detector.OnBroken(run, 3);
@@ -49,34 +49,34 @@
       CHECK(crashed.size() == 2);
     }
   }
-  SECTION("is none if the target answers") {
+  SECTION("is no crash if the target answers") {
     calls[0](Unit{});
     CHECK(crashed.empty());
-    SECTION("and the next one is looked at anew") {
+    SECTION("and the next break is probed again") {
       detector.OnBroken(run, 3);
       REQUIRE(calls.size() == 2);
       calls[1](Failed(ErrorCode::kUnavailable));
       CHECK(crashed == std::vector<Fingerprint>{3});
     }
   }
-  SECTION("is none if the target is silent") {
+  SECTION("is no crash if the probe times out") {
     calls[0](Failed(ErrorCode::kTimeout));
     CHECK(crashed.empty());
   }
-  SECTION("is looked at again if the call broke as well") {
+  SECTION("is probed again if the probe breaks as well") {
     calls[0](Failed(ErrorCode::kUnknownEffect));
     REQUIRE(calls.size() == 2);
     calls[1](Failed(ErrorCode::kUnavailable));
     CHECK(crashed == std::vector<Fingerprint>{1, 2});
   }
-  SECTION("is none if every call breaks") {
+  SECTION("is no crash if every probe breaks") {
     calls[0](Failed(ErrorCode::kUnknownEffect));
     calls[1](Failed(ErrorCode::kUnknownEffect));
     calls[2](Failed(ErrorCode::kUnknownEffect));
     CHECK(calls.size() == 3);
     CHECK(crashed.empty());
   }
-  SECTION("says nothing while the target cannot be called") {
+  SECTION("is not judged while the target cannot be called") {
     now += seconds(2);
     detector.Tick();
     detector.OnBroken(run, 3);
--- a/tests/shell/crash_service_test.cc
+++ b/tests/shell/crash_service_test.cc
@@ -20,7 +20,7 @@
 
 TargetCrash Crash(int n) { return {"i-" + std::to_string(n), 5}; }
 
-/// One entry's view of the crashes, by a store that it shares with others.
+/// Crash service of one entry, on a store shared with other entries.
 class Entry {
  public:
   Entry(StoreWorld* world, const std::string& name)
@@ -54,9 +54,9 @@
   CrashService service_;
 };
 
-/// Guards against crashes that each entry counts alone, and against counts that
-/// are lost with a process.
-TEST_CASE("Entries stop a request by the crashes that all of them saw") {
+/// Guards against entries that count crashes only locally, and against counts
+/// that are lost when a process restarts.
+TEST_CASE("Entries block a request by the crashes that all of them reported") {
   auto world = MakeStoreWorld(GENERATE("fake", "platform"));
   Entry a(world.get(), "front-1");
   Entry b(world.get(), "front-2");
@@ -64,7 +64,7 @@
   a->OnCrash(Crash(1), {kBad, 11});
   b->OnCrash(Crash(2), {kBad, 12});
 
-  SECTION("also one that starts later, and one that starts anew") {
+  SECTION("also an entry that starts later, and one that restarts") {
     b->OnCrash(Crash(3), {kBad});
     CHECK(world->RunUntil([&] { return a.Stops(kBad) && b.Stops(kBad); }));
     Entry c(world.get(), "front-3");
@@ -72,20 +72,20 @@
     Entry anew(world.get(), "front-1");
     CHECK(world->RunUntil([&] { return anew.Stops(kBad); }));
 
-    SECTION("which keeps what its former process saw") {
+    SECTION("the restarted entry keeps the report of its previous process") {
       anew->OnCrash(Crash(4), {11});
       anew->OnCrash(Crash(5), {11});
       CHECK(world->RunUntil([&] { return b.Stops(11); }));
       CHECK(b.Stops(kBad));
     }
   }
-  SECTION("though the store is away as it happens") {
+  SECTION("also if the store is down during a crash") {
     world->SetDown(true);
     a->OnCrash(Crash(3), {kBad});
     world->SetDown(false);
     CHECK(world->RunUntil([&] { return a.Stops(kBad) && b.Stops(kBad); }));
   }
-  SECTION("not one that was answered in between") {
+  SECTION("but not a request that was answered in between") {
     REQUIRE(world->RunUntil([&] {
       const auto other = world->Peek("crashes/front-2");
       return other && other->value.find("i-2") != std::string::npos;
@@ -103,25 +103,26 @@
   }
 }
 
-TEST_CASE("What an entry tells of crashes") {
+TEST_CASE("A crash report") {
   const CrashReport report{
       {{Crash(1), {kBad, ~Fingerprint{0}}}, {Crash(2), {}}},
       {{11, {Crash(1)}}}};
   const std::string text = EncodeCrashReport(report);
 
-  SECTION("is read as it was written") {
+  SECTION("decodes to the encoded report") {
     CHECK(ValueOf(DecodeCrashReport("front-1", text)) == report);
   }
-  SECTION("is an error that names who wrote it and what is wrong") {
+  SECTION(
+      "with a fault decodes to an error that names the writer and the fault") {
     const auto read = DecodeCrashReport(
         "front-1",
         R"({"crashes":[{"target":"i-1","run":5,"running":["x"]}],"cleared":[]})");
     REQUIRE_FALSE(IsOk(read));
     CHECK(ErrorOf(read).peer == "front-1");
     CHECK(ErrorOf(read).detail ==
-          R"("x" in "running" of crash "i-1" is no fingerprint)");
+          R"("x" in "running" of crash "i-1" is not a fingerprint)");
   }
-  SECTION("may be anything, which is an error or a report") {
+  SECTION("of arbitrary bytes decodes to an error or to a valid report") {
     Fuzz({text}, [](const std::string& bytes) {
       const auto read = DecodeCrashReport("front-1", bytes);
       CHECK((!IsOk(read) || IsOk(DecodeCrashReport(
--- a/tests/shell/direct_rest_test.cc
+++ b/tests/shell/direct_rest_test.cc
@@ -1,4 +1,5 @@
-// What targets say of themselves in their answers, in random worlds.
+// Simulations with random faults in which targets ask for rest or announce that
+// they are leaving.
 
 #include <catch2/catch.hpp>
 
@@ -9,7 +10,8 @@
 
 constexpr std::uint64_t kWorlds = 150;
 
-/// Checks that no promise is broken in the worlds. Returns the sums.
+/// Runs the simulations and checks that none violates a guarantee. Returns the
+/// summed counts.
 DirectWorldReport PlayWorlds(const DirectWorldOptions& options) {
   DirectWorldReport total;
   int broken = 0;
@@ -29,18 +31,18 @@
   return total;
 }
 
-/// Guards against calls of any kind, decided before or after, to a target that
-/// has asked the entry for rest.
-TEST_CASE("A target at rest gets nothing in random worlds") {
+/// Guards against calls of any kind to a target that has asked the entry for
+/// rest, whether they were decided before or after it asked.
+TEST_CASE("A target at rest gets no calls in random simulations") {
   const DirectWorldReport total = PlayWorlds({.rests = true});
   CHECK(total.rests > 300);
   CHECK(total.answered > total.requests / 4);
 }
 
-/// Guards against requests to a target that has said in an answer that it
-/// leaves, whatever the list of targets says.
+/// Guards against requests to a target that has announced in an answer that it
+/// is leaving, whatever the list of targets says.
 TEST_CASE(
-    "A target that says that it leaves gets no request in random worlds") {
+    "A target that announces leaving gets no requests in random simulations") {
   const DirectWorldReport total = PlayWorlds({.leaving = true});
   CHECK(total.leaving > 300);
   CHECK(total.answered > total.requests / 4);
--- a/tests/shell/direct_world_test.cc
+++ b/tests/shell/direct_world_test.cc
@@ -7,27 +7,28 @@
 namespace indigolead::testing {
 namespace {
 
-/// Returns the number in the environment variable, or `otherwise`.
+/// Returns the number in the environment variable, or `otherwise` if unset.
 std::uint64_t NumberFrom(const char* variable, std::uint64_t otherwise) {
   const char* text = std::getenv(variable);
   return text ? std::strtoull(text, nullptr, 10) : otherwise;
 }
 
-// What callers and operators are promised, whatever fails and in what order:
-// - a request that may run once runs once at most, and is never told that it
-//   has not run, or never will, if it has or does; nor that it may have run if
-//   it was not sent;
-// - an answer is that of its request and whole; a stream's events come in
-//   order, each once, and a stream that ends as whole is;
-// - each caller gets one final answer, by its deadline;
-// - nothing goes to a target that the entry knows to be leaving, or for a
-//   caller that has left, and no target goes on working for one;
-// - attempts keep to the route's number and to the retry budget;
-// - a target that names a limit gets no more calls than that, of any kind, from
-//   the entries that it has told;
-// - nothing stays behind.
-// More worlds by hand: INDIGOLEAD_FIRST_WORLD and INDIGOLEAD_WORLDS.
-TEST_CASE("The direct path keeps its promises in random worlds") {
+// Guarantees to callers and operators for any order of failures:
+// - A request that must not repeat runs at most once. If it ran or still runs,
+//   it is not reported as not run or as never going to run. If it was not sent,
+//   it is not reported as possibly run.
+// - An answer belongs to its request and is complete. The events of a stream
+//   arrive in order, each once, and a stream that ends as complete is complete.
+// - Each caller gets exactly one final answer, by its deadline.
+// - Nothing is sent to a target that the entry knows to be leaving, or for a
+//   caller that has disconnected, and no target keeps working for such a
+//   caller.
+// - Attempts stay within the route's maximum and the retry budget.
+// - A target with a limit gets no more calls of any kind than that from the
+//   entries that know the limit.
+// - No resources are left behind.
+// INDIGOLEAD_FIRST_WORLD and INDIGOLEAD_WORLDS select other simulations.
+TEST_CASE("The direct path keeps its guarantees in random simulations") {
   const std::uint64_t first = NumberFrom("INDIGOLEAD_FIRST_WORLD", 1);
   const std::uint64_t count = NumberFrom("INDIGOLEAD_WORLDS", 150);
   DirectWorldReport total;
@@ -53,7 +54,7 @@
                       << total.refused << " refused, " << total.unknown
                       << " unknown, " << total.cut << " cut; " << total.retries
                       << " retries, " << total.resumed << " resumed");
-  // The worlds are such that most is served, and every way is taken.
+  // The simulations must serve enough requests and reach every outcome.
   CHECK(total.answered > total.requests / 3);
   CHECK(total.refused > 0);
   CHECK(total.unknown > 0);
@@ -61,9 +62,9 @@
   CHECK(total.resumed > 0);
 }
 
-/// Guards against requests for a target that is gone, which reach the target in
-/// need that has its address now, beyond what that one takes.
-TEST_CASE("Calls for an earlier holder of an address count for its limit") {
+/// Guards against requests for a removed target that reach the limited target
+/// which now has its address, and exceed that target's limit.
+TEST_CASE("Calls for a former target at an address count against its limit") {
   for (const std::uint64_t seed :
        {1049, 1255, 1363, 2458, 2583, 2808, 3214, 3537, 3636, 3644}) {
     INFO("world " << seed);
--- a/tests/shell/load_control_test.cc
+++ b/tests/shell/load_control_test.cc
@@ -12,7 +12,7 @@
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
 
-/// Entry's load control with a deployment "tarifa-llm" and its engines.
+/// Load control of an entry with the deployment "tarifa-llm" and its engines.
 struct Desk {
   Desk()
       : control({.failure_domain = "bilbao-a"}, Outputs(), MakeSeededRandom(3),
@@ -94,7 +94,9 @@
   EntryService service;
 };
 
-TEST_CASE("The entry holds accounts to their limits and gives places back") {
+TEST_CASE(
+    "Admission enforces client account limits and frees slots of ended "
+    "requests") {
   Desk desk;
   desk.EngineUp(1, "worker-1");
   CHECK(std::get<Gate>(desk.hooks.admit(desk.Request(1), desk.now)) ==
@@ -113,7 +115,7 @@
         Gate::kOpen);
 }
 
-TEST_CASE("A request waits while the engines are full, and goes on after") {
+TEST_CASE("A request is queued while the engines are full") {
   Desk desk;
   desk.EngineUp(1, "worker-1");
   desk.Load(1, 16, 0);
@@ -122,19 +124,19 @@
   desk.service.tick(desk.now);
   CHECK(desk.admitted.empty());
 
-  SECTION("a report of free slots lets it go on") {
+  SECTION("a load report with free slots admits it") {
     desk.now += milliseconds(500);
     desk.Load(1, 3, 0);
     desk.service.tick(desk.now);
     CHECK(desk.admitted == std::vector<RequestId>{desk.Request(1).id});
   }
-  SECTION("its caller leaves: nothing is dispatched for it") {
+  SECTION("if its caller disconnects it is not admitted") {
     desk.hooks.on_done(desk.Request(1), desk.now);
     desk.Load(1, 0, 0);
     desk.service.tick(desk.now + seconds(1));
     CHECK(desk.admitted.empty());
   }
-  SECTION("past its deadline it is refused, as not run") {
+  SECTION("past its deadline it is refused as not run") {
     desk.service.tick(desk.now + seconds(61));
     REQUIRE(desk.refused.size() == 1);
     CHECK(desk.refused[0].second.status == 503);
@@ -142,7 +144,7 @@
   }
 }
 
-TEST_CASE("The entry routes by load, and only to the targets offered") {
+TEST_CASE("Routing chooses by load among the offered targets") {
   Desk desk;
   desk.EngineUp(1, "worker-1");
   desk.EngineUp(2, "worker-2");
@@ -163,16 +165,16 @@
     CHECK(route(desk.Request(1), {}) == "none");
     CHECK(route(desk.Request(1), desk.Candidates()) == "worker-2");
   }
-  SECTION("one that was tried is left out") {
+  SECTION("a target that was already tried is not chosen") {
     candidates[1].tried = true;
     CHECK(route(desk.Request(1), candidates) == "worker-1");
   }
-  SECTION("a model that is loaded nowhere has no target") {
+  SECTION("a model that no engine has loaded gets no target") {
     CallerRequest request = desk.Request(1);
     request.model = "other";
     CHECK(route(request, candidates) == "none");
   }
-  SECTION("what was sent counts before any report shows it") {
+  SECTION("sent requests count before a load report shows them") {
     for (std::uint64_t it = 1; it <= 16; ++it) {
       CallerRequest request = desk.Request(it);
       request.prompt_tokens = 90000;
