--- a/src/entry/account_counters.cc
+++ b/src/entry/account_counters.cc
@@ -6,9 +6,9 @@
 // These labels cannot equal an account name, because names contain no spaces.
 
 /// Label shared by the accounts beyond the bound.
-constexpr char kOthers[] = "(all others)";
+constexpr char kOtherAccounts[] = "(all others)";
 /// Label of requests without an account, such as those of open routes.
-constexpr char kNobody[] = "(no account)";
+constexpr char kNoAccount[] = "(no account)";
 
 std::string Escaped(const std::string& text) {
   std::string out;
@@ -24,10 +24,11 @@
 }  // namespace
 
 AccountCounters::AccountCounters(MetricsRegistry* metrics,
-                                 std::size_t most_accounts)
-    : metrics_(metrics), most_accounts_(most_accounts) {}
+                                 std::size_t max_accounts)
+    : metrics_(metrics), max_accounts_(max_accounts) {}
 
-AccountCounters::Counters AccountCounters::Make(const std::string& label) {
+AccountCounters::Counters AccountCounters::MakeCounters(
+    const std::string& label) {
   const std::string labels = "account=\"" + Escaped(label) + "\"";
   return {metrics_->AddCounter("indigolead_account_requests_answered_total",
                                "Requests answered by a target, by account.",
@@ -37,19 +38,20 @@
                                labels)};
 }
 
-AccountCounters::Counters& AccountCounters::Of(const std::string& account) {
-  const std::string name = account.empty() ? kNobody : account;
+AccountCounters::Counters& AccountCounters::CountersFor(
+    const std::string& account) {
+  const std::string name = account.empty() ? kNoAccount : account;
   const auto held = counters_.find(name);
   if (held != counters_.end()) {
     return held->second;
   }
-  const bool full = counters_.size() >= most_accounts_;
-  const std::string label = full ? kOthers : name;
+  const bool full = counters_.size() >= max_accounts_;
+  const std::string label = full ? kOtherAccounts : name;
   const auto shared = counters_.find(label);
   if (shared != counters_.end()) {
     return shared->second;
   }
-  return counters_.emplace(label, Make(label)).first->second;
+  return counters_.emplace(label, MakeCounters(label)).first->second;
 }
 
 }  // namespace indigolead
--- a/src/entry/account_counters.h
+++ b/src/entry/account_counters.h
@@ -17,11 +17,15 @@
  public:
   /// `metrics` must outlive this object.
   explicit AccountCounters(MetricsRegistry* metrics,
-                           std::size_t most_accounts = 1000);
+                           std::size_t max_accounts = 1000);
 
-  void OnAnswered(const std::string& account) { Of(account).answered.Add(); }
+  void OnAnswered(const std::string& account) {
+    CountersFor(account).answered.Add();
+  }
   /// The request was refused or ended without a complete answer.
-  void OnFailed(const std::string& account) { Of(account).failed.Add(); }
+  void OnFailed(const std::string& account) {
+    CountersFor(account).failed.Add();
+  }
 
  private:
   struct Counters {
@@ -29,11 +33,11 @@
     Counter& failed;
   };
 
-  Counters& Of(const std::string& account);
-  Counters Make(const std::string& label);
+  Counters& CountersFor(const std::string& account);
+  Counters MakeCounters(const std::string& label);
 
   MetricsRegistry* metrics_;
-  std::size_t most_accounts_;
+  std::size_t max_accounts_;
   std::map<std::string, Counters> counters_;
 };
 
--- a/src/entry/crash_detector.cc
+++ b/src/entry/crash_detector.cc
@@ -14,36 +14,36 @@
       log_(std::move(log)) {}
 
 void CrashDetector::OnBroken(const TargetCrash& run, Fingerprint request) {
-  const auto [it, added] = suspected_.try_emplace(run);
-  Suspected& suspected = it->second;
+  const auto [it, added] = suspected_crashes_.try_emplace(run);
+  SuspectedCrash& suspected = it->second;
   if (suspected.crashed) {
     hooks_.on_crash(run, {request});
     return;
   }
   suspected.running.push_back(request);
   if (added) {
-    suspected.until = clock_() + options_.same_crash;
+    suspected.until = clock_() + options_.crash_window;
     Call(run);
   }
 }
 
 void CrashDetector::Call(const TargetCrash& run) {
-  ++suspected_.at(run).calls;
+  ++suspected_crashes_.at(run).calls;
   hooks_.call(run.target,
               [this, run](const Status& status) { OnCalled(run, status); });
 }
 
 void CrashDetector::OnCalled(const TargetCrash& run, const Status& status) {
-  const auto it = suspected_.find(run);
-  if (it == suspected_.end()) {
+  const auto it = suspected_crashes_.find(run);
+  if (it == suspected_crashes_.end()) {
     return;
   }
-  Suspected& suspected = it->second;
+  SuspectedCrash& suspected = it->second;
   const bool refused =
       !IsOk(status) && ErrorOf(status).code == ErrorCode::kUnavailable;
   const bool broke =
       !IsOk(status) && ErrorOf(status).code == ErrorCode::kUnknownEffect;
-  if (broke && suspected.calls < options_.max_calls) {
+  if (broke && suspected.calls < options_.max_probes) {
     Call(run);
     return;
   }
@@ -53,17 +53,17 @@
         {"running", std::to_string(suspected.running.size())},
         {"call", IsOk(status) ? "answered" : ToString(ErrorOf(status))}});
   if (!refused) {
-    suspected_.erase(it);
+    suspected_crashes_.erase(it);
     return;
   }
   suspected.crashed = true;
-  suspected.until = clock_() + options_.same_crash;
+  suspected.until = clock_() + options_.crash_window;
   hooks_.on_crash(run, std::exchange(suspected.running, {}));
 }
 
 void CrashDetector::Tick() {
   const TimePoint now = clock_();
-  std::erase_if(suspected_,
+  std::erase_if(suspected_crashes_,
                 [now](const auto& it) { return now >= it.second.until; });
 }
 
--- a/src/entry/crash_detector.h
+++ b/src/entry/crash_detector.h
@@ -25,10 +25,10 @@
  public:
   struct Options {
     /// Connections that break within this time after a crash belong to it.
-    Duration same_crash = std::chrono::seconds(1);
+    Duration crash_window = std::chrono::seconds(1);
     /// Maximum number of probes. A probe on a pooled connection may break like
     /// the requests did.
-    int max_calls = 3;
+    int max_probes = 3;
   };
   struct Hooks {
     /// Probes the target without running a request. Must not call `done` before
@@ -48,7 +48,7 @@
   void Tick();
 
  private:
-  struct Suspected {
+  struct SuspectedCrash {
     std::vector<Fingerprint> running;
     int calls = 0;
     bool crashed = false;
@@ -62,7 +62,7 @@
   Hooks hooks_;
   Clock clock_;
   EventLog log_;
-  std::map<TargetCrash, Suspected> suspected_;
+  std::map<TargetCrash, SuspectedCrash> suspected_crashes_;
 };
 
 }  // namespace indigolead
--- a/src/entry/crash_service.cc
+++ b/src/entry/crash_service.cc
@@ -69,16 +69,16 @@
                            const std::vector<Fingerprint>& running) {
   crashes_.Add();
   ledger_.OnCrash(crash, running, clock_());
-  Tell();
+  PublishChanges();
 }
 
 void CrashService::OnAnswered(Fingerprint request) {
   switch (ledger_.OnAnswered(request, clock_())) {
     case CrashLedger::ReportUrgency::kNow:
-      Tell();
+      PublishChanges();
       break;
     case CrashLedger::ReportUrgency::kSoon:
-      tell_at_ = tell_at_.value_or(clock_() + options_.clear_together);
+      publish_at_ = publish_at_.value_or(clock_() + options_.clear_batch_delay);
       break;
     case CrashLedger::ReportUrgency::kNone:
       break;
@@ -87,25 +87,25 @@
 
 void CrashService::Tick() {
   const bool changed = ledger_.Tick(clock_());
-  if (changed || (tell_at_ && clock_() >= *tell_at_)) {
-    Tell();
+  if (changed || (publish_at_ && clock_() >= *publish_at_)) {
+    PublishChanges();
   }
 }
 
-void CrashService::Tell() {
+void CrashService::PublishChanges() {
   suspects_.Set(static_cast<std::int64_t>(ledger_.suspects()));
-  untold_ = true;
+  unpublished_ = true;
   Write();
 }
 
 void CrashService::Write() {
   // Until the first list has been read, the stored object may hold reports of a
   // previous process of this entry, which a write would overwrite.
-  if (!listed_ || !untold_ || std::exchange(writing_, true)) {
+  if (!listed_ || !unpublished_ || std::exchange(writing_, true)) {
     return;
   }
-  untold_ = false;
-  tell_at_.reset();
+  unpublished_ = false;
+  publish_at_.reset();
   own_object_.Write(EncodeCrashReport(ledger_.own()),
                     [this, alive = alive_](bool written) {
                       if (*alive) {
@@ -123,8 +123,8 @@
     Write();
     return;
   }
-  untold_ = true;
-  run_after_(options_.write_again, [this, alive = alive_] {
+  unpublished_ = true;
+  run_after_(options_.write_retry_delay, [this, alive = alive_] {
     if (*alive) {
       writing_ = false;
       Write();
--- a/src/entry/crash_service.h
+++ b/src/entry/crash_service.h
@@ -33,9 +33,9 @@
     ListWatcher::Options watch;  ///< Without the prefix.
     CallOptions write{CallPriority::kConfig, std::chrono::milliseconds(1500)};
     /// Delay that batches non-urgent reports of answers that clear requests.
-    Duration clear_together = std::chrono::seconds(2);
+    Duration clear_batch_delay = std::chrono::seconds(2);
     /// Delay before a failed write is retried.
-    Duration write_again = std::chrono::milliseconds(500);
+    Duration write_retry_delay = std::chrono::milliseconds(500);
   };
 
   /// Writes to `store` and watches `watched`; both must outlive this object.
@@ -64,7 +64,7 @@
 
  private:
   void OnState(const ListWatcher::State& state);
-  void Tell();
+  void PublishChanges();
   void Write();
   void OnWritten(bool written);
 
@@ -75,8 +75,8 @@
   CrashLedger ledger_;
   OwnObject own_object_;
   bool listed_ = false;
-  bool untold_ = false;               ///< The stored object is out of date.
-  std::optional<TimePoint> tell_at_;  ///< Due time of non-urgent changes.
+  bool unpublished_ = false;             ///< The stored object is out of date.
+  std::optional<TimePoint> publish_at_;  ///< Due time of non-urgent changes.
   bool writing_ = false;  ///< A write is in flight or its retry is scheduled.
   Gauge& suspects_;
   Counter& crashes_;
--- a/src/entry/direct_dispatcher.cc
+++ b/src/entry/direct_dispatcher.cc
@@ -10,8 +10,8 @@
 
 /// Arrivals at targets per attempt. With a separate prefill the request arrives
 /// at two targets, and both count.
-constexpr double kArrivalsWhole = 1;
-constexpr double kArrivalsReadApart = 2;
+constexpr double kArrivalsSingleCall = 1;
+constexpr double kArrivalsSeparatePrefill = 2;
 
 constexpr double kBitsPerByte = 8;
 /// Mean cost of a KV cache transfer. It takes twice as long between failure
@@ -49,8 +49,8 @@
       random_(std::move(random)),
       log_(log),
       flow_(options_.flow, FlowHooks(), ids),
-      carrier_(io, &flow_, options_.carrier, std::move(dialect), CarrierHooks(),
-               clock, log),
+      transport_(io, &flow_, options_.transport, std::move(dialect),
+                 TransportHooks(), clock, log),
       directory_(options_.directory),
       guard_(options_.guard),
       crashes_(options_.crashes, CrashHooks(), clock, log),
@@ -111,7 +111,7 @@
   hooks.spend_retry = [this](const CallerRequest& request, AttemptReach reach,
                              TimePoint) { return SpendRetry(request, reach); };
   hooks.may_have_started = [this](const AttemptId& id) {
-    return carrier_.MayHaveStarted(id);
+    return transport_.MayHaveStarted(id);
   };
   hooks.on_sent = [this](const CallerRequest& request, const AttemptId& id,
                          const SideInfo& side,
@@ -124,8 +124,8 @@
   return hooks;
 }
 
-DirectCarrier::Hooks DirectDispatcher::CarrierHooks() {
-  DirectCarrier::Hooks hooks;
+DirectTransport::Hooks DirectDispatcher::TransportHooks() {
+  DirectTransport::Hooks hooks;
   hooks.on_prefilled = [this](const AttemptId& id) {
     for (auto& [service, placement] : placements_) {
       placement.OnPrefilled(id, clock_());
@@ -145,21 +145,22 @@
       placement.OnAnswerStarted(id, clock_());
     }
   };
-  hooks.choose_runner = [this](const AttemptId& id,
-                               const CallerRequest& request) {
-    return ChooseRunner(id, request);
+  hooks.choose_decode_target = [this](const AttemptId& id,
+                                      const CallerRequest& request) {
+    return ChooseDecodeTarget(id, request);
   };
-  hooks.on_runner_refused = [this](const AttemptId& id) {
+  hooks.on_decode_refused = [this](const AttemptId& id) {
     for (auto& [service, placement] : placements_) {
       placement.OnDecodeRefused(id, clock_());
     }
   };
-  hooks.may_arrive_again = [this](const CallerRequest& request) {
+  hooks.try_charge_arrival = [this](const CallerRequest& request) {
     return SpendRetry(request, AttemptReach::kPrefillEngine);
   };
-  hooks.on_no_arrival = [this](const CallerRequest& request) {
-    BudgetOf(request.deployment).Refund(kArrivalsWhole);
-    further_arrivals_unmade_.Add(static_cast<std::uint64_t>(kArrivalsWhole));
+  hooks.on_arrival_canceled = [this](const CallerRequest& request) {
+    BudgetOf(request.deployment).Refund(kArrivalsSingleCall);
+    further_arrivals_unmade_.Add(
+        static_cast<std::uint64_t>(kArrivalsSingleCall));
   };
   hooks.on_doubtful_end = [this](const AnswerBodyEnd& end) {
     answers_ended_by_close_.Add(end.framing == BodyFraming::kClose ? 1 : 0);
@@ -184,10 +185,11 @@
   hooks.may_write = [this](const std::string& instance, bool is_new_work) {
     return MayWrite(instance, is_new_work);
   };
-  hooks.on_rest_asked = [this](const std::string& instance, Duration length) {
-    OnRestAsked(instance, length);
+  hooks.on_rest_requested = [this](const std::string& instance,
+                                   Duration length) {
+    OnRestRequested(instance, length);
   };
-  hooks.on_leaving_told = [this](const std::string& instance) {
+  hooks.on_leaving_announced = [this](const std::string& instance) {
     OnLeavingTold(instance);
   };
   hooks.flush = [this] { Flush(); };
@@ -195,15 +197,15 @@
 }
 
 void DirectDispatcher::OnRequest(std::shared_ptr<const CallerRequest> request) {
-  open_[request->id].request = request;
+  open_requests_[request->id].request = request;
   BudgetOf(request->deployment).OnRequest(clock_());
   flow_.OnRequest(std::move(request), clock_());
   Flush();
 }
 
 void DirectDispatcher::OnCallerGone(const RequestId& id) {
-  const auto it = open_.find(id);
-  if (it != open_.end()) {
+  const auto it = open_requests_.find(id);
+  if (it != open_requests_.end()) {
     abandoned_.Add();
     const CallerRequest& request = *it->second.request;
     NoteEndedRun(&it->second);
@@ -254,7 +256,7 @@
   directory_.OnStoreFollowed(clock_());
 }
 
-void DirectDispatcher::FollowRetryPart() {
+void DirectDispatcher::UpdateRetryPart() {
   if (!options_.retry_allowance) {
     return;
   }
@@ -284,8 +286,8 @@
           {"address", it.target.address},
           {"failure_domain", it.target.failure_domain},
           {"role", std::to_string(static_cast<int>(it.target.role))}});
-    carrier_.OnTarget(it);
-    FollowAddress(it);
+    transport_.OnTarget(it);
+    UpdateAddress(it);
     NoteLeaving(it);
     if (it.kind == TargetChange::Kind::kRemoved ||
         it.kind == TargetChange::Kind::kRestarted) {
@@ -308,9 +310,9 @@
   const LimitShare::Standing standing = limits_.standing();
   limits_.Tick(clock_());
   LogStanding(standing);
-  EndRests();
+  RemoveExpiredRests();
   crashes_.Tick();
-  FollowRetryPart();
+  UpdateRetryPart();
   Apply(directory_.Tick(clock_()));
   flow_.Tick(clock_());
   Flush();
@@ -319,7 +321,7 @@
 void DirectDispatcher::NoteLeaving(const TargetChange& change) {
   if (change.kind == TargetChange::Kind::kLeaving) {
     leaving_[change.target.id] = {change.target,
-                                  clock_() + options_.copy_from_leaving};
+                                  clock_() + options_.leaving_copy_window};
   } else {
     leaving_.erase(change.target.id);
   }
@@ -341,15 +343,17 @@
                               const SideInfo& side, TimePoint now) {
   std::string prefill;
   std::string work;
-  if (decided_) {
-    PlacementOf(request.deployment).OnSent(id, request, *decided_, now);
-    prefill = decided_->prefill;
-    work = std::to_string(static_cast<std::int64_t>(decided_->prefill_work));
-    decided_.reset();
+  if (decided_place_) {
+    PlacementOf(request.deployment).OnSent(id, request, *decided_place_, now);
+    prefill = decided_place_->prefill;
+    work =
+        std::to_string(static_cast<std::int64_t>(decided_place_->prefill_work));
+    decided_place_.reset();
   }
   limits_.OnSent(LimitKeyOf(prefill.empty() ? side.instance : prefill), now);
   std::uint32_t number = 1;
-  if (const auto it = open_.find(request.id); it != open_.end()) {
+  if (const auto it = open_requests_.find(request.id);
+      it != open_requests_.end()) {
     number = ++it->second.attempts;
     it->second.sent_at = now;
     it->second.last_target = side.instance;
@@ -383,8 +387,8 @@
   // attempt reached only the prefill engine, another one exceeds them by one
   // arrival.
   const double arrivals = reach == AttemptReach::kPrefillEngine
-                              ? kArrivalsWhole
-                              : ArrivalsOfAttempt(request.deployment);
+                              ? kArrivalsSingleCall
+                              : MaxArrivalsPerAttempt(request.deployment);
   EntryRetryBudget& budget = BudgetOf(request.deployment);
   const bool granted = budget.TryTake(arrivals, clock_());
   const double left = budget.left() + (granted ? arrivals : 0);
@@ -433,20 +437,22 @@
 }
 
 EntryRetryBudget& DirectDispatcher::BudgetOf(const std::string& service) {
-  FollowRetryPart();  // The list may be stale after a process stall.
+  UpdateRetryPart();  // The list may be stale after a process stall.
   const auto held = budgets_.find(service);
   if (held != budgets_.end()) {
     return held->second;
   }
   EntryRetryBudget::Options options = options_.retry_budget;
-  options.min_saved = ArrivalsOfAttempt(service);
+  options.min_saved = MaxArrivalsPerAttempt(service);
   return budgets_.try_emplace(service, options).first->second;
 }
 
-double DirectDispatcher::ArrivalsOfAttempt(const std::string& service) const {
+double DirectDispatcher::MaxArrivalsPerAttempt(
+    const std::string& service) const {
   const ServiceTraits* traits =
       routes_ ? routes_->FindService(service) : nullptr;
-  return traits && traits->engine ? kArrivalsReadApart : kArrivalsWhole;
+  return traits && traits->engine ? kArrivalsSeparatePrefill
+                                  : kArrivalsSingleCall;
 }
 
 void DirectDispatcher::Flush() {
@@ -477,7 +483,7 @@
             std::is_same_v<T, SendStart> || std::is_same_v<T, SendCredit> ||
             std::is_same_v<T, SendCancel> || std::is_same_v<T, SendResume>;
         if constexpr (kToTarget) {
-          carrier_.Act(it);
+          transport_.Act(it);
         } else {
           hooks_.to_callers(ToCallers(std::move(it)));
         }
--- a/src/entry/direct_dispatcher.h
+++ b/src/entry/direct_dispatcher.h
@@ -22,14 +22,14 @@
 #include "core/request/route_table.h"
 #include "entry/account_counters.h"
 #include "entry/crash_detector.h"
-#include "entry/direct_carrier.h"
+#include "entry/direct_transport.h"
 #include "entry/messages.h"
 #include "observe/event_log.h"
 #include "observe/metrics.h"
 
 namespace indigolead {
 
-/// Connects the request flow, placement, target directory and direct carrier
+/// Connects the request flow, placement, target directory and direct transport
 /// in an entry that calls its targets without sides.
 ///
 /// Shares one thread with the callers' server: on a fifth of a core, waking
@@ -39,7 +39,7 @@
   struct Options {
     std::string failure_domain;
     RequestFlowOptions flow;
-    DirectCarrier::Options carrier;
+    DirectTransport::Options transport;
     TargetDirectory::Options directory;
     EnginePlacement::Options placement;
     FailureGuard::Options guard;
@@ -51,15 +51,15 @@
     LimitShare::Options limit_share;
     /// Minimum retry delay told to a caller that was refused because no target
     /// accepts requests, because of limits or requested rests.
-    Duration least_closed_wait = std::chrono::milliseconds(200);
+    Duration min_closed_wait = std::chrono::milliseconds(200);
     /// Upper bound of that delay if limits are the only reason.
-    Duration longest_limited_wait = std::chrono::milliseconds(2500);
+    Duration max_limited_wait = std::chrono::milliseconds(2500);
     /// How long KV cache may be copied from a leaving target: at least the time
     /// for which a planned shutdown keeps serving.
-    Duration copy_from_leaving = std::chrono::seconds(2);
+    Duration leaving_copy_window = std::chrono::seconds(2);
     /// Plain services: extra open attempts that a target in the entry's own
     /// failure domain may have and still be preferred.
-    std::uint32_t domain_attempts = 2;
+    std::uint32_t domain_attempt_margin = 2;
   };
   struct Hooks {
     std::function<void(ToCallers&&)> to_callers;
@@ -78,7 +78,7 @@
     std::function<std::optional<Duration>(Fingerprint)> stopped_for;
     /// A target started to run the request, or may have. Called once per
     /// request.
-    std::function<void(const CallerRequest&, TimePoint)> on_begun;
+    std::function<void(const CallerRequest&, TimePoint)> on_run_started;
   };
 
   DirectDispatcher(boost::asio::io_context* io, Options options,
@@ -122,17 +122,17 @@
 
   /// Returns the active routes, or null before the first.
   std::shared_ptr<const RouteTable> routes() const { return routes_; }
-  DirectCarrier& carrier() { return carrier_; }
-  std::size_t open_requests() const { return open_.size(); }
+  DirectTransport& transport() { return transport_; }
+  std::size_t open_requests() const { return open_requests_.size(); }
 
  private:
   /// An open request, for logs and metrics.
-  struct Open {
+  struct OpenRequest {
     std::shared_ptr<const CallerRequest> request;
     std::uint32_t attempts = 0;
     std::string last_target;
     bool streaming = false;
-    bool begun = false;                 ///< `on_begun` was called.
+    bool run_started = false;           ///< `on_run_started` was called.
     std::optional<TimePoint> sent_at;   ///< Time of the latest attempt.
     std::optional<TimePoint> first_at;  ///< First bytes of the answer.
     TimePoint latest_at{};              ///< Latest bytes of the answer.
@@ -141,25 +141,25 @@
 
   RequestFlowHooks FlowHooks();
   CrashDetector::Hooks CrashHooks();
-  DirectCarrier::Hooks CarrierHooks();
+  DirectTransport::Hooks TransportHooks();
   RouteResult Route(const CallerRequest& request,
                     const std::vector<Candidate>& candidates, TimePoint now);
   /// Returns the refusal of a request that is blocked because targets crashed
   /// while running it; nullopt if it may run.
-  std::optional<Refusal> RefuseCrashing(const CallerRequest& request) const;
+  std::optional<Refusal> RefuseBlocked(const CallerRequest& request) const;
   void OnRequestBroke(const std::string& instance,
                       const std::optional<TargetRun>& run,
                       const CallerRequest& request);
   RouteResult RouteToEngine(const CallerRequest& request,
                             const std::vector<Candidate>& candidates,
                             TimePoint now);
-  std::optional<std::string> ChooseRunner(const AttemptId& id,
-                                          const CallerRequest& request);
+  std::optional<std::string> ChooseDecodeTarget(const AttemptId& id,
+                                                const CallerRequest& request);
   RouteResult RouteToService(const std::string& service,
                              const std::vector<Candidate>& candidates,
                              TimePoint now) const;
   /// Returns the time until a target of every role accepts a request of this
-  /// entry, at least `least_closed_wait`.
+  /// entry, at least `min_closed_wait`.
   Duration WaitForTargets(const std::vector<Candidate>& candidates,
                           TimePoint now) const;
   Refusal TargetsClosed(const std::string& service,
@@ -171,15 +171,15 @@
   void NoteLeaving(const TargetChange& change);
   /// Suspicions about targets that are plausible given how many targets they
   /// concern.
-  struct Doubts {
+  struct PlausibleSuspicions {
     bool broken = false;  ///< Consecutive calls broke.
     bool left = false;    ///< Off the list, but possibly alive.
   };
-  Doubts DoubtsOf(const std::vector<Candidate>& candidates,
-                  TimePoint now) const;
+  PlausibleSuspicions SuspicionsOf(const std::vector<Candidate>& candidates,
+                                   TimePoint now) const;
   /// Returns true if the target gets work only when no other can take it.
-  bool IsSecondChoice(const std::string& instance, const Doubts& doubts,
-                      TimePoint now) const;
+  bool IsLastResort(const std::string& instance,
+                    const PlausibleSuspicions& suspicions, TimePoint now) const;
   bool GuardIsPlausible(const std::vector<Candidate>& candidates,
                         TimePoint now) const;
   void OnCallEnd(const std::string& instance, bool broke);
@@ -187,7 +187,7 @@
   void OnSharedLimit(const TargetRecord& target);
   /// Tracks the target's address. Drops the limit of an address when its only
   /// target restarts or gives it up.
-  void FollowAddress(const TargetChange& change);
+  void UpdateAddress(const TargetChange& change);
   /// Returns the key of a target's limit: its address, because requests for a
   /// former target at an address reach the target that has it now.
   const std::string& LimitKeyOf(const std::string& instance) const;
@@ -198,14 +198,15 @@
   }
   /// Returns the targets that may have sent an answer attributed to `instance`:
   /// all that are listed at its address.
-  std::vector<std::string> MaySpeakFor(const std::string& instance) const;
-  void OnRestAsked(const std::string& instance, Duration length);
+  std::vector<std::string> TargetsSharingAddress(
+      const std::string& instance) const;
+  void OnRestRequested(const std::string& instance, Duration length);
   void OnLeavingTold(const std::string& instance);
   /// Stops calls to a target that asks for rest, and new work for one that is
   /// leaving. Covers calls that were routed before, and calls that are not
   /// routed at all.
   Status MayWrite(const std::string& instance, bool is_new_work);
-  void EndRests();
+  void RemoveExpiredRests();
   void NoteLimitChange(const std::string& instance, const LimitChange& change,
                        const std::string& source);
   void LogStanding(LimitShare::Standing before);
@@ -215,21 +216,21 @@
                     AttemptOutcome outcome, TimePoint now);
   bool SpendRetry(const CallerRequest& request, AttemptReach reach);
   /// Updates this entry's part of the retry allowance.
-  void FollowRetryPart();
+  void UpdateRetryPart();
   void LogRetry(const CallerRequest& request, double arrivals, double left,
                 bool granted);
   EnginePlacement& PlacementOf(const std::string& service);
   EngineLimits LimitsOf(const std::string& service) const;
   EntryRetryBudget& BudgetOf(const std::string& service);
   /// Returns the maximum number of arrivals per attempt at the service.
-  double ArrivalsOfAttempt(const std::string& service) const;
+  double MaxArrivalsPerAttempt(const std::string& service) const;
   void Apply(const std::vector<TargetChange>& changes);
   void Flush();
   void Act(RequestAction& action);
   void LogEnd(const RequestAction& action);
   void NoteBytes(const RequestId& id);
-  void NoteBegun(Open* open, TimePoint at);
-  void NoteEndedRun(Open* open);
+  void NoteRunStarted(OpenRequest* open, TimePoint at);
+  void NoteEndedRun(OpenRequest* open);
   void LogAnswered(const RequestId& id, int status);
   void LogRefused(const RequestId& id, const Refusal& refusal);
   void CloseRequest(const RequestId& id);
@@ -240,7 +241,7 @@
   RandomSource random_;
   EventLog log_;
   RequestFlow flow_;
-  DirectCarrier carrier_;
+  DirectTransport transport_;
   TargetDirectory directory_;
   FailureGuard guard_;
   CrashDetector crashes_;
@@ -257,9 +258,9 @@
     TimePoint until;  ///< End of copying its KV cache.
   };
   std::map<std::string, Leaving> leaving_;
-  std::unordered_map<RequestId, Open> open_;
+  std::unordered_map<RequestId, OpenRequest> open_requests_;
   /// Set by `Route` for the `OnSent` that follows.
-  std::optional<EngineAssignment> decided_;
+  std::optional<EngineAssignment> decided_place_;
   std::vector<RequestAction> actions_;
   bool flushing_ = false;
   AccountCounters accounts_;
--- a/src/entry/direct_dispatcher_crashes.cc
+++ b/src/entry/direct_dispatcher_crashes.cc
@@ -9,7 +9,7 @@
   CrashDetector::Hooks hooks;
   hooks.call = [this](const std::string& target,
                       std::function<void(const Status&)> done) {
-    carrier_.AskAlive(target, std::move(done));
+    transport_.ProbeTarget(target, std::move(done));
   };
   hooks.on_crash = [this](const TargetCrash& crash,
                           const std::vector<Fingerprint>& running) {
@@ -30,7 +30,7 @@
   crashes_.OnBroken({instance, run ? run->started_ms : 0}, request.fingerprint);
 }
 
-std::optional<Refusal> DirectDispatcher::RefuseCrashing(
+std::optional<Refusal> DirectDispatcher::RefuseBlocked(
     const CallerRequest& request) const {
   const auto left = hooks_.stopped_for ? hooks_.stopped_for(request.fingerprint)
                                        : std::nullopt;
--- a/src/entry/direct_dispatcher_limits.cc
+++ b/src/entry/direct_dispatcher_limits.cc
@@ -46,12 +46,12 @@
   if (!any_limited()) {
     return rest;
   }
-  const Duration longest = options_.longest_limited_wait;
+  const Duration longest = options_.max_limited_wait;
   const auto limit = limits_.WaitFor(LimitKeyOf(instance), now);
   return std::max(rest, std::min(limit.value_or(longest), longest));
 }
 
-void DirectDispatcher::FollowAddress(const TargetChange& change) {
+void DirectDispatcher::UpdateAddress(const TargetChange& change) {
   const std::string& id = change.target.id;
   const std::string before = LimitKeyOf(id);
   if (change.kind == TargetChange::Kind::kRemoved) {
@@ -75,7 +75,7 @@
     NoteLimitChange(instance, *change,
                     "answer-after-ms-" + Milliseconds(now - notice.sent_at));
   }
-  const TargetRecord* target = carrier_.FindTarget(instance);
+  const TargetRecord* target = transport_.FindTarget(instance);
   if (target && hooks_.share_limit && limits_.ShouldShare(key, now)) {
     hooks_.share_limit(*target, limits_.LimitOf(key));
   }
@@ -84,7 +84,7 @@
 void DirectDispatcher::OnSharedLimit(const TargetRecord& target) {
   std::optional<double> limit = target.shared_limit;
   for (const std::string& it : addresses_.TargetsAt(target.address)) {
-    const TargetRecord* holder = carrier_.FindTarget(it);
+    const TargetRecord* holder = transport_.FindTarget(it);
     if (holder && holder->shared_limit) {
       limit = std::min(limit.value_or(*holder->shared_limit),
                        *holder->shared_limit);
--- a/src/entry/direct_dispatcher_log.cc
+++ b/src/entry/direct_dispatcher_log.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /// Lowest HTTP status that reports a failure.
-constexpr int kFirstFailure = 400;
+constexpr int kMinFailureStatus = 400;
 
 double Seconds(Duration length) {
   return std::chrono::duration<double>(length).count();
@@ -21,8 +21,8 @@
 
 void DirectDispatcher::LogEnd(const RequestAction& action) {
   if (const auto* head = std::get_if<AnswerHead>(&action)) {
-    const auto it = open_.find(head->request);
-    if (it != open_.end()) {
+    const auto it = open_requests_.find(head->request);
+    if (it != open_requests_.end()) {
       it->second.streaming = true;
       answer_seconds_.Record(
           Seconds(clock_() - it->second.request->received_at));
@@ -41,51 +41,52 @@
 }
 
 void DirectDispatcher::NoteBytes(const RequestId& id) {
-  const auto it = open_.find(id);
-  if (it == open_.end()) {
+  const auto it = open_requests_.find(id);
+  if (it == open_requests_.end()) {
     return;
   }
-  Open& open = it->second;
+  OpenRequest& open = it->second;
   const TimePoint now = clock_();
   if (open.first_at) {
     open.longest_pause = std::max(open.longest_pause, now - open.latest_at);
   }
   if (!open.first_at) {
     open.first_at = now;
-    NoteBegun(&open, now);
+    NoteRunStarted(&open, now);
   }
   open.latest_at = now;
 }
 
-void DirectDispatcher::NoteBegun(Open* open, TimePoint at) {
-  if (!std::exchange(open->begun, true) && hooks_.on_begun) {
-    hooks_.on_begun(*open->request, at);
+void DirectDispatcher::NoteRunStarted(OpenRequest* open, TimePoint at) {
+  if (!std::exchange(open->run_started, true) && hooks_.on_run_started) {
+    hooks_.on_run_started(*open->request, at);
   }
 }
 
 // A generation starts to run with its first token, the first sign of it that
 // reaches the entry. Any other request starts when its target receives it,
 // which the entry learns only at the end of the request.
-void DirectDispatcher::NoteEndedRun(Open* open) {
+void DirectDispatcher::NoteEndedRun(OpenRequest* open) {
   const bool generation = !open->request->prompt_parts.empty();
   if (!generation && open->sent_at) {
-    NoteBegun(open, *open->sent_at);
+    NoteRunStarted(open, *open->sent_at);
   }
 }
 
 void DirectDispatcher::LogAnswered(const RequestId& id, int status) {
-  const auto it = open_.find(id);
-  if (it == open_.end()) {
+  const auto it = open_requests_.find(id);
+  if (it == open_requests_.end()) {
     return;
   }
   NoteEndedRun(&it->second);
-  if (status < kFirstFailure) {
-    NoteBegun(&it->second, clock_());  // For an answer that was not streamed.
+  if (status < kMinFailureStatus) {
+    NoteRunStarted(&it->second,
+                   clock_());  // For an answer that was not streamed.
     if (hooks_.on_answered) {
       hooks_.on_answered(it->second.request->fingerprint);
     }
   }
-  const Open& open = it->second;
+  const OpenRequest& open = it->second;
   const Duration after = clock_() - open.request->received_at;
   answered_.Add();
   accounts_.OnAnswered(open.request->client_account);
@@ -109,14 +110,14 @@
 }
 
 void DirectDispatcher::LogRefused(const RequestId& id, const Refusal& refusal) {
-  const auto it = open_.find(id);
-  if (it == open_.end()) {
+  const auto it = open_requests_.find(id);
+  if (it == open_requests_.end()) {
     return;
   }
   if (refusal.run != RunState::kNotRun) {
     NoteEndedRun(&it->second);
   }
-  const Open& open = it->second;
+  const OpenRequest& open = it->second;
   const Duration after = clock_() - open.request->received_at;
   (refusal.run == RunState::kNotRun ? refused_ : broken_).Add();
   accounts_.OnFailed(open.request->client_account);
@@ -134,7 +135,9 @@
   CloseRequest(id);
 }
 
-void DirectDispatcher::CloseRequest(const RequestId& id) { open_.erase(id); }
+void DirectDispatcher::CloseRequest(const RequestId& id) {
+  open_requests_.erase(id);
+}
 
 void DirectDispatcher::LogRetry(const CallerRequest& request, double arrivals,
                                 double left, bool granted) {
--- a/src/entry/direct_dispatcher_notices.cc
+++ b/src/entry/direct_dispatcher_notices.cc
@@ -7,7 +7,7 @@
 
 namespace indigolead {
 
-std::vector<std::string> DirectDispatcher::MaySpeakFor(
+std::vector<std::string> DirectDispatcher::TargetsSharingAddress(
     const std::string& instance) const {
   const std::string* address = addresses_.Find(instance);
   if (!address) {
@@ -17,9 +17,9 @@
   return {ids.begin(), ids.end()};
 }
 
-void DirectDispatcher::OnRestAsked(const std::string& instance,
-                                   Duration length) {
-  for (const std::string& it : MaySpeakFor(instance)) {
+void DirectDispatcher::OnRestRequested(const std::string& instance,
+                                       Duration length) {
+  for (const std::string& it : TargetsSharingAddress(instance)) {
     const Duration left = rests_.OnCooldownRequested(it, length, clock_());
     log_(kTargetAskedRest, {{"target", it},
                             {"answered", instance},
@@ -30,7 +30,7 @@
 }
 
 void DirectDispatcher::OnLeavingTold(const std::string& instance) {
-  for (const std::string& it : MaySpeakFor(instance)) {
+  for (const std::string& it : TargetsSharingAddress(instance)) {
     const std::vector<TargetChange> changes = directory_.OnLeavingTold(it);
     if (!changes.empty()) {
       log_(kTargetToldLeaving, {{"target", it}, {"answered", instance}});
@@ -56,7 +56,7 @@
   return Error{ErrorCode::kOverloaded, "target.write", instance, reason};
 }
 
-void DirectDispatcher::EndRests() {
+void DirectDispatcher::RemoveExpiredRests() {
   const std::vector<std::string> over = rests_.Tick(clock_());
   for (const std::string& it : over) {
     log_(kTargetRestOver, {{"target", it}});
--- a/src/entry/direct_dispatcher_route.cc
+++ b/src/entry/direct_dispatcher_route.cc
@@ -30,8 +30,8 @@
 RouteResult DirectDispatcher::Route(const CallerRequest& request,
                                     const std::vector<Candidate>& candidates,
                                     TimePoint now) {
-  decided_.reset();
-  if (auto refusal = RefuseCrashing(request)) {
+  decided_place_.reset();
+  if (auto refusal = RefuseBlocked(request)) {
     return *refusal;
   }
   if (candidates.empty()) {
@@ -45,39 +45,40 @@
   return RouteToService(request.deployment, candidates, now);
 }
 
-std::optional<std::string> DirectDispatcher::ChooseRunner(
+std::optional<std::string> DirectDispatcher::ChooseDecodeTarget(
     const AttemptId& id, const CallerRequest& request) {
-  if (RefuseCrashing(request)) {
+  if (RefuseBlocked(request)) {
     return std::nullopt;  // The block began during the prefill.
   }
   const auto engines =
       EnginesOf(request.deployment,
                 flow_.sides().CandidatesFor(request.deployment, {}), clock_());
-  auto runner =
+  auto decode_target =
       PlacementOf(request.deployment).PlaceDecode(id, engines, clock_());
   log_(kRunnerChosen,
        {{"request", request.caller_id},
-        {"target", runner.value_or("none")},
+        {"target", decode_target.value_or("none")},
         {"after_ms", Milliseconds(clock_() - request.received_at)}});
-  if (runner) {
-    limits_.OnSent(LimitKeyOf(*runner), clock_());
+  if (decode_target) {
+    limits_.OnSent(LimitKeyOf(*decode_target), clock_());
   }
-  if (const auto it = open_.find(request.id); runner && it != open_.end()) {
-    it->second.last_target = *runner;
+  if (const auto it = open_requests_.find(request.id);
+      decode_target && it != open_requests_.end()) {
+    it->second.last_target = *decode_target;
   }
-  return runner;
+  return decode_target;
 }
 
 std::vector<PlacementEngine> DirectDispatcher::EnginesOf(
     const std::string& service, const std::vector<Candidate>& candidates,
     TimePoint now) const {
-  const Doubts doubts = DoubtsOf(candidates, now);
+  const PlausibleSuspicions suspicions = SuspicionsOf(candidates, now);
   std::vector<PlacementEngine> engines;
   engines.reserve(candidates.size());
   for (const Candidate& it : candidates) {
     const std::string& instance = it.side->instance;
     engines.push_back({instance, it.side->failure_domain, RoleOf(*it.side),
-                       it.tried, IsSecondChoice(instance, doubts, now),
+                       it.tried, IsLastResort(instance, suspicions, now),
                        /*leaving=*/false, !MaySendTo(instance, now)});
   }
   for (const auto& [id, it] : leaving_) {
@@ -89,28 +90,28 @@
   return engines;
 }
 
-DirectDispatcher::Doubts DirectDispatcher::DoubtsOf(
+DirectDispatcher::PlausibleSuspicions DirectDispatcher::SuspicionsOf(
     const std::vector<Candidate>& candidates, TimePoint now) const {
-  Doubts doubts;
-  doubts.broken = GuardIsPlausible(candidates, now);
+  PlausibleSuspicions suspicions;
+  suspicions.broken = GuardIsPlausible(candidates, now);
   if (!directory_.undecided()) {
-    return doubts;
+    return suspicions;
   }
   const auto missing = std::count_if(
       candidates.begin(), candidates.end(), [this](const Candidate& it) {
         return directory_.MayHaveLeft(it.side->instance);
       });
-  doubts.left =
+  suspicions.left =
       missing > 0 && TargetDirectory::MayHaveLeftTogether(
                          static_cast<std::size_t>(missing), candidates.size());
-  return doubts;
+  return suspicions;
 }
 
-bool DirectDispatcher::IsSecondChoice(const std::string& instance,
-                                      const Doubts& doubts,
-                                      TimePoint now) const {
-  return (doubts.broken && guard_.IsAvoided(instance, now)) ||
-         (doubts.left && directory_.MayHaveLeft(instance));
+bool DirectDispatcher::IsLastResort(const std::string& instance,
+                                    const PlausibleSuspicions& suspicions,
+                                    TimePoint now) const {
+  return (suspicions.broken && guard_.IsAvoided(instance, now)) ||
+         (suspicions.left && directory_.MayHaveLeft(instance));
 }
 
 bool DirectDispatcher::GuardIsPlausible(
@@ -140,7 +141,7 @@
     return TargetsClosed(request.deployment, candidates, now);
   }
   if (const auto* place = std::get_if<EngineAssignment>(&decision)) {
-    decided_ = *place;
+    decided_place_ = *place;
     return RouteTo{place->decode, place->prefill};
   }
   return NoTarget(request.deployment);
@@ -156,7 +157,7 @@
     const auto [held, added] = least.try_emplace(RoleOf(*it.side), wait);
     held->second = std::min(held->second, wait);
   }
-  Duration longest = options_.least_closed_wait;
+  Duration longest = options_.min_closed_wait;
   for (const auto& [role, wait] : least) {
     longest = std::max(longest, wait);
   }
@@ -186,21 +187,22 @@
 RouteResult DirectDispatcher::RouteToService(
     const std::string& service, const std::vector<Candidate>& candidates,
     TimePoint now) const {
-  const Doubts doubts = DoubtsOf(candidates, now);
+  const PlausibleSuspicions suspicions = SuspicionsOf(candidates, now);
   const Candidate* best = nullptr;
   std::uint64_t best_cost = 0;
   for (const Candidate& it : candidates) {
     if (!MaySendTo(it.side->instance, now)) {
       continue;
     }
-    const bool far = it.side->failure_domain != options_.failure_domain;
+    const bool other_domain =
+        it.side->failure_domain != options_.failure_domain;
     // A target that was tried already comes last, as it may have caused the
     // retry.
     const bool last =
-        it.tried || IsSecondChoice(it.side->instance, doubts, now);
-    const std::uint64_t cost = it.outstanding +
-                               (far ? options_.domain_attempts : 0) +
-                               (last ? 1'000'000 : 0);
+        it.tried || IsLastResort(it.side->instance, suspicions, now);
+    const std::uint64_t cost =
+        it.outstanding + (other_domain ? options_.domain_attempt_margin : 0) +
+        (last ? 1'000'000 : 0);
     if (!best || cost < best_cost) {
       best = &it;
       best_cost = cost;
--- a/src/entry/direct_carrier.cc
+++ b/src/entry/direct_transport.cc
@@ -1,4 +1,4 @@
-#include "entry/direct_carrier.h"
+#include "entry/direct_transport.h"
 
 #include <xxhash.h>
 
@@ -41,7 +41,7 @@
 }  // namespace
 
 /// Running checksum of a body for its end frame.
-struct DirectCarrier::Run::Checksum {
+struct DirectTransport::Run::Checksum {
   Checksum() : state(XXH64_createState()) { XXH64_reset(state, 0); }
   ~Checksum() { XXH64_freeState(state); }
   Checksum(const Checksum&) = delete;
@@ -50,9 +50,9 @@
   XXH64_state_t* state;
 };
 
-DirectCarrier::DirectCarrier(boost::asio::io_context* io, RequestFlow* flow,
-                             Options options, TargetDialect dialect,
-                             Hooks hooks, Clock clock, EventLog log)
+DirectTransport::DirectTransport(boost::asio::io_context* io, RequestFlow* flow,
+                                 Options options, TargetDialect dialect,
+                                 Hooks hooks, Clock clock, EventLog log)
     : io_(io),
       flow_(flow),
       options_(std::move(options)),
@@ -61,9 +61,9 @@
       clock_(std::move(clock)),
       log_(std::move(log)) {}
 
-DirectCarrier::~DirectCarrier() = default;
+DirectTransport::~DirectTransport() = default;
 
-SideInfo DirectCarrier::InfoOf(const TargetRecord& record) {
+SideInfo DirectTransport::InfoOf(const TargetRecord& record) {
   SideInfo info;
   info.instance = record.id;
   const std::uint64_t hash = XXH64(record.id.data(), record.id.size(), 0);
@@ -74,7 +74,7 @@
   return info;
 }
 
-void DirectCarrier::Add(const TargetRecord& record) {
+void DirectTransport::Add(const TargetRecord& record) {
   Target& target = targets_[record.id];
   target.record = record;
   target.link = SideLink{++next_link_};
@@ -83,7 +83,7 @@
   flow_->OnLeaving(record.id, record.leaving, clock_());
 }
 
-void DirectCarrier::OnTarget(const TargetChange& change) {
+void DirectTransport::OnTarget(const TargetChange& change) {
   const TargetRecord& record = change.target;
   const TimePoint now = clock_();
   switch (change.kind) {
@@ -116,7 +116,7 @@
   Flush();
 }
 
-void DirectCarrier::Restart(const TargetRecord& record) {
+void DirectTransport::Restart(const TargetRecord& record) {
   const auto it = targets_.find(record.id);
   if (it == targets_.end()) {
     return;
@@ -130,12 +130,12 @@
   flow_->OnSideChanged(it->second.link, InfoOf(record), clock_());
 }
 
-TargetClient* DirectCarrier::ClientOf(const std::string& instance) {
+TargetClient* DirectTransport::ClientOf(const std::string& instance) {
   const auto it = targets_.find(instance);
   return it == targets_.end() ? nullptr : it->second.client.get();
 }
 
-TargetClient* DirectCarrier::ClientForExtraCall(const std::string& instance) {
+TargetClient* DirectTransport::ClientForExtraCall(const std::string& instance) {
   if (hooks_.may_write && !IsOk(hooks_.may_write(instance, false))) {
     return nullptr;
   }
@@ -146,23 +146,23 @@
   return client;
 }
 
-const TargetRecord* DirectCarrier::FindTarget(
+const TargetRecord* DirectTransport::FindTarget(
     const std::string& instance) const {
   const auto it = targets_.find(instance);
   return it == targets_.end() ? nullptr : &it->second.record;
 }
 
-DirectCarrier::Run* DirectCarrier::Find(const AttemptId& id) {
+DirectTransport::Run* DirectTransport::Find(const AttemptId& id) {
   const auto it = runs_.find(id);
   return it == runs_.end() ? nullptr : &it->second;
 }
 
-bool DirectCarrier::MayHaveStarted(const AttemptId& attempt) const {
+bool DirectTransport::MayHaveStarted(const AttemptId& attempt) const {
   const auto it = runs_.find(attempt);
   return it == runs_.end() || it->second.written;
 }
 
-void DirectCarrier::Act(const SendStart& action) {
+void DirectTransport::Act(const SendStart& action) {
   const SideInfo* side = flow_->FindSide(action.link);
   if (!side || !ClientOf(side->instance)) {
     flow_->OnStartNotSent(action.attempt, clock_());
@@ -171,7 +171,7 @@
   Run& run = runs_[action.attempt];
   run.link = action.link;
   run.instance = side->instance;
-  run.reader = action.prefill_at;
+  run.prefill_instance = action.prefill_at;
   run.request = action.request;
   run.deadline = clock_() + action.finish_within;
   run.resume_after = action.resume_after;
@@ -184,7 +184,7 @@
   }
 }
 
-void DirectCarrier::StartPrefill(const AttemptId& id, const std::string& at) {
+void DirectTransport::StartPrefill(const AttemptId& id, const std::string& at) {
   Run& run = runs_.at(id);
   TargetClient* client = ClientOf(at);
   if (!client) {
@@ -206,42 +206,45 @@
                          });
 }
 
-std::string DirectCarrier::CopyAddress(const AttemptId& id) const {
+std::string DirectTransport::CopyAddress(const AttemptId& id) const {
   const std::string from = hooks_.copy_source ? hooks_.copy_source(id) : "";
   const TargetRecord* target = from.empty() ? nullptr : FindTarget(from);
   return target ? target->address : "";
 }
 
-Duration DirectCarrier::PrefillWait(Duration left) const {
+Duration DirectTransport::PrefillWait(Duration left) const {
   const auto share =
       std::chrono::duration_cast<Duration>(left * options_.max_prefill_share);
   return std::min(left, std::max(share, options_.max_prefill_wait));
 }
 
-void DirectCarrier::OnHandle(const AttemptId& id, const std::string& reader,
-                             const Result<TargetAnswer>& answer) {
+void DirectTransport::OnHandle(const AttemptId& id,
+                               const std::string& prefill_instance,
+                               const Result<TargetAnswer>& answer) {
   Run* run = Find(id);
   if (!run) {
     return;
   }
-  TellCallEnd(reader, run->called,
-              IsOk(answer) ? Status(Unit{}) : Status(ErrorOf(answer)));
+  ReportCallEnd(prefill_instance, run->called,
+                IsOk(answer) ? Status(Unit{}) : Status(ErrorOf(answer)));
   if (!IsOk(answer)) {
     const Error& error = ErrorOf(answer);
     const bool unsent = IsUnsent(error);
-    TellBroken(reader, *run, error);
+    ReportBrokenRequest(prefill_instance, *run, error);
     RefuseRun(id,
               {"prefill_failed",
                unsent ? AttemptReach::kNothing : AttemptReach::kPrefillEngine,
                ToString(error)});
     return;
   }
-  TellLimit(reader, *run, ValueOf(answer).status, ValueOf(answer).headers);
-  const TargetRecord* target = FindTarget(reader);
+  ReportLimit(prefill_instance, *run, ValueOf(answer).status,
+              ValueOf(answer).headers);
+  const TargetRecord* target = FindTarget(prefill_instance);
   const Result<KvHandle> handle =
       target ? dialect_.read_handle(*target, ValueOf(answer))
              : Result<KvHandle>(Error{ErrorCode::kNotFound, "target.prefill",
-                                      reader, "the engine has been removed"});
+                                      prefill_instance,
+                                      "the engine has been removed"});
   if (!IsOk(handle)) {
     const bool full = ErrorOf(handle).code == ErrorCode::kOverloaded;
     RefuseRun(id, {"prefill_refused", AttemptReach::kPrefillEngine,
@@ -250,7 +253,7 @@
   }
   run->handle = ValueOf(handle);
   hooks_.on_prefilled(id);
-  if (MoveToRunner(id, run)) {
+  if (MoveToDecodeTarget(id, run)) {
     StartRun(id);
   } else {
     RefuseRun(id, {"no_runner", AttemptReach::kPrefillEngine,
@@ -258,17 +261,17 @@
   }
 }
 
-bool DirectCarrier::MoveToRunner(const AttemptId& id, Run* run) {
-  const auto runner = hooks_.choose_runner(id, *run->request);
-  if (!runner) {
+bool DirectTransport::MoveToDecodeTarget(const AttemptId& id, Run* run) {
+  const auto decode_target = hooks_.choose_decode_target(id, *run->request);
+  if (!decode_target) {
     return false;
   }
-  const auto link = flow_->MoveAttempt(id, *runner);
+  const auto link = flow_->MoveAttempt(id, *decode_target);
   if (!link) {
     return false;
   }
   run->link = *link;
-  run->instance = *runner;
+  run->instance = *decode_target;
   return true;
 }
 
@@ -277,20 +280,20 @@
 // prefilled prompt and refuse the caller or prefill again. The KV cache is
 // still on the prefill engine, so another engine can decode from it: that costs
 // one arrival instead of two, and none if the first engine was unreachable.
-bool DirectCarrier::RunElsewhere(const AttemptId& id, Run* run,
-                                 const std::string& why) {
-  if (!run->handle || run->runners >= options_.max_runners) {
+bool DirectTransport::RetryDecode(const AttemptId& id, Run* run,
+                                  const std::string& why) {
+  if (!run->handle || run->decode_targets >= options_.max_decode_targets) {
     return false;
   }
   const bool charged = run->written;
-  if (charged && !hooks_.may_arrive_again(*run->request)) {
+  if (charged && !hooks_.try_charge_arrival(*run->request)) {
     return false;
   }
   const std::string before = run->instance;
-  hooks_.on_runner_refused(id);
-  if (!MoveToRunner(id, run)) {
+  hooks_.on_decode_refused(id);
+  if (!MoveToDecodeTarget(id, run)) {
     if (charged) {
-      hooks_.on_no_arrival(*run->request);
+      hooks_.on_arrival_canceled(*run->request);
     }
     return false;
   }
@@ -304,9 +307,9 @@
   return true;
 }
 
-void DirectCarrier::StartRun(const AttemptId& id) {
+void DirectTransport::StartRun(const AttemptId& id) {
   Run& run = runs_.at(id);
-  ++run.runners;
+  ++run.decode_targets;
   TargetClient* client = ClientOf(run.instance);
   if (!client) {
     RefuseRun(id, {"target_gone", ReachBeforeRun(run),
@@ -341,14 +344,14 @@
   run.call = client->Start(std::move(call), std::move(hooks));
 }
 
-void DirectCarrier::OnHead(const AttemptId& id, int status,
-                           std::vector<HttpHeader> headers) {
+void DirectTransport::OnHead(const AttemptId& id, int status,
+                             std::vector<HttpHeader> headers) {
   Run* run = Find(id);
   if (!run) {
     return;
   }
   const AnswerMeaning meaning = dialect_.meaning(status, headers);
-  TellLimit(run->instance, *run, status, headers);
+  ReportLimit(run->instance, *run, status, headers);
   run->status = status;
   if (meaning != AnswerMeaning::kAnswer) {
     // Reported when the answer has been read, to keep the connection reusable.
@@ -365,7 +368,7 @@
   Flush();
 }
 
-void DirectCarrier::OnBody(const AttemptId& id, std::string_view data) {
+void DirectTransport::OnBody(const AttemptId& id, std::string_view data) {
   Run* run = Find(id);
   if (!run || run->refused) {
     return;
@@ -383,7 +386,7 @@
   Flush();
 }
 
-void DirectCarrier::OnBodyEnd(const AttemptId& id, const AnswerBodyEnd& end) {
+void DirectTransport::OnBodyEnd(const AttemptId& id, const AnswerBodyEnd& end) {
   const Run* run = Find(id);
   if (!run || !MayBeTruncated(end)) {
     return;
@@ -400,17 +403,17 @@
   }
 }
 
-void DirectCarrier::OnEnd(const AttemptId& id, const Status& status) {
+void DirectTransport::OnEnd(const AttemptId& id, const Status& status) {
   Run* run = Find(id);
   if (!run) {
     return;
   }
-  TellCallEnd(run->instance, run->called, status);
+  ReportCallEnd(run->instance, run->called, status);
   if (run->refused) {
     const bool full = *run->refused == AnswerMeaning::kNotRun;
     const std::string detail =
         "the target answered " + std::to_string(run->status);
-    if (!RunElsewhere(id, run, detail)) {
+    if (!RetryDecode(id, run, detail)) {
       RefuseRun(id, {full ? "target_full" : "wrong_target",
                      AttemptReach::kTarget, detail, full});
     }
@@ -424,7 +427,7 @@
     const Error& error = ErrorOf(status);
     if (!run->written) {
       const bool held_back = error.code == ErrorCode::kOverloaded;
-      if (!RunElsewhere(id, run, ToString(error))) {
+      if (!RetryDecode(id, run, ToString(error))) {
         RefuseRun(id, {held_back ? "call_held_back" : "target_unreachable",
                        ReachBeforeRun(*run), ToString(error), held_back});
       }
@@ -434,7 +437,7 @@
                       ? AttemptOutcome::kDeadline
                       : AttemptOutcome::kTargetFailed;
     end.detail = error.detail;
-    TellBroken(run->instance, *run, error);
+    ReportBrokenRequest(run->instance, *run, error);
     log_(kTargetBroke,
          {{"request", run->request->caller_id},
           {"target", run->instance},
@@ -446,35 +449,35 @@
   flow_->OnEnd(link, id, end, clock_());
 }
 
-void DirectCarrier::TellCallEnd(const std::string& instance,
-                                const std::optional<TargetRun>& called,
-                                const Status& status) {
+void DirectTransport::ReportCallEnd(const std::string& instance,
+                                    const std::optional<TargetRun>& called,
+                                    const Status& status) {
   const TargetRecord* target = FindTarget(instance);
   if (target && target->run != called) {
     return;  // The call went to a previous run of the target.
   }
-  const bool says_nothing =
+  const bool inconclusive =
       !IsOk(status) && (ErrorOf(status).code == ErrorCode::kTimeout ||
                         ErrorOf(status).code == ErrorCode::kOverloaded);
-  if (hooks_.on_call_end && !says_nothing) {
+  if (hooks_.on_call_end && !inconclusive) {
     hooks_.on_call_end(instance, !IsOk(status));
   }
 }
 
-AttemptReach DirectCarrier::ReachBeforeRun(const Run& run) {
-  return run.reader.empty() ? AttemptReach::kNothing
-                            : AttemptReach::kPrefillEngine;
+AttemptReach DirectTransport::ReachBeforeRun(const Run& run) {
+  return run.prefill_instance.empty() ? AttemptReach::kNothing
+                                      : AttemptReach::kPrefillEngine;
 }
 
-void DirectCarrier::RefuseRun(const AttemptId& id, Refused why) {
+void DirectTransport::RefuseRun(const AttemptId& id, RunRefusal why) {
   const auto node = runs_.extract(id);
   const Run& run = node.mapped();
   if (run.handle) {
-    FreeHandle(*run.handle);
+    ReleaseHandle(*run.handle);
   }
   log_(kAttemptRefused, {{"request", run.request->caller_id},
                          {"target", run.instance},
-                         {"reader", run.reader},
+                         {"reader", run.prefill_instance},
                          {"cause", why.code},
                          {"detail", why.detail}});
   SideRefusal refusal;
@@ -485,7 +488,7 @@
   flow_->OnRefused(run.link, id, refusal, clock_());
 }
 
-void DirectCarrier::FreeHandle(const KvHandle& handle) {
+void DirectTransport::ReleaseHandle(const KvHandle& handle) {
   const auto held_at =
       std::find_if(targets_.begin(), targets_.end(), [&handle](const auto& it) {
         return it.second.record.address == handle.source_address;
@@ -497,39 +500,39 @@
   }
   TargetRequest request = dialect_.release(handle);
   request.deadline = options_.release_deadline;
-  CallBeside(client, std::move(request), [](const Status&) {});
+  StartExtraCall(client, std::move(request), [](const Status&) {});
 }
 
-void DirectCarrier::AskAlive(const std::string& instance,
-                             std::function<void(const Status&)> done) {
+void DirectTransport::ProbeTarget(const std::string& instance,
+                                  std::function<void(const Status&)> done) {
   TargetClient* client = ClientForExtraCall(instance);
-  if (client && dialect_.ask_alive) {
-    CallBeside(client, dialect_.ask_alive(*FindTarget(instance)),
-               std::move(done));
+  if (client && dialect_.liveness_probe) {
+    StartExtraCall(client, dialect_.liveness_probe(*FindTarget(instance)),
+                   std::move(done));
   }
 }
 
-void DirectCarrier::CallBeside(TargetClient* client, TargetRequest request,
-                               std::function<void(const Status&)> done) {
-  const std::uint64_t number = ++next_call_beside_;
-  calls_beside_[number] = FetchAnswer(
+void DirectTransport::StartExtraCall(TargetClient* client,
+                                     TargetRequest request,
+                                     std::function<void(const Status&)> done) {
+  const std::uint64_t number = ++next_extra_call_;
+  extra_calls_[number] = FetchAnswer(
       client, std::move(request), options_.max_handle_bytes,
       [this, number, done = std::move(done)](const Result<TargetAnswer>& it) {
         // Deferred, because the call must not be destroyed in its own callback.
-        boost::asio::post(*io_,
-                          [this, number] { calls_beside_.erase(number); });
+        boost::asio::post(*io_, [this, number] { extra_calls_.erase(number); });
         done(IsOk(it) ? Status(Unit{}) : Status(ErrorOf(it)));
       });
 }
 
-void DirectCarrier::TellBroken(const std::string& instance, const Run& run,
-                               const Error& error) {
+void DirectTransport::ReportBrokenRequest(const std::string& instance,
+                                          const Run& run, const Error& error) {
   if (error.code == ErrorCode::kUnknownEffect && hooks_.on_request_broke) {
     hooks_.on_request_broke(instance, run.called, *run.request);
   }
 }
 
-void DirectCarrier::Act(const SendCredit& action) {
+void DirectTransport::Act(const SendCredit& action) {
   Run* run = Find(action.attempt);
   if (!run) {
     return;
@@ -541,22 +544,22 @@
   }
 }
 
-void DirectCarrier::Act(const SendCancel& action) {
+void DirectTransport::Act(const SendCancel& action) {
   // Destroying the call closes its connection, which stops the target.
   const auto node = runs_.extract(action.ref.attempt);
   if (!node.empty() && node.mapped().handle && !node.mapped().written) {
-    FreeHandle(*node.mapped().handle);
+    ReleaseHandle(*node.mapped().handle);
   }
 }
 
-void DirectCarrier::Act(const SendResume& action) {
+void DirectTransport::Act(const SendResume& action) {
   const Run* run = Find(action.ref.attempt);
   flow_->OnKnowledge(action.link, action.ref.attempt,
                      run ? AttemptKnowledge::kRunning : AttemptKnowledge::kLost,
                      run ? run->next_sequence : action.next_sequence, clock_());
 }
 
-void DirectCarrier::Flush() {
+void DirectTransport::Flush() {
   if (hooks_.flush) {
     hooks_.flush();
   }
--- a/src/entry/direct_carrier.h
+++ b/src/entry/direct_transport.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_ENTRY_DIRECT_CARRIER_H_
-#define INDIGOLEAD_ENTRY_DIRECT_CARRIER_H_
+#ifndef INDIGOLEAD_ENTRY_DIRECT_TRANSPORT_H_
+#define INDIGOLEAD_ENTRY_DIRECT_TRANSPORT_H_
 
 #include <utility>
 // Asio of Boost 1.74 needs <utility> before it.
@@ -33,7 +33,7 @@
 /// decode call is written.
 ///
 /// Runs on the thread of its io_context.
-class DirectCarrier {
+class DirectTransport {
  public:
   struct Options {
     HttpTargetClient::Options client;  ///< Without the address.
@@ -50,7 +50,7 @@
     double max_prefill_share = 0.4;
     /// Maximum number of targets asked to decode one prefilled prompt. The
     /// third is for the case that the first could not be reached at all.
-    std::uint32_t max_runners = 3;
+    std::uint32_t max_decode_targets = 3;
     /// Deadline of the call that releases a KV handle.
     Duration release_deadline = std::chrono::seconds(2);
   };
@@ -66,14 +66,14 @@
     /// none can.
     std::function<std::optional<std::string>(const AttemptId&,
                                              const CallerRequest&)>
-        choose_runner;
+        choose_decode_target;
     /// The target chosen to decode did not accept the attempt.
-    std::function<void(const AttemptId&)> on_runner_refused;
+    std::function<void(const AttemptId&)> on_decode_refused;
     /// Returns true if the request may be sent to one more target, and charges
     /// the retry budget for it.
-    std::function<bool(const CallerRequest&)> may_arrive_again;
-    /// The request that `may_arrive_again` allowed was not sent.
-    std::function<void(const CallerRequest&)> on_no_arrival;
+    std::function<bool(const CallerRequest&)> try_charge_arrival;
+    /// The request that `try_charge_arrival` allowed was not sent.
+    std::function<void(const CallerRequest&)> on_arrival_canceled;
     /// The body of a target's answer ended according to its framing, but that
     /// does not prove that it is complete.
     std::function<void(const AnswerBodyEnd&)> on_doubtful_end;
@@ -98,19 +98,20 @@
     /// The head of any answer of the target asks for a rest: this entry is to
     /// send it no calls for `length`.
     std::function<void(const std::string& instance, Duration length)>
-        on_rest_asked;
+        on_rest_requested;
     /// The head of any answer of the target announces that it is leaving.
-    std::function<void(const std::string& instance)> on_leaving_told;
+    std::function<void(const std::string& instance)> on_leaving_announced;
     /// Called after each event passed to the flow.
     std::function<void()> flush;
   };
 
   /// `io` and `flow` must outlive this object.
-  DirectCarrier(boost::asio::io_context* io, RequestFlow* flow, Options options,
-                TargetDialect dialect, Hooks hooks, Clock clock, EventLog log);
-  ~DirectCarrier();
-  DirectCarrier(const DirectCarrier&) = delete;
-  DirectCarrier& operator=(const DirectCarrier&) = delete;
+  DirectTransport(boost::asio::io_context* io, RequestFlow* flow,
+                  Options options, TargetDialect dialect, Hooks hooks,
+                  Clock clock, EventLog log);
+  ~DirectTransport();
+  DirectTransport(const DirectTransport&) = delete;
+  DirectTransport& operator=(const DirectTransport&) = delete;
 
   /// Applies a change from the target directory.
   void OnTarget(const TargetChange& change);
@@ -123,8 +124,8 @@
 
   /// Probes whether a target is alive with a call that runs no request. Never
   /// calls `done` if the target is unknown or may not be called now.
-  void AskAlive(const std::string& instance,
-                std::function<void(const Status&)> done);
+  void ProbeTarget(const std::string& instance,
+                   std::function<void(const Status&)> done);
   /// Returns the client of a target for one call outside the attempts, or null
   /// if the target is unknown or may not be called now. The call counts against
   /// the target's limit like any other.
@@ -145,16 +146,16 @@
     SideLink link;
     std::string instance;
     /// Prefill engine; empty if `instance` prefills.
-    std::string reader;
+    std::string prefill_instance;
     std::shared_ptr<const CallerRequest> request;
     TimePoint deadline;
     std::string resume_after;
     std::unique_ptr<TargetClient::Call> call;
     std::optional<TargetRun> called;  ///< Run of its target, if known.
     TimePoint called_at{};
-    std::optional<KvHandle> handle;  ///< Prefilled, not decoded yet.
-    std::uint32_t runners = 0;       ///< Targets asked to decode.
-    bool written = false;            ///< The call that runs the request.
+    std::optional<KvHandle> handle;    ///< Prefilled, not decoded yet.
+    std::uint32_t decode_targets = 0;  ///< Targets asked to decode.
+    bool written = false;              ///< The call that runs the request.
     bool paused = false;
     /// Set if the head of the answer says that the request did not run.
     std::optional<AnswerMeaning> refused;
@@ -175,42 +176,42 @@
   std::unique_ptr<TargetClient> MakeClient(const std::string& address);
   /// Reports the notices that an answer head carries about its target. Ignores
   /// answers of replaced clients.
-  void TellNotices(const std::string& instance, std::uint64_t client_number,
-                   int status, const std::vector<HttpHeader>& headers);
+  void ReportNotices(const std::string& instance, std::uint64_t client_number,
+                     int status, const std::vector<HttpHeader>& headers);
   void StartPrefill(const AttemptId& id, const std::string& at);
   Duration PrefillWait(Duration left) const;
   std::string CopyAddress(const AttemptId& id) const;
   void StartRun(const AttemptId& id);
-  bool MoveToRunner(const AttemptId& id, Run* run);
-  bool RunElsewhere(const AttemptId& id, Run* run, const std::string& why);
-  void OnHandle(const AttemptId& id, const std::string& reader,
+  bool MoveToDecodeTarget(const AttemptId& id, Run* run);
+  bool RetryDecode(const AttemptId& id, Run* run, const std::string& why);
+  void OnHandle(const AttemptId& id, const std::string& prefill_instance,
                 const Result<TargetAnswer>& answer);
   void OnHead(const AttemptId& id, int status, std::vector<HttpHeader> headers);
   void OnBody(const AttemptId& id, std::string_view data);
   void OnBodyEnd(const AttemptId& id, const AnswerBodyEnd& end);
   void OnEnd(const AttemptId& id, const Status& status);
   /// Reason why an attempt did not start its request.
-  struct Refused {
+  struct RunRefusal {
     std::string code;
     AttemptReach reach;
     std::string detail;
     bool overloaded = false;
   };
 
-  void TellCallEnd(const std::string& instance,
-                   const std::optional<TargetRun>& called,
-                   const Status& status);
+  void ReportCallEnd(const std::string& instance,
+                     const std::optional<TargetRun>& called,
+                     const Status& status);
   /// Reports the limit in the head of an answer of `instance`.
-  void TellLimit(const std::string& instance, const Run& run, int status,
-                 const std::vector<HttpHeader>& headers);
+  void ReportLimit(const std::string& instance, const Run& run, int status,
+                   const std::vector<HttpHeader>& headers);
   /// Returns how far an attempt got whose run call was not written.
   static AttemptReach ReachBeforeRun(const Run& run);
-  void RefuseRun(const AttemptId& id, Refused why);
-  void FreeHandle(const KvHandle& handle);
-  void CallBeside(TargetClient* client, TargetRequest request,
-                  std::function<void(const Status&)> done);
-  void TellBroken(const std::string& instance, const Run& run,
-                  const Error& error);
+  void RefuseRun(const AttemptId& id, RunRefusal why);
+  void ReleaseHandle(const KvHandle& handle);
+  void StartExtraCall(TargetClient* client, TargetRequest request,
+                      std::function<void(const Status&)> done);
+  void ReportBrokenRequest(const std::string& instance, const Run& run,
+                           const Error& error);
   Run* Find(const AttemptId& id);
   void Flush();
 
@@ -224,12 +225,12 @@
   std::map<std::string, Target> targets_;
   std::unordered_map<AttemptId, Run> runs_;
   /// Open calls outside the attempts, by number.
-  std::map<std::uint64_t, std::unique_ptr<TargetClient::Call>> calls_beside_;
-  std::uint64_t next_call_beside_ = 0;
+  std::map<std::uint64_t, std::unique_ptr<TargetClient::Call>> extra_calls_;
+  std::uint64_t next_extra_call_ = 0;
   std::uint64_t next_link_ = 0;
   std::uint64_t next_client_ = 0;
 };
 
 }  // namespace indigolead
 
-#endif  // INDIGOLEAD_ENTRY_DIRECT_CARRIER_H_
+#endif  // INDIGOLEAD_ENTRY_DIRECT_TRANSPORT_H_
--- a/src/entry/direct_carrier_notices.cc
+++ b/src/entry/direct_transport_notices.cc
@@ -1,12 +1,12 @@
 // Notices about a target in the heads of its answers.
 
-#include "entry/direct_carrier.h"
+#include "entry/direct_transport.h"
 #include "entry/events.h"
 #include "entry/watched_target_client.h"
 
 namespace indigolead {
 
-std::unique_ptr<TargetClient> DirectCarrier::MakeClient(
+std::unique_ptr<TargetClient> DirectTransport::MakeClient(
     const std::string& address) {
   if (options_.make_client) {
     return options_.make_client(address);
@@ -16,7 +16,7 @@
   return std::make_unique<HttpTargetClient>(io_, std::move(options));
 }
 
-void DirectCarrier::RenewClient(Target* target) {
+void DirectTransport::RenewClient(Target* target) {
   const std::string& id = target->record.id;
   const std::uint64_t number = ++next_client_;
   WatchedTargetClient::Watcher watcher;
@@ -26,48 +26,48 @@
   };
   watcher.on_head = [this, id, number](int status,
                                        const std::vector<HttpHeader>& headers) {
-    TellNotices(id, number, status, headers);
+    ReportNotices(id, number, status, headers);
   };
   target->client_number = number;
   target->client = std::make_unique<WatchedTargetClient>(
       MakeClient(target->record.address), std::move(watcher));
 }
 
-void DirectCarrier::TellNotices(const std::string& instance,
-                                std::uint64_t client_number, int status,
-                                const std::vector<HttpHeader>& headers) {
+void DirectTransport::ReportNotices(const std::string& instance,
+                                    std::uint64_t client_number, int status,
+                                    const std::vector<HttpHeader>& headers) {
   const auto it = targets_.find(instance);
   if (it == targets_.end() || it->second.client_number != client_number) {
     return;  // The answer came through a replaced client.
   }
   const TargetRecord& target = it->second.record;
-  const auto rest = dialect_.asked_rest
-                        ? dialect_.asked_rest(target, status, headers)
+  const auto rest = dialect_.requested_rest
+                        ? dialect_.requested_rest(target, status, headers)
                         : Result<Duration>(Duration{0});
   if (!IsOk(rest)) {
     log_(kTargetNoticeUnreadable, {{"error", ToString(ErrorOf(rest))}});
-  } else if (ValueOf(rest) > Duration{0} && hooks_.on_rest_asked) {
-    hooks_.on_rest_asked(instance, ValueOf(rest));
+  } else if (ValueOf(rest) > Duration{0} && hooks_.on_rest_requested) {
+    hooks_.on_rest_requested(instance, ValueOf(rest));
   }
   const auto leaving = dialect_.says_leaving
                            ? dialect_.says_leaving(target, headers)
                            : Result<bool>(false);
   if (!IsOk(leaving)) {
     log_(kTargetNoticeUnreadable, {{"error", ToString(ErrorOf(leaving))}});
-  } else if (ValueOf(leaving) && hooks_.on_leaving_told) {
-    hooks_.on_leaving_told(instance);
+  } else if (ValueOf(leaving) && hooks_.on_leaving_announced) {
+    hooks_.on_leaving_announced(instance);
   }
 }
 
-void DirectCarrier::TellLimit(const std::string& instance, const Run& run,
-                              int status,
-                              const std::vector<HttpHeader>& headers) {
+void DirectTransport::ReportLimit(const std::string& instance, const Run& run,
+                                  int status,
+                                  const std::vector<HttpHeader>& headers) {
   const TargetRecord* target = FindTarget(instance);
   if (!target || target->run != run.called || !hooks_.on_limit_notice ||
-      !dialect_.named_limit) {
+      !dialect_.announced_limit) {
     return;
   }
-  const auto limit = dialect_.named_limit(*target, headers);
+  const auto limit = dialect_.announced_limit(*target, headers);
   if (!IsOk(limit)) {
     log_(kTargetLimitUnreadable, {{"request", run.request->caller_id},
                                   {"error", ToString(ErrorOf(limit))}});
--- a/src/entry/load_control.cc
+++ b/src/entry/load_control.cc
@@ -14,7 +14,7 @@
 
 /// Validity of a learned duration ratio. It expires because a wrong ratio would
 /// otherwise refuse all requests that could correct it.
-constexpr Duration kLearnedFor = std::chrono::seconds(10);
+constexpr Duration kRatioValidity = std::chrono::seconds(10);
 
 /// Concurrent requests assumed for a plain service, which reports no load.
 constexpr std::uint32_t kServiceSlots = 256;
@@ -270,7 +270,7 @@
                                 const RouteLeg& leg, TimePoint now) const {
   const auto it = deployment.ratios.find(request.client_account);
   if (it == deployment.ratios.end() || it->second.samples < kMinSamples ||
-      now - it->second.seen_at > kLearnedFor) {
+      now - it->second.seen_at > kRatioValidity) {
     return Duration{0};
   }
   return std::chrono::duration_cast<Duration>(leg.expected_end *
@@ -291,7 +291,7 @@
 
 GateResult LoadControl::Admit(const CallerRequest& request, TimePoint now) {
   Deployment* deployment = Find(request.deployment);
-  if (deployment == nullptr || held_.size() >= options_.max_requests) {
+  if (deployment == nullptr || open_requests_.size() >= options_.max_requests) {
     return Gate::kOpen;
   }
   const PrefixBlocks blocks(request.body, options_.block_bytes, 0);
@@ -314,20 +314,20 @@
   if (outcome.verdict == AdmissionVerdict::kRefused) {
     return RefusalOf(outcome);
   }
-  Held& held = held_[request.id];
-  held.deployment = request.deployment;
+  OpenRequest& open_request = open_requests_[request.id];
+  open_request.deployment = request.deployment;
   if (outcome.verdict == AdmissionVerdict::kQueued) {
     return Gate::kWait;
   }
-  held.ticket = outcome.ticket;
+  open_request.ticket = outcome.ticket;
   return Gate::kOpen;
 }
 
 // The flow's candidates are authoritative for which targets may be chosen: the
 // flow knows of drains and leaving instances that no side has reported yet.
-void LoadControl::Match(Deployment* deployment,
-                        const std::vector<Candidate>& candidates,
-                        std::vector<TargetHandle>* tried) {
+void LoadControl::SyncCandidates(Deployment* deployment,
+                                 const std::vector<Candidate>& candidates,
+                                 std::vector<TargetHandle>* tried) {
   std::map<std::string, Target>& targets = deployment->targets;
   std::map<std::string, bool> offered;
   for (const Candidate& it : candidates) {
@@ -358,7 +358,7 @@
     return RouteWait{};
   }
   std::vector<TargetHandle> tried;
-  Match(deployment, candidates, &tried);
+  SyncCandidates(deployment, candidates, &tried);
   const PrefixBlocks blocks(request.body, options_.block_bytes, 0);
   RouteQuery query = QueryOf(*deployment, request, blocks);
   query.excluded = tried;
@@ -366,42 +366,42 @@
   if (decision.verdict != RouteVerdict::kChosen) {
     return RouteWait{};
   }
-  decided_ = decision.leg;
+  decided_leg_ = decision.leg;
   return RouteTo{deployment->router.View(decision.leg.target)->instance};
 }
 
 void LoadControl::OnSent(const CallerRequest& request, const AttemptId& attempt,
                          const SideInfo&, TimePoint now) {
   Deployment* deployment = Find(request.deployment);
-  if (deployment == nullptr || sent_.size() >= options_.max_requests) {
+  if (deployment == nullptr || sent_attempts_.size() >= options_.max_requests) {
     return;
   }
   const PrefixBlocks blocks(request.body, options_.block_bytes, 0);
-  deployment->router.OnSent(attempt, decided_, blocks.hashes(), now);
-  sent_[attempt] =
-      Sent{request.deployment, request.client_account, decided_, now};
+  deployment->router.OnSent(attempt, decided_leg_, blocks.hashes(), now);
+  sent_attempts_[attempt] = SentAttempt{
+      request.deployment, request.client_account, decided_leg_, now};
 }
 
 void LoadControl::OnFirstFrame(const AttemptId& attempt, TimePoint now) {
-  const auto sent = sent_.find(attempt);
+  const auto sent = sent_attempts_.find(attempt);
   Deployment* deployment =
-      sent == sent_.end() ? nullptr : Find(sent->second.deployment);
+      sent == sent_attempts_.end() ? nullptr : Find(sent->second.deployment);
   if (deployment != nullptr) {
     deployment->router.OnFirstToken(attempt, now);
   }
 }
 
-void LoadControl::Learn(Deployment* deployment, const Sent& sent,
-                        TimePoint now) {
+void LoadControl::UpdateRatio(Deployment* deployment, const SentAttempt& sent,
+                              TimePoint now) {
   const double expected =
       std::chrono::duration<double>(sent.leg.expected_end).count();
-  const double took = std::chrono::duration<double>(now - sent.at).count();
-  if (expected <= 0 || took < 0) {
+  const double actual = std::chrono::duration<double>(now - sent.at).count();
+  if (expected <= 0 || actual < 0) {
     return;
   }
-  FinishRatio& it = deployment->ratios[sent.account];
+  DurationRatio& it = deployment->ratios[sent.account];
   const double weight = it.samples == 0 ? 1.0 : 0.1;
-  it.ratio += weight * (std::clamp(took / expected, 0.01, 10.0) - it.ratio);
+  it.ratio += weight * (std::clamp(actual / expected, 0.01, 10.0) - it.ratio);
   ++it.samples;
   it.seen_at = now;
 }
@@ -410,18 +410,18 @@
                                const AttemptId& attempt, AttemptOutcome outcome,
                                TimePoint now) {
   Deployment* deployment = Find(request.deployment);
-  const auto sent = sent_.find(attempt);
-  if (deployment == nullptr || sent == sent_.end()) {
+  const auto sent = sent_attempts_.find(attempt);
+  if (deployment == nullptr || sent == sent_attempts_.end()) {
     return;
   }
   deployment->router.OnEnded(attempt, FateOf(outcome), now);
-  const auto held = held_.find(request.id);
+  const auto open_request = open_requests_.find(request.id);
   if (outcome == AttemptOutcome::kComplete) {
-    Learn(deployment, sent->second, now);
+    UpdateRatio(deployment, sent->second, now);
   }
-  sent_.erase(sent);
-  if (held != held_.end()) {
-    held->second.end =
+  sent_attempts_.erase(sent);
+  if (open_request != open_requests_.end()) {
+    open_request->second.end =
         outcome == AttemptOutcome::kComplete   ? AdmissionEnd::kInTime
         : outcome == AttemptOutcome::kDeadline ? AdmissionEnd::kLate
                                                : AdmissionEnd::kNeutral;
@@ -429,26 +429,26 @@
 }
 
 void LoadControl::OnDone(const CallerRequest& request, TimePoint now) {
-  const auto held = held_.find(request.id);
-  if (held == held_.end()) {
+  const auto open_request = open_requests_.find(request.id);
+  if (open_request == open_requests_.end()) {
     return;
   }
-  if (Deployment* deployment = Find(held->second.deployment)) {
-    if (held->second.ticket) {
-      deployment->admission.OnEnded(*held->second.ticket, held->second.end,
-                                    now);
+  if (Deployment* deployment = Find(open_request->second.deployment)) {
+    if (open_request->second.ticket) {
+      deployment->admission.OnEnded(*open_request->second.ticket,
+                                    open_request->second.end, now);
     } else {
       deployment->admission.Cancel(request.id);
     }
   }
-  held_.erase(held);
+  open_requests_.erase(open_request);
 }
 
 void LoadControl::Tick(TimePoint now) {
   std::vector<AdmissionDecision> displaced;
   displaced.swap(displaced_);
   for (const AdmissionDecision& it : displaced) {
-    Take(it, now);
+    ApplyDecision(it, now);
   }
   std::int64_t queued = 0;
   for (const auto& [name, deployment] : deployments_) {
@@ -456,7 +456,7 @@
     it->admission.Advance(
         now, [this, it, now] { return FleetOf(*it, now); },
         [this, now](const AdmissionDecision& decision) {
-          Take(decision, now);
+          ApplyDecision(decision, now);
         });
     queued += it->admission.queued();
   }
@@ -465,13 +465,14 @@
 
 // Applies a decision on a queued request. A refusal leads to `OnDone`, which
 // then finds nothing to release.
-void LoadControl::Take(const AdmissionDecision& decision, TimePoint now) {
+void LoadControl::ApplyDecision(const AdmissionDecision& decision,
+                                TimePoint now) {
   if (decision.verdict == AdmissionVerdict::kRefused) {
-    held_.erase(decision.id);
+    open_requests_.erase(decision.id);
     outputs_.refused(decision.id, RefusalOf(decision), now);
     return;
   }
-  held_[decision.id].ticket = decision.ticket;
+  open_requests_[decision.id].ticket = decision.ticket;
   outputs_.admitted(decision.id, now);
 }
 
--- a/src/entry/load_control.h
+++ b/src/entry/load_control.h
@@ -62,7 +62,7 @@
   };
   /// Ratio of the actual to the expected duration of an account's requests. The
   /// expectation assumes that the output reaches its length limit.
-  struct FinishRatio {
+  struct DurationRatio {
     double ratio = 1;
     std::uint32_t samples = 0;
     TimePoint seen_at{};
@@ -74,14 +74,14 @@
     Router router;
     Admission admission;
     std::map<std::string, Target> targets;
-    std::map<std::string, FinishRatio> ratios;  ///< By client account.
+    std::map<std::string, DurationRatio> ratios;  ///< By client account.
   };
-  struct Held {
+  struct OpenRequest {
     std::string deployment;
     std::optional<AdmissionTicket> ticket;  ///< Absent while queued.
     AdmissionEnd end = AdmissionEnd::kNeutral;
   };
-  struct Sent {
+  struct SentAttempt {
     std::string deployment;
     std::string account;
     RouteLeg leg;
@@ -90,8 +90,9 @@
 
   Deployment* Find(const std::string& name);
   void Observe(Deployment* deployment, const SideInfo& info);
-  void Match(Deployment* deployment, const std::vector<Candidate>& candidates,
-             std::vector<TargetHandle>* tried);
+  void SyncCandidates(Deployment* deployment,
+                      const std::vector<Candidate>& candidates,
+                      std::vector<TargetHandle>* tried);
   FleetLoad FleetOf(const Deployment& deployment, TimePoint now) const;
   RouteQuery QueryOf(const Deployment& deployment, const CallerRequest& request,
                      const PrefixBlocks& blocks) const;
@@ -107,9 +108,10 @@
   void OnAttemptEnd(const CallerRequest& request, const AttemptId& attempt,
                     AttemptOutcome outcome, TimePoint now);
   void OnDone(const CallerRequest& request, TimePoint now);
-  void Learn(Deployment* deployment, const Sent& sent, TimePoint now);
+  void UpdateRatio(Deployment* deployment, const SentAttempt& sent,
+                   TimePoint now);
   void Tick(TimePoint now);
-  void Take(const AdmissionDecision& decision, TimePoint now);
+  void ApplyDecision(const AdmissionDecision& decision, TimePoint now);
   Refusal RefusalOf(const AdmissionDecision& decision);
 
   void OnLinkUp(LinkId link, const wire::Hello& hello);
@@ -121,10 +123,10 @@
   RandomSource random_;
   std::map<std::string, std::unique_ptr<Deployment>> deployments_;
   std::map<LinkId, SideInfo> sides_;
-  std::unordered_map<RequestId, Held> held_;
-  std::unordered_map<AttemptId, Sent> sent_;
+  std::unordered_map<RequestId, OpenRequest> open_requests_;
+  std::unordered_map<AttemptId, SentAttempt> sent_attempts_;
   /// Set by `Route` for the `OnSent` that follows.
-  RouteLeg decided_;
+  RouteLeg decided_leg_;
   /// Refusals of requests that others displaced. Reported on the next tick,
   /// because the flow is still processing the request that displaced them.
   std::vector<AdmissionDecision> displaced_;
--- a/src/entry/stage_service.cc
+++ b/src/entry/stage_service.cc
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-StageService::StageService(ObjectStore* store, DirectCarrier* carrier,
+StageService::StageService(ObjectStore* store, DirectTransport* carrier,
                            Options options, OrderDialect dialect,
                            Lease::Jitter jitter, Clock clock, IdSource ids,
                            EventLog log)
--- a/src/entry/stage_service.h
+++ b/src/entry/stage_service.h
@@ -10,7 +10,7 @@
 
 #include "core/control/stage_control.h"
 #include "core/membership/target_directory.h"
-#include "entry/direct_carrier.h"
+#include "entry/direct_transport.h"
 #include "entry/lease_keeper.h"
 #include "observe/event_log.h"
 
@@ -56,7 +56,7 @@
   };
 
   /// `store` and `carrier` must outlive this object.
-  StageService(ObjectStore* store, DirectCarrier* carrier, Options options,
+  StageService(ObjectStore* store, DirectTransport* carrier, Options options,
                OrderDialect dialect, Lease::Jitter jitter, Clock clock,
                IdSource ids, EventLog log);
   StageService(const StageService&) = delete;
@@ -97,7 +97,7 @@
   void Finish(const std::string& service, const StageOrder& order,
               StageOrderOutcome outcome, const std::string& detail);
 
-  DirectCarrier* carrier_;
+  DirectTransport* carrier_;
   Options options_;
   OrderDialect dialect_;
   Clock clock_;
--- a/src/entry/target_dialect.h
+++ b/src/entry/target_dialect.h
@@ -63,7 +63,7 @@
   std::function<TargetRequest(const KvHandle& handle)> release;
   /// Builds a liveness probe: a call that runs no request and that a live
   /// target answers at once.
-  std::function<TargetRequest(const TargetRecord& target)> ask_alive;
+  std::function<TargetRequest(const TargetRecord& target)> liveness_probe;
   /// Classifies the head of an answer.
   std::function<AnswerMeaning(int status,
                               const std::vector<HttpHeader>& headers)>
@@ -72,12 +72,12 @@
   /// all entries together; nullopt if it has none.
   std::function<Result<std::optional<double>>(
       const TargetRecord& target, const std::vector<HttpHeader>& headers)>
-      named_limit;
+      announced_limit;
   /// Returns for how long the head of an answer asks this entry to send no
   /// requests; zero if it does not ask.
   std::function<Result<Duration>(const TargetRecord& target, int status,
                                  const std::vector<HttpHeader>& headers)>
-      asked_rest;
+      requested_rest;
   /// Returns true if the head of an answer says that its target is leaving.
   std::function<Result<bool>(const TargetRecord& target,
                              const std::vector<HttpHeader>& headers)>
--- a/src/entry/target_follower.cc
+++ b/src/entry/target_follower.cc
@@ -56,7 +56,7 @@
   if (watcher_.following() && !following_) {
     NoteFollowed();
   }
-  const auto due = hooks_.asks_at();
+  const auto due = hooks_.list_needed_at();
   if (due && clock_() >= *due && watcher_.fresh_at() < *due) {
     watcher_.Refresh();
   }
--- a/src/entry/target_follower.h
+++ b/src/entry/target_follower.h
@@ -28,7 +28,7 @@
     std::function<void(TimePoint known_until)> on_known_until;
     /// Returns the time at which a current list is needed, or nullopt if none
     /// is. The store is asked then unless the list is already as recent.
-    std::function<std::optional<TimePoint>()> asks_at;
+    std::function<std::optional<TimePoint>()> list_needed_at;
     /// Returns a number in [0, 1) that randomizes the delay between retries.
     std::function<double()> jitter;
   };
--- a/tests/platform/direct_carrier_test.cc
+++ b/tests/platform/direct_transport_test.cc
@@ -1,4 +1,4 @@
-#include "entry/direct_carrier.h"
+#include "entry/direct_transport.h"
 
 #include <catch2/catch.hpp>
 #include <deque>
@@ -124,14 +124,14 @@
     return servers_[n].requests().size();
   }
   std::size_t open() { return dispatcher_.open_requests(); }
-  std::size_t running() { return dispatcher_.carrier().running(); }
+  std::size_t running() { return dispatcher_.transport().running(); }
 
  private:
   /// Without calls that ask whether a target is alive: they would take the
   /// scripts of callers' requests.
   static TargetDialect Dialect() {
     TargetDialect dialect = platform::MakePlatformDialect();
-    dialect.ask_alive = {};
+    dialect.liveness_probe = {};
     return dialect;
   }
   static TargetRecord Target(const std::string& id,
--- a/tests/platform/support/return_world.cc
+++ b/tests/platform/support/return_world.cc
@@ -275,7 +275,7 @@
   hooks.on_known_until = [this](TimePoint known_until) {
     directory_.OnKnownUntil(known_until);
   };
-  hooks.asks_at = [this] { return directory_.AbsenceDue(); };
+  hooks.list_needed_at = [this] { return directory_.AbsenceDue(); };
   hooks.jitter = std::move(jitter);
   return hooks;
 }
--- a/tests/platform/target_notices_test.cc
+++ b/tests/platform/target_notices_test.cc
@@ -177,7 +177,7 @@
   const std::optional<Refusal>& refusal() const { return refusal_; }
   /// Returns how often a target was found to break its calls.
   int avoided() const { return avoided_; }
-  DirectCarrier& carrier() { return dispatcher_.carrier(); }
+  DirectTransport& transport() { return dispatcher_.transport(); }
 
  private:
   DirectDispatcher::Options Options(double retries) {
@@ -185,7 +185,7 @@
     options.flow.no_target_wait = Duration{0};
     options.flow.charge_refused_attempts = true;
     options.retry_budget = {0, {retries, 0}, retries};
-    options.carrier.make_client = [this](const std::string& address) {
+    options.transport.make_client = [this](const std::string& address) {
       return std::make_unique<FakeClient>(&io_, &targets_[address]);
     };
     return options;
@@ -305,9 +305,9 @@
     CHECK(scene.answered());
   }
   SECTION("gets no orders and frees no handles meanwhile") {
-    CHECK(scene.carrier().ClientForExtraCall("a") == nullptr);
+    CHECK(scene.transport().ClientForExtraCall("a") == nullptr);
     scene.Pass(seconds(3));
-    CHECK(scene.carrier().ClientForExtraCall("a") != nullptr);
+    CHECK(scene.transport().ClientForExtraCall("a") != nullptr);
   }
   SECTION("may get requests as soon as a new run of it has registered") {
     scene.List("a", "10.0.0.1:80").run = TargetRun{1};
--- a/tests/platform/target_words_test.cc
+++ b/tests/platform/target_words_test.cc
@@ -146,7 +146,7 @@
 
 TEST_CASE("A target's limit is a number of requests a second") {
   const auto limit_of = [](const std::vector<HttpHeader>& headers) {
-    return MakePlatformDialect().named_limit(Target(), headers);
+    return MakePlatformDialect().announced_limit(Target(), headers);
   };
   CHECK(ValueOf(limit_of({{"Content-Type", "text/plain"}})) == std::nullopt);
   CHECK(ValueOf(limit_of({{"Server-Limit", "5.4"}})) == 5.4);
@@ -161,7 +161,7 @@
 TEST_CASE("A target's rest is a number of seconds") {
   const TargetDialect dialect = MakePlatformDialect();
   const auto rest = [&](int status, std::vector<HttpHeader> headers) {
-    return dialect.asked_rest(Target(), status, headers);
+    return dialect.requested_rest(Target(), status, headers);
   };
   SECTION("told with 503, whether or not the answer proves that nothing ran") {
     CHECK(ValueOf(rest(503, {{"Retry-After", "3"}})) == seconds(3));
--- a/tests/shell/account_counters_test.cc
+++ b/tests/shell/account_counters_test.cc
@@ -8,8 +8,8 @@
 
 /// Returns true if the metrics show `value` for the counter `name` of
 /// `account`.
-bool Shows(const MetricsRegistry& metrics, const std::string& name,
-           const std::string& account, int value) {
+bool HasCounter(const MetricsRegistry& metrics, const std::string& name,
+                const std::string& account, int value) {
   const std::string line = "\nindigolead_account_requests_" + name +
                            "_total{account=\"" + account + "\"} " +
                            std::to_string(value) + "\n";
@@ -18,21 +18,21 @@
 
 TEST_CASE("Requests are counted by client account") {
   MetricsRegistry metrics;
-  AccountCounters counters(&metrics, /*most_accounts=*/2);
+  AccountCounters counters(&metrics, /*max_accounts=*/2);
   counters.OnAnswered("salon");
   counters.OnAnswered("salon");
   counters.OnFailed("salon");
   counters.OnAnswered("");
-  CHECK(Shows(metrics, "answered", "salon", 2));
-  CHECK(Shows(metrics, "failed", "salon", 1));
-  CHECK(Shows(metrics, "answered", "(no account)", 1));
+  CHECK(HasCounter(metrics, "answered", "salon", 2));
+  CHECK(HasCounter(metrics, "failed", "salon", 1));
+  CHECK(HasCounter(metrics, "answered", "(no account)", 1));
 
   SECTION("accounts beyond the bound share counters") {
     counters.OnAnswered("owner");
     counters.OnAnswered("head-office");
     counters.OnAnswered("salon");
-    CHECK(Shows(metrics, "answered", "(all others)", 2));
-    CHECK(Shows(metrics, "answered", "salon", 3));
+    CHECK(HasCounter(metrics, "answered", "(all others)", 2));
+    CHECK(HasCounter(metrics, "answered", "salon", 3));
     CHECK(metrics.ToPrometheusText().find("owner") == std::string::npos);
   }
 }
@@ -41,7 +41,7 @@
   MetricsRegistry metrics;
   AccountCounters counters(&metrics);
   counters.OnAnswered("a\"b\\c");
-  CHECK(Shows(metrics, "answered", "a\\\"b\\\\c", 1));
+  CHECK(HasCounter(metrics, "answered", "a\\\"b\\\\c", 1));
 }
 
 }  // namespace
--- a/tests/shell/crash_service_test.cc
+++ b/tests/shell/crash_service_test.cc
@@ -45,8 +45,8 @@
     options.watch.min_backoff = milliseconds(20);
     options.watch.max_backoff = milliseconds(100);
     options.write.deadline = milliseconds(300);
-    options.write_again = milliseconds(50);
-    options.clear_together = milliseconds(100);
+    options.write_retry_delay = milliseconds(50);
+    options.clear_batch_delay = milliseconds(100);
     return options;
   }
 
@@ -69,12 +69,12 @@
     CHECK(world->RunUntil([&] { return a.Stops(kBad) && b.Stops(kBad); }));
     Entry c(world.get(), "front-3");
     CHECK(world->RunUntil([&] { return c.Stops(kBad); }));
-    Entry anew(world.get(), "front-1");
-    CHECK(world->RunUntil([&] { return anew.Stops(kBad); }));
+    Entry restarted(world.get(), "front-1");
+    CHECK(world->RunUntil([&] { return restarted.Stops(kBad); }));
 
     SECTION("the restarted entry keeps the report of its previous process") {
-      anew->OnCrash(Crash(4), {11});
-      anew->OnCrash(Crash(5), {11});
+      restarted->OnCrash(Crash(4), {11});
+      restarted->OnCrash(Crash(5), {11});
       CHECK(world->RunUntil([&] { return b.Stops(11); }));
       CHECK(b.Stops(kBad));
     }
--- a/tests/shell/direct_rest_test.cc
+++ b/tests/shell/direct_rest_test.cc
@@ -8,21 +8,22 @@
 namespace indigolead::testing {
 namespace {
 
-constexpr std::uint64_t kWorlds = 150;
+constexpr std::uint64_t kSimulations = 150;
 
 /// Runs the simulations and checks that none violates a guarantee. Returns the
 /// summed counts.
-DirectWorldReport PlayWorlds(const DirectWorldOptions& options) {
+DirectWorldReport RunSimulations(const DirectWorldOptions& options) {
   DirectWorldReport total;
-  int broken = 0;
-  for (std::uint64_t seed = 1; seed <= kWorlds && broken < 10; ++seed) {
+  int failed_runs = 0;
+  for (std::uint64_t seed = 1; seed <= kSimulations && failed_runs < 10;
+       ++seed) {
     const DirectWorldReport report = PlayDirectWorld(seed, options);
     INFO("world " << seed);
     for (const std::string& it : report.violations) {
       UNSCOPED_INFO(it);
     }
     CHECK(report.violations.empty());
-    broken += report.violations.empty() ? 0 : 1;
+    failed_runs += report.violations.empty() ? 0 : 1;
     total.requests += report.requests;
     total.answered += report.answered;
     total.rests += report.rests;
@@ -34,7 +35,7 @@
 /// Guards against calls of any kind to a target that has asked the entry for
 /// rest, whether they were decided before or after it asked.
 TEST_CASE("A target at rest gets no calls in random simulations") {
-  const DirectWorldReport total = PlayWorlds({.rests = true});
+  const DirectWorldReport total = RunSimulations({.rests = true});
   CHECK(total.rests > 300);
   CHECK(total.answered > total.requests / 4);
 }
@@ -43,7 +44,7 @@
 /// is leaving, whatever the list of targets says.
 TEST_CASE(
     "A target that announces leaving gets no requests in random simulations") {
-  const DirectWorldReport total = PlayWorlds({.leaving = true});
+  const DirectWorldReport total = RunSimulations({.leaving = true});
   CHECK(total.leaving > 300);
   CHECK(total.answered > total.requests / 4);
 }
--- a/tests/shell/direct_world_test.cc
+++ b/tests/shell/direct_world_test.cc
@@ -32,8 +32,8 @@
   const std::uint64_t first = NumberFrom("INDIGOLEAD_FIRST_WORLD", 1);
   const std::uint64_t count = NumberFrom("INDIGOLEAD_WORLDS", 150);
   DirectWorldReport total;
-  int broken = 0;
-  for (std::uint64_t seed = first; seed < first + count && broken < 10;
+  int failed_runs = 0;
+  for (std::uint64_t seed = first; seed < first + count && failed_runs < 10;
        ++seed) {
     const DirectWorldReport report = PlayDirectWorld(seed);
     INFO("world " << seed);
@@ -41,7 +41,7 @@
       UNSCOPED_INFO(it);
     }
     CHECK(report.violations.empty());
-    broken += report.violations.empty() ? 0 : 1;
+    failed_runs += report.violations.empty() ? 0 : 1;
     total.requests += report.requests;
     total.answered += report.answered;
     total.refused += report.refused;
--- a/tests/shell/load_control_test.cc
+++ b/tests/shell/load_control_test.cc
@@ -13,8 +13,8 @@
 constexpr TimePoint kStart{std::chrono::hours(1)};
 
 /// Load control of an entry with the deployment "tarifa-llm" and its engines.
-struct Desk {
-  Desk()
+struct LoadControlFixture {
+  LoadControlFixture()
       : control({.failure_domain = "bilbao-a"}, Outputs(), MakeSeededRandom(3),
                 &metrics) {
     control.Install(&hooks);
@@ -97,92 +97,93 @@
 TEST_CASE(
     "Admission enforces client account limits and frees slots of ended "
     "requests") {
-  Desk desk;
-  desk.EngineUp(1, "worker-1");
-  CHECK(std::get<Gate>(desk.hooks.admit(desk.Request(1), desk.now)) ==
+  LoadControlFixture fixture;
+  fixture.EngineUp(1, "worker-1");
+  CHECK(std::get<Gate>(fixture.hooks.admit(fixture.Request(1), fixture.now)) ==
         Gate::kOpen);
-  CHECK(std::get<Gate>(desk.hooks.admit(desk.Request(2), desk.now)) ==
+  CHECK(std::get<Gate>(fixture.hooks.admit(fixture.Request(2), fixture.now)) ==
         Gate::kOpen);
 
-  const GateResult third = desk.hooks.admit(desk.Request(3), desk.now);
+  const GateResult third = fixture.hooks.admit(fixture.Request(3), fixture.now);
   REQUIRE(std::holds_alternative<Refusal>(third));
   CHECK(std::get<Refusal>(third).status == 429);
   CHECK(std::get<Refusal>(third).run == RunState::kNotRun);
   CHECK(std::get<Refusal>(third).retry_after > Duration{0});
 
-  desk.hooks.on_done(desk.Request(1), desk.now);
-  CHECK(std::get<Gate>(desk.hooks.admit(desk.Request(4), desk.now)) ==
+  fixture.hooks.on_done(fixture.Request(1), fixture.now);
+  CHECK(std::get<Gate>(fixture.hooks.admit(fixture.Request(4), fixture.now)) ==
         Gate::kOpen);
 }
 
 TEST_CASE("A request is queued while the engines are full") {
-  Desk desk;
-  desk.EngineUp(1, "worker-1");
-  desk.Load(1, 16, 0);
-  REQUIRE(std::get<Gate>(desk.hooks.admit(desk.Request(1), desk.now)) ==
-          Gate::kWait);
-  desk.service.tick(desk.now);
-  CHECK(desk.admitted.empty());
+  LoadControlFixture fixture;
+  fixture.EngineUp(1, "worker-1");
+  fixture.Load(1, 16, 0);
+  REQUIRE(std::get<Gate>(fixture.hooks.admit(fixture.Request(1),
+                                             fixture.now)) == Gate::kWait);
+  fixture.service.tick(fixture.now);
+  CHECK(fixture.admitted.empty());
 
   SECTION("a load report with free slots admits it") {
-    desk.now += milliseconds(500);
-    desk.Load(1, 3, 0);
-    desk.service.tick(desk.now);
-    CHECK(desk.admitted == std::vector<RequestId>{desk.Request(1).id});
+    fixture.now += milliseconds(500);
+    fixture.Load(1, 3, 0);
+    fixture.service.tick(fixture.now);
+    CHECK(fixture.admitted == std::vector<RequestId>{fixture.Request(1).id});
   }
   SECTION("if its caller disconnects it is not admitted") {
-    desk.hooks.on_done(desk.Request(1), desk.now);
-    desk.Load(1, 0, 0);
-    desk.service.tick(desk.now + seconds(1));
-    CHECK(desk.admitted.empty());
+    fixture.hooks.on_done(fixture.Request(1), fixture.now);
+    fixture.Load(1, 0, 0);
+    fixture.service.tick(fixture.now + seconds(1));
+    CHECK(fixture.admitted.empty());
   }
   SECTION("past its deadline it is refused as not run") {
-    desk.service.tick(desk.now + seconds(61));
-    REQUIRE(desk.refused.size() == 1);
-    CHECK(desk.refused[0].second.status == 503);
-    CHECK(desk.refused[0].second.run == RunState::kNotRun);
+    fixture.service.tick(fixture.now + seconds(61));
+    REQUIRE(fixture.refused.size() == 1);
+    CHECK(fixture.refused[0].second.status == 503);
+    CHECK(fixture.refused[0].second.run == RunState::kNotRun);
   }
 }
 
 TEST_CASE("Routing chooses by load among the offered targets") {
-  Desk desk;
-  desk.EngineUp(1, "worker-1");
-  desk.EngineUp(2, "worker-2");
-  desk.Load(1, 2, 90000);
-  desk.Load(2, 2, 0);
+  LoadControlFixture fixture;
+  fixture.EngineUp(1, "worker-1");
+  fixture.EngineUp(2, "worker-2");
+  fixture.Load(1, 2, 90000);
+  fixture.Load(2, 2, 0);
   const auto route = [&](const CallerRequest& request,
                          const std::vector<Candidate>& candidates) {
-    const RouteResult result = desk.hooks.route(request, candidates, desk.now);
+    const RouteResult result =
+        fixture.hooks.route(request, candidates, fixture.now);
     const auto* to = std::get_if<RouteTo>(&result);
     return to == nullptr ? std::string("none") : to->instance;
   };
-  auto candidates = desk.Candidates();
-  CHECK(route(desk.Request(1), candidates) == "worker-2");
+  auto candidates = fixture.Candidates();
+  CHECK(route(fixture.Request(1), candidates) == "worker-2");
 
   SECTION("a target that the flow does not offer is not chosen") {
     candidates.pop_back();
-    CHECK(route(desk.Request(1), candidates) == "worker-1");
-    CHECK(route(desk.Request(1), {}) == "none");
-    CHECK(route(desk.Request(1), desk.Candidates()) == "worker-2");
+    CHECK(route(fixture.Request(1), candidates) == "worker-1");
+    CHECK(route(fixture.Request(1), {}) == "none");
+    CHECK(route(fixture.Request(1), fixture.Candidates()) == "worker-2");
   }
   SECTION("a target that was already tried is not chosen") {
     candidates[1].tried = true;
-    CHECK(route(desk.Request(1), candidates) == "worker-1");
+    CHECK(route(fixture.Request(1), candidates) == "worker-1");
   }
   SECTION("a model that no engine has loaded gets no target") {
-    CallerRequest request = desk.Request(1);
+    CallerRequest request = fixture.Request(1);
     request.model = "other";
     CHECK(route(request, candidates) == "none");
   }
   SECTION("sent requests count before a load report shows them") {
     for (std::uint64_t it = 1; it <= 16; ++it) {
-      CallerRequest request = desk.Request(it);
+      CallerRequest request = fixture.Request(it);
       request.prompt_tokens = 90000;
       route(request, candidates);
-      desk.hooks.on_sent(request, AttemptId{Id128{0, it}}, desk.sides[1],
-                         desk.now);
+      fixture.hooks.on_sent(request, AttemptId{Id128{0, it}}, fixture.sides[1],
+                            fixture.now);
     }
-    CHECK(route(desk.Request(20), candidates) == "worker-1");
+    CHECK(route(fixture.Request(20), candidates) == "worker-1");
   }
 }
 
--- a/tests/shell/stage_service_test.cc
+++ b/tests/shell/stage_service_test.cc
@@ -155,8 +155,8 @@
   Clock Now() {
     return [this] { return now_; };
   }
-  DirectCarrier::Options CarrierOptions() {
-    DirectCarrier::Options options;
+  DirectTransport::Options CarrierOptions() {
+    DirectTransport::Options options;
     options.make_client = [this](const std::string&) {
       return std::make_unique<EngineClient>(&io_, &orders, &silent);
     };
@@ -177,7 +177,7 @@
   FakePlatform platform_{&io_};
   FakeObjectStore store_{&io_, &platform_};
   RequestFlow flow_;
-  DirectCarrier carrier_;
+  DirectTransport carrier_;
   StageService service_;
   std::vector<TargetRecord> engines_;
 };
--- a/tests/support/direct_world.cc
+++ b/tests/support/direct_world.cc
@@ -51,7 +51,7 @@
   for (auto& [number, entry] : entries_) {
     CheckBudget(entry);
     if (entry.dispatcher->open_requests() > 0 ||
-        entry.dispatcher->carrier().running() > 0) {
+        entry.dispatcher->transport().running() > 0) {
       Violate("left over: open requests or attempts at the end");
     }
   }
--- a/tests/support/direct_world.h
+++ b/tests/support/direct_world.h
@@ -29,7 +29,8 @@
 
 /// Plays entries before targets in time of its own, without a network: the
 /// dispatcher of an entry that speaks to its targets itself, with request flow,
-/// placement, directory, budget and carrier as they run, over simulated calls.
+/// placement, directory, budget and transport as they run, over simulated
+/// calls.
 ///
 /// By `seed`: targets crash, freeze, leave, change their role, refuse, reset
 /// connections, lose answers, break streams off, and get the addresses of
--- a/tests/support/direct_world/entries.cc
+++ b/tests/support/direct_world/entries.cc
@@ -70,7 +70,7 @@
   options.flow.no_target_wait = Duration{0};
   options.flow.max_forwards = 4;
   options.retry_budget = {kRetryShare, {kRetryBurst, 0}, kRetriesAtStart};
-  options.carrier.make_client =
+  options.transport.make_client =
       [this, number, life = entry.life](const std::string& address) {
         return std::make_unique<WorldClient>(this, number, life, address);
       };
--- a/tests/support/direct_world/words.cc
+++ b/tests/support/direct_world/words.cc
@@ -90,8 +90,8 @@
         return AnswerMeaning::kAnswer;
     }
   };
-  dialect.named_limit = [](const TargetRecord& /*target*/,
-                           const std::vector<HttpHeader>& headers)
+  dialect.announced_limit = [](const TargetRecord& /*target*/,
+                               const std::vector<HttpHeader>& headers)
       -> Result<std::optional<double>> {
     for (const HttpHeader& it : headers) {
       if (it.name == kLimit) {
@@ -100,7 +100,7 @@
     }
     return std::optional<double>();
   };
-  dialect.asked_rest =
+  dialect.requested_rest =
       [](const TargetRecord& /*target*/, int status,
          const std::vector<HttpHeader>& headers) -> Result<Duration> {
     const std::string rest = FieldOf(headers, kRestMs);
