--- a/src/core/claims/claim_client.cc
+++ b/src/core/claims/claim_client.cc
@@ -58,14 +58,14 @@
   }
   Request& request = it->second;
   if (request.phase != Phase::kAsking) {
-    return;  // A repeated answer; a report, if one is due, is under way.
+    return;  // Duplicate decision; a due report is already being sent.
   }
   switch (decision.verdict) {
     case ClaimVerdict::kGranted:
       request.phase = Phase::kGranted;
       break;
     case ClaimVerdict::kRunning:
-      // The other run's answer is this caller's answer too.
+      // The response of the other run also answers this request.
       request.running_elsewhere = true;
       request.home_deadline = request.deadline;
       [[fallthrough]];
@@ -74,7 +74,8 @@
       request.next_send = now + std::max(decision.retry_after, kMinRepeat);
       return;
     case ClaimVerdict::kOverloaded:
-      // The home may claim the key again for a question still under way.
+      // A repeated `ClaimAsk` still in transit may claim the key after this
+      // decision, so the key is released by a report.
       out_.push_back(ClaimDecided{id, decision});
       StartReport(id, &request, ClaimState::kNotRun, now);
       return;
@@ -160,8 +161,8 @@
                                                : ClaimVerdict::kNotReady,
                     {},
                     options_.retry_after}});
-  // A grant may be on its way; until the home knows that it will not be used,
-  // the key would stay taken.
+  // A grant may be in transit. The key stays claimed until the home learns that
+  // the grant will not be used.
   StartReport(id, request, ClaimState::kNotRun, now);
 }
 
--- a/src/core/claims/claim_client.h
+++ b/src/core/claims/claim_client.h
@@ -14,7 +14,7 @@
 
 namespace indigolead {
 
-/// Asks a home for a request. Lost questions are asked again.
+/// Sends a `ClaimAsk` to a home. Repeated until a decision or a timeout.
 struct SendAsk {
   std::string home;
   std::string deployment;
@@ -33,8 +33,8 @@
   friend bool operator==(const SendEndReport&, const SendEndReport&) = default;
 };
 
-/// Final verdict on a request: `kGranted` to run it, or what to tell the
-/// caller. Never `kNotHome`.
+/// Final decision on a request: `kGranted` to run it, otherwise the reason to
+/// return to the caller. Never `kNotHome`.
 struct ClaimDecided {
   RequestId request;
   ClaimDecision decision;
@@ -44,23 +44,23 @@
 
 using ClientAction = std::variant<SendAsk, SendEndReport, ClaimDecided>;
 
-/// An entry's part in running keyed requests at most once.
+/// Runs keyed requests at most once, on the side of the entry process.
 ///
-/// One request goes through asking, granted and reporting. A grant that comes
-/// after the entry has given up is answered with "not run", so that the key
-/// is free for the caller's next try. A grant for a request that this entry no
-/// longer knows is ignored: its claim, if one was left, then ends as unknown.
+/// A request passes through the phases asking, granted and reporting. After a
+/// timeout the client reports "not run", so that a grant still in transit does
+/// not block the caller's next attempt. A grant for a request that is no
+/// longer tracked is ignored; a claim left behind by it ends as unknown.
 class ClaimClient {
  public:
   struct Options {
     std::size_t max_requests = 8192;
     std::size_t max_answer_bytes = 1U << 20;
-    /// Time between two sendings of one question or report.
+    /// Interval at which unanswered queries and reports are sent again.
     Duration repeat_interval = std::chrono::milliseconds(300);
-    /// A home that cannot be reached, or cannot decide, is waited for this
-    /// long; then the caller is told at once.
+    /// Longest wait for a home that is unreachable or cannot decide. The caller
+    /// then gets an error without waiting for its own deadline.
     Duration home_wait = std::chrono::seconds(3);
-    /// A report that nobody acknowledges is dropped after this time.
+    /// An unacknowledged report is dropped after this time.
     Duration report_timeout = std::chrono::minutes(2);
     Duration retry_after = std::chrono::seconds(1);
   };
@@ -68,11 +68,11 @@
   ClaimClient(Options options, Incarnation self)
       : options_(options), self_(self) {}
 
-  /// Takes in a slot map; older ones than the one held are ignored.
+  /// Stores a slot map unless the current one has the same or a newer epoch.
   void OnSlotMap(const std::string& deployment, const SlotMap& map);
 
-  /// Asks whether `request` may run. The verdict comes as `ClaimDecided`, at
-  /// the latest `deadline` after `now`.
+  /// Asks the home whether `request` may run. `TakeActions` returns the
+  /// decision as `ClaimDecided`, at the latest `deadline` after `now`.
   void Begin(const RequestId& request, const std::string& deployment,
              const ClaimKey& key, std::uint64_t body_digest, Duration deadline,
              TimePoint now);
@@ -80,19 +80,19 @@
   void OnDecision(const RequestId& request, const ClaimDecision& decision,
                   TimePoint now);
 
-  /// Returns true if a granted request may still start. Read `now` right
-  /// before: a process that slept must not start a run that its caller, and
-  /// perhaps the retention of its claim, has given up.
+  /// Returns true if a granted request may still start. `now` must be read
+  /// immediately before: after a pause of the process, the caller's deadline
+  /// and even the retention of the claim may have passed.
   bool MayStart(const RequestId& request, TimePoint now) const;
 
-  /// Ends `request`: with the end of its run if it was granted, else without
-  /// one (the caller left); then `end` must be `kNotRun`.
+  /// Ends `request` and reports `end` to its home. `end` must be `kNotRun` if
+  /// the request was not granted, such as when the caller disconnected.
   void Finish(const RequestId& request, ClaimState end,
               std::optional<ClaimAnswer> answer, TimePoint now);
 
   void OnEndAck(const RequestId& request);
 
-  /// Repeats questions and reports and ends waits.
+  /// Repeats unanswered queries and reports, and applies the timeouts.
   void Tick(TimePoint now);
 
   std::vector<ClientAction> TakeActions();
@@ -108,7 +108,7 @@
     ClaimKey key;
     std::uint64_t body_digest = 0;
     TimePoint deadline;
-    TimePoint home_deadline;  ///< Of hearing anything that helps.
+    TimePoint home_deadline;  ///< For a usable reply of the home.
     TimePoint next_send;
     bool running_elsewhere = false;
     ClaimState end = ClaimState::kNotRun;
--- a/src/core/claims/claim_home.cc
+++ b/src/core/claims/claim_home.cc
@@ -31,8 +31,8 @@
   }
   map_ = map;
   if (lost) {
-    // Another home seals this journal, or has done so. Going on with memory
-    // from before would let older records overwrite what happened meanwhile.
+    // Another home seals or has sealed this journal. Keeping the claims in
+    // memory would let old records overwrite newer decisions of that home.
     Reopen(now);
     return;
   }
@@ -53,7 +53,7 @@
 
 void ClaimHome::OnAsk(const ClaimAsk& ask, TimePoint now) {
   if (waiting_.count(ask.request) > 0 || ended_.count(ask.request) > 0) {
-    return;  // The verdict will follow, or is no longer wanted.
+    return;  // The decision is pending, or the request has ended.
   }
   const Slot* slot = FindSlot(ask.slot);
   if (!slot) {
@@ -61,7 +61,7 @@
   } else if (!Ready(*slot)) {
     Decide(ask, {ClaimVerdict::kNotReady, {}, std::chrono::milliseconds(50)});
   } else if (slot->incomplete() && !table_.Holds(ask.key)) {
-    // Its run may be one that the earlier home granted and nobody recorded.
+    // An earlier home may have granted the key without recording it.
     Decide(ask, {ClaimVerdict::kUnknown,
                  {},
                  slot->unknown_until ? *slot->unknown_until - now
@@ -92,7 +92,7 @@
 void ClaimHome::OnEndReport(const ClaimEndReport& report, TimePoint now) {
   const Slot* slot = FindSlot(report.slot);
   if (!slot || !Ready(*slot)) {
-    return;  // Its entry repeats it, to whichever home is ready then.
+    return;  // The entry process repeats unacknowledged reports.
   }
   RememberEnded(report.request);
   const auto waiting = waiting_.find(report.request);
@@ -244,8 +244,8 @@
         continue;
       }
       const auto it = absorbers_.find(source);
-      // Sources are taken in their order: a later journal's word on a key is
-      // newer than an earlier one's.
+      // Sources are absorbed in order: a later journal has the newer state of
+      // a key.
       if (it == absorbers_.end() || !it->second.done()) {
         needed.insert(slot.sources.begin(), slot.sources.end());
         break;
@@ -265,11 +265,11 @@
                              const JournalAbsorber& absorber, TimePoint now) {
   const auto slot_count = static_cast<std::uint32_t>(map_.slots.size());
   const JournalRef& source = absorber.source();
-  // A home that dies while it copies leaves the old states of the journals it
-  // had read by then, and they would pass for newer than what the remaining
-  // ones say: a key that ran would look free, and would run again. As long as
-  // a journal's own sources are still named before it, they are read as well,
-  // so its copies add nothing and are left out.
+  // A home that dies during a takeover leaves copies of only the journals that
+  // it had read. These copies would count as newer than the records of the
+  // remaining journals: a key that ran would look free and run again. While
+  // the slot still lists a journal's sources before it, those are read
+  // directly, so the journal's copies are redundant and are skipped.
   const bool is_first = source == slot->sources.front();
   for (ClaimRecord record : absorber.records()) {
     if (SlotOf(record.key, slot_count) != number ||
@@ -295,8 +295,8 @@
 void ClaimHome::EndWindows(TimePoint now) {
   bool changed = false;
   for (auto& [number, slot] : slots_) {
-    // The window starts only once the earlier home has gone: until then it
-    // may still grant, to entries that have not seen the new map.
+    // The retention window starts only once the earlier home has stopped. Until
+    // then it may still grant to entry processes with an old slot map.
     const std::size_t gone = std::erase_if(
         slot.gaps_of, [&](const auto& it) { return map_.gone.count(it) > 0; });
     if (gone > 0) {
--- a/src/core/claims/claim_home.h
+++ b/src/core/claims/claim_home.h
@@ -19,7 +19,7 @@
 
 namespace indigolead {
 
-/// Sends a verdict to the entry that asked.
+/// Sends a decision to the entry process that asked.
 struct SendDecision {
   Incarnation entry;
   RequestId request;
@@ -28,7 +28,7 @@
   friend bool operator==(const SendDecision&, const SendDecision&) = default;
 };
 
-/// Tells an entry that its report need not be repeated.
+/// Acknowledges the end report of an entry process.
 struct SendEndAck {
   Incarnation entry;
   RequestId request;
@@ -39,26 +39,27 @@
 using HomeAction = std::variant<WriteSegment, ReadJournal, DeleteSegment,
                                 AskWitnesses, SendDecision, SendEndAck>;
 
-/// Home of some slots of the key space: the one process that decides whether a
-/// keyed request runs.
+/// Decides whether keyed requests may run, for the slots that it owns. Each
+/// slot has one home.
 ///
-/// It joins the memory (`ClaimTable`), what makes it outlive the process
-/// (`ClaimJournal`) and what it takes over from earlier homes
-/// (`JournalAbsorber`). Every method adds to the actions that `TakeActions`
-/// returns; `Tick` must be called every few tens of milliseconds.
+/// Combines the claims in memory (`ClaimTable`), the journal that makes them
+/// durable (`ClaimJournal`) and the takeover of earlier homes' journals
+/// (`JournalAbsorber`). Methods queue actions, which `TakeActions` returns.
+/// `Tick` must be called every few tens of milliseconds.
 class ClaimHome {
  public:
   struct Options {
     ClaimTable::Options table;
     ClaimJournal::Options journal;
     JournalAbsorber::Options absorber;
-    /// Larger answers are lost with this process: already-run, not replayed.
+    /// Larger responses are not journaled. After the loss of this process their
+    /// retries get `kAlreadyRun` instead of the response.
     std::size_t max_journaled_answer_bytes = 16U << 10;
     std::size_t max_waiters = 20000;
     std::size_t max_ended_requests = 8192;
   };
 
-  /// `ids` names the journals; `home` is this instance's name.
+  /// `home` is the name of this instance; `ids` generates journal ids.
   ClaimHome(Options options, std::string home, IdSource ids);
 
   void OnSlotMap(const SlotMap& map, TimePoint now);
@@ -76,9 +77,9 @@
 
   std::vector<HomeAction> TakeActions();
 
-  /// Returns the journal to be named as owner in a slot map.
+  /// Returns the current journal, which slot maps name as the owner.
   const JournalRef& ref() const { return journal_->ref(); }
-  /// Returns the newest epoch whose slots were taken over entirely.
+  /// Returns the newest epoch whose slots were all taken over completely.
   std::uint64_t absorbed_epoch() const { return absorbed_epoch_; }
   std::uint64_t epoch() const { return map_.epoch; }
   bool degraded() const { return journal_->degraded(); }
@@ -86,20 +87,20 @@
   std::uint64_t journal_writes() const {
     return earlier_writes_ + journal_->writes();
   }
-  /// Returns the number of slots that this process decides on now.
+  /// Returns the number of slots on which this process can decide now.
   std::size_t ready_slots() const;
-  /// Returns the number of slots answered with "unknown" for unseen keys.
+  /// Returns the number of slots in which keys without a claim get `kUnknown`.
   std::size_t incomplete_slots() const;
 
  private:
   struct Slot {
     std::vector<JournalRef> sources;
     std::set<JournalRef> absorbed;
-    std::uint64_t ready_at = 0;  ///< Journal position; usable once durable.
-    bool noted = true;           ///< Its gaps are written down.
-    /// Sources with gaps whose writer may still run.
+    std::uint64_t ready_at = 0;  ///< Position that must be durable first.
+    bool noted = true;           ///< The journal lists its gaps.
+    /// Incomplete sources whose writer may still be running.
     std::set<JournalRef> gaps_of;
-    /// End of the time in which an unseen key is answered with "unknown".
+    /// Until this time, a key without a claim gets `kUnknown`.
     std::optional<TimePoint> unknown_until;
 
     bool incomplete() const { return !gaps_of.empty() || unknown_until; }
@@ -133,13 +134,13 @@
   SlotMap map_;
   std::map<std::uint32_t, Slot> slots_;
   std::map<JournalRef, JournalAbsorber> absorbers_;
-  /// Claims by journal position, waiting for their record to be released.
+  /// Claims whose record is not released yet, by journal position.
   std::map<std::uint64_t, Waiter> waiters_;
   std::unordered_map<RequestId, std::uint64_t> waiting_;
   std::map<std::uint64_t, SendEndAck> acks_;
-  /// Requests that have reported their end, newest last. A question of one of
-  /// them that was overtaken by its report must not claim the key again: its
-  /// entry has forgotten it, and nobody would ever end that claim.
+  /// Requests that have reported their end, newest last. A `ClaimAsk` that
+  /// arrives after the end report must not claim the key again: the entry
+  /// process no longer tracks the request and would never end that claim.
   std::deque<RequestId> ended_order_;
   std::unordered_set<RequestId> ended_;
   std::set<Incarnation> entries_;
--- a/src/core/claims/claim_journal.cc
+++ b/src/core/claims/claim_journal.cc
@@ -62,8 +62,8 @@
   }
   AdvanceStore(now, &out);
   AdvanceWitnesses(now, &out);
-  // One segment always stays: a successor that found an empty chain would seal
-  // it at number 0, and this home's next segment would not notice.
+  // One segment is always kept. A successor that finds no segment seals the
+  // journal at number 0, and this home's next write would not conflict.
   while (!closed_.empty() && (open_version_ != 0 || closed_.size() > 1) &&
          now - closed_.front().at >= options_.retention) {
     out.push_back(
@@ -88,9 +88,9 @@
     return;
   }
   attempt_ = MakeAttempt();
-  // From here on the store may hold this generation, so a grant without a
-  // commit needs its witnesses' agreement too: a recovery write whose answer
-  // is lost could otherwise pass for complete while grants go on beside it.
+  // The store may hold this generation from now on, so grants without a store
+  // write also need the agreement of its witnesses. Otherwise a recovery write
+  // whose reply is lost would look complete while such grants continue.
   possible_[attempt_.generation] = attempt_.witnesses;
   phase_ = Phase::kWriting;
   next_store_call_ = now + options_.write_interval;
@@ -161,7 +161,7 @@
   if (candidates_.empty()) {
     return picked;
   }
-  // The journal's own id spreads the homes' witnesses over the entries.
+  // The journal id spreads the witnesses of all homes over the entry processes.
   const std::size_t n = candidates_.size();
   const std::size_t first = ref_.journal.value.lo % n;
   for (std::size_t it = 0; it < std::min(n, options_.witness_count); ++it) {
@@ -184,8 +184,8 @@
   segment.closed = segment.records.size() >= options_.max_segment_records ||
                    bytes >= options_.max_segment_bytes;
   segment.incomplete_slots = incomplete_slots_;
-  // Only a write that leaves nothing out may start a generation: it says that
-  // the journal is complete.
+  // A new generation declares the journal complete, so only a write that
+  // includes all pending records may start one.
   if (taken < pending_.size()) {
     return segment;
   }
@@ -210,7 +210,8 @@
     Commit(attempt_, ValueOf(version), now);
     return;
   }
-  // A conflict, too, may be our own earlier write whose answer was lost.
+  // A conflict may also come from an earlier write of this journal whose reply
+  // was lost.
   phase_ = Phase::kUnsettled;
   if (ErrorOf(version).code != ErrorCode::kConflict) {
     next_store_call_ = now + options_.retry_interval;
@@ -236,8 +237,8 @@
     }
   }
   // Only this process writes unsealed segments of this journal, so a newer
-  // version of the open one is a write of ours that took effect unseen. An
-  // older one is a stale read; the next write's conflict leads back here.
+  // version of the open segment is an own write whose reply was lost. An older
+  // version is a stale read; the next write then conflicts and reads again.
   if (!fenced_ && newest && newest->segment.number == open_.number &&
       newest->version > open_version_) {
     Commit(newest->segment, newest->version, now);
@@ -255,7 +256,7 @@
   notes_changed_ = written.incomplete_slots != incomplete_slots_;
   open_ = written;
   open_version_ = version;
-  // Writes that are still under way expected the version before this one.
+  // Earlier writes still in transit expect an older version and will fail.
   possible_.clear();
   possible_[written.generation] = written.witnesses;
   std::erase_if(agreed_,
--- a/src/core/claims/claim_journal.h
+++ b/src/core/claims/claim_journal.h
@@ -15,7 +15,7 @@
 
 namespace indigolead {
 
-/// Names one journal and the process that writes it.
+/// Identifies a journal and the home that writes it.
 struct JournalRef {
   std::string home;  ///< Instance name.
   JournalId journal;
@@ -23,26 +23,28 @@
   friend auto operator<=>(const JournalRef&, const JournalRef&) = default;
 };
 
-/// Value of one journal object. A journal is a chain of them, numbered from 0;
-/// number n+1 is created only once n is closed.
+/// One segment of a journal, stored as one object. Segments are numbered from
+/// 0; segment n+1 is created only after segment n is closed.
 struct JournalSegment {
   JournalRef ref;
   std::uint64_t number = 0;
-  /// Grows whenever the journal becomes complete again; see `ClaimJournal`.
+  /// Increases with each write after which the journal is complete again or has
+  /// new witnesses; see `ClaimJournal`.
   std::uint64_t generation = 1;
-  /// Entries that must all agree before the home grants without a commit.
+  /// Entry processes that must all agree before the home may grant without a
+  /// store write.
   std::vector<Incarnation> witnesses;
   std::vector<ClaimRecord> records;
-  /// Slots for which this home itself may have missed claims.
+  /// Slots for which this home may lack claims of earlier homes.
   std::vector<std::uint32_t> incomplete_slots;
   bool closed = false;
-  bool sealed = false;  ///< Written by a successor: the chain has ended.
+  bool sealed = false;  ///< Set by a successor; ends the journal.
 
   friend bool operator==(const JournalSegment&,
                          const JournalSegment&) = default;
 };
 
-/// One segment as read, with the version of its object.
+/// A segment as read from the store, with its object version.
 struct StoredSegment {
   JournalSegment segment;
   std::uint64_t version = 0;
@@ -50,7 +52,7 @@
   friend bool operator==(const StoredSegment&, const StoredSegment&) = default;
 };
 
-/// Asks the store to write a segment if its object has version `expected`.
+/// Asks the store to write a segment if its object has the version `expected`.
 struct WriteSegment {
   JournalSegment segment;
   std::uint64_t expected = 0;
@@ -58,7 +60,7 @@
   friend bool operator==(const WriteSegment&, const WriteSegment&) = default;
 };
 
-/// Asks the store for every segment of a journal.
+/// Asks the store for all segments of a journal.
 struct ReadJournal {
   JournalRef ref;
 
@@ -74,14 +76,14 @@
   friend bool operator==(const DeleteSegment&, const DeleteSegment&) = default;
 };
 
-/// What a witness holds of one generation of a journal. The first wins.
+/// Mark of a witness on one generation of a journal. The first mark set stays.
 enum class WitnessMark {
   kNone,
-  kDegraded,  ///< Its home may grant without a commit.
-  kSealed,    ///< A successor took it as complete; its home may not.
+  kDegraded,  ///< The home may grant without a store write.
+  kSealed,    ///< A successor relies on completeness; the home may not.
 };
 
-/// Asks witnesses to mark a generation, unless they hold a mark already.
+/// Asks witnesses to mark a generation that has no mark yet.
 struct AskWitnesses {
   JournalRef ref;
   std::uint64_t generation = 0;
@@ -91,7 +93,7 @@
   friend bool operator==(const AskWitnesses&, const AskWitnesses&) = default;
 };
 
-/// A witness's answer: the mark that it holds now.
+/// Reply of a witness with the mark that it now holds.
 struct WitnessReply {
   JournalRef ref;
   std::uint64_t generation = 0;
@@ -104,30 +106,33 @@
 using JournalAction =
     std::variant<WriteSegment, ReadJournal, DeleteSegment, AskWitnesses>;
 
-/// Makes claims survive their home: many records in each conditional write.
+/// Makes claims durable, with many records in each conditional write.
 ///
-/// A claim that lived in memory only would be forgotten when its home dies,
-/// and the caller's retry would run a second time. So a grant leaves only once
-/// its record is in the store, or, while the store does not answer, once every
-/// witness has noted that this generation of the journal is no longer
-/// complete. A successor seals the chain (the next conditional write of this
-/// home then fails) and asks one witness: a witness that never agreed, and
-/// from then on never will, proves that the journal holds every grant. No
-/// clock takes part in that proof.
+/// A claim held only in memory would be lost with its home, and the caller's
+/// retry would run a second time. A grant is therefore released only when its
+/// record is in the store or, while the store does not answer, when every
+/// witness has marked this generation of the journal as incomplete (degraded).
+///
+/// A successor seals the journal, so that the next conditional write of this
+/// home fails, and then asks the witnesses to mark the generation as sealed.
+/// One witness that does so has never agreed to degraded grants and never will,
+/// which proves that the journal holds every grant. The proof uses no clock.
 class ClaimJournal {
  public:
   struct Options {
     std::size_t max_segment_records = 512;
     std::size_t max_segment_bytes = 32U << 10;
-    /// Bytes held in the store; a successor must read them in one listing.
+    /// Bytes of closed segments before `HasRoom` is false. A successor must
+    /// read the journal in one listing.
     std::size_t max_journal_bytes = 24U << 20;
-    /// Records waiting for the store before `HasRoom` is false.
+    /// Records not yet stored before `HasRoom` is false.
     std::size_t max_pending = 20000;
-    /// Least time between the starts of two writes: bounds the store's load.
+    /// Minimum time between the starts of two writes; limits the store's load.
     Duration write_interval = std::chrono::milliseconds(5);
-    /// Without a successful write this long, the witnesses are asked.
+    /// Records that wait this long without a successful write make the journal
+    /// ask its witnesses.
     Duration degrade_after = std::chrono::seconds(1);
-    /// Time between two tries at a store or witness that does not answer.
+    /// Retry interval for a store or witness that does not answer.
     Duration retry_interval = std::chrono::milliseconds(250);
     std::size_t witness_count = 2;
     Duration retention = std::chrono::minutes(60);
@@ -141,20 +146,21 @@
     return pending_.size() < options_.max_pending &&
            closed_bytes_ < options_.max_journal_bytes;
   }
-  /// Returns false while answers must be left out, so that there stays room
-  /// for claims.
+  /// Returns false if responses must be left out of the records, to reserve
+  /// space for claims.
   bool HasRoomForAnswers() const {
     return closed_bytes_ < options_.max_journal_bytes / 2;
   }
 
-  /// Names the entries that can be asked now. The journal's witnesses are
-  /// taken from them, by a write, whenever one is no longer among them.
+  /// Sets the reachable entry processes. The next write picks new witnesses
+  /// from them if a current witness is missing or there are too few.
   void SetCandidates(std::vector<Incarnation> candidates);
 
-  /// Notes the slots whose memory may have gaps; written with the next write.
+  /// Sets the slots that may lack claims; the next write records them.
   void SetIncompleteSlots(std::vector<std::uint32_t> slots);
 
-  /// Returns what is due at `now`: at most one store call at a time.
+  /// Returns the actions due at `now`. At most one segment write or journal
+  /// read is in flight.
   std::vector<JournalAction> Advance(TimePoint now);
 
   void OnWritten(const Result<std::uint64_t>& version, TimePoint now);
@@ -162,16 +168,16 @@
               TimePoint now);
   void OnWitness(const WitnessReply& reply);
 
-  /// Returns the newest position whose record may be acted upon.
+  /// Returns the newest position whose decision may be sent.
   std::uint64_t released() const { return released_; }
   /// Returns the newest position whose record is in the store.
   std::uint64_t durable() const { return durable_; }
-  /// Returns true if the incomplete slots noted last are in the store.
+  /// Returns true if the last incomplete slots set are in the store.
   bool notes_durable() const { return opened_ && !notes_changed_; }
-  /// Returns true if a successor has ended this journal.
+  /// Returns true once a read has shown that a successor sealed this journal.
   bool fenced() const { return fenced_; }
   bool opened() const { return opened_; }
-  /// Returns true while grants need no commit.
+  /// Returns true while all witnesses allow grants without a store write.
   bool degraded() const { return Degraded(); }
   const JournalRef& ref() const { return ref_; }
   std::uint64_t writes() const { return writes_; }
@@ -203,11 +209,11 @@
   bool opened_ = false;
   bool fenced_ = false;
   bool notes_changed_ = false;
-  JournalSegment open_;  ///< The newest segment, as last written.
+  JournalSegment open_;  ///< Newest segment, as last written.
   std::uint64_t open_version_ = 0;
   JournalSegment attempt_;
-  /// Generations that the store may hold, with their witnesses, and those that
-  /// have agreed to each.
+  /// Generations that the store may hold, with their witnesses. `agreed_` holds
+  /// the witnesses that marked each generation as degraded.
   std::map<std::uint64_t, std::vector<Incarnation>> possible_;
   std::map<std::uint64_t, std::set<Incarnation>> agreed_;
   std::set<std::uint64_t> asked_;
@@ -222,18 +228,19 @@
   std::uint64_t writes_ = 0;
   TimePoint next_store_call_;
   TimePoint next_witness_call_;
-  /// Since when records wait without a successful write.
+  /// Start of the wait of pending records for a successful write.
   std::optional<TimePoint> waiting_since_;
 };
 
-/// Keeps an entry's marks on journals, first one wins.
+/// Marks of a witness on journal generations; the first mark set stays.
 class WitnessTable {
  public:
   explicit WitnessTable(Incarnation self, std::size_t max_marks = 65536)
       : self_(self), max_marks_(max_marks) {}
 
-  /// Marks the generation unless it has a mark, and returns the mark held.
-  /// A full table answers `kNone`, which proves nothing to either side.
+  /// Marks the generation unless it has a mark, and returns its mark. A full
+  /// table returns `kNone`, which permits neither the home nor a successor to
+  /// proceed.
   WitnessReply Mark(const JournalRef& ref, std::uint64_t generation,
                     WitnessMark mark);
 
--- a/src/core/claims/claim_table.cc
+++ b/src/core/claims/claim_table.cc
@@ -45,8 +45,8 @@
     case ClaimState::kRunning:
       break;
   }
-  // A run of the same process only: a request id of a grant that was absorbed
-  // from a journal may have been used up, and its answer lost.
+  // The entry process must match too: an absorbed claim has none, because its
+  // grant may already have been used and the end report lost.
   if (record.request == ask.request && claim.entry == ask.entry) {
     return {ClaimVerdict::kGranted, {}, {}};
   }
@@ -73,8 +73,8 @@
                      report.answer};
   const auto it = claims_.find(report.key);
   if (it == claims_.end()) {
-    // The claim was lost with an earlier home; what its entry knows fills the
-    // gap. A key that is free stays free.
+    // The claim was lost with an earlier home and is restored from the report.
+    // A key without a claim stays free after `kNotRun`.
     if (report.end == ClaimState::kNotRun ||
         claims_.size() >= options_.max_claims) {
       return std::nullopt;
@@ -105,8 +105,8 @@
 
 void ClaimTable::OwnerLost(const Incarnation& entry, TimePoint now) {
   if (lost_.size() >= kMaxLostEntries) {
-    // Forgetting a lost entry would leave its claims running for ever, so
-    // the oldest are forgotten only when they are past any request's life.
+    // Claims of a removed element would stay running forever, so elements are
+    // removed only after the retention, which outlasts every request.
     std::erase_if(lost_, [&](const auto& it) {
       return now - it.second >= options_.retention;
     });
@@ -182,7 +182,7 @@
       DropAnswer(&it->second);
     }
   }
-  // Keys whose answer is gone already only take room in the queue.
+  // Removes leading keys whose response was already dropped.
   while (!answers_.empty() && answers_.size() > claims_.size()) {
     const auto it = claims_.find(answers_.front());
     if (it != claims_.end() && it->second.record.answer) {
--- a/src/core/claims/claim_table.h
+++ b/src/core/claims/claim_table.h
@@ -13,56 +13,58 @@
 
 namespace indigolead {
 
-/// What a home remembers of its keys.
+/// Holds the claims of a home, by key.
 ///
-/// Exists because a caller's retry can come in through any entry: only one
-/// memory for each key can tell the second request from the first. It decides;
-/// making the decision survive is the work of `ClaimJournal`.
+/// A retry can arrive at any entry process, so a single table must hold each
+/// key to recognize the second request. The table makes the decisions;
+/// `ClaimJournal` makes them durable.
 class ClaimTable {
  public:
   struct Options {
     std::size_t max_claims = 200000;
     std::size_t max_answer_bytes = 32U << 20;
-    /// A key is remembered this long after its run ended.
+    /// Time for which a key is kept after its run ended.
     Duration retention = std::chrono::minutes(60);
-    /// A run whose entry is out of reach this long is reported as unknown.
+    /// A run whose entry process is unreachable for this long is reported as
+    /// unknown.
     Duration owner_grace = std::chrono::seconds(2);
     Duration retry_after = std::chrono::milliseconds(20);
   };
 
   explicit ClaimTable(Options options) : options_(options) {}
 
-  /// What `Ask` found, and whether it made a claim that must be journalled
-  /// before the verdict `kGranted` may leave the process.
+  /// Result of `Ask`. If `claimed` is true, the claim must be journaled before
+  /// `kGranted` is sent.
   struct Asked {
     ClaimDecision decision;
     bool claimed = false;
   };
 
-  /// Decides on `ask`. A key that was never seen is claimed for the request;
-  /// the same request asking again gets the same grant, because its question
-  /// or the answer may have been lost and it runs at most once by itself.
+  /// Decides on `ask`. A key without a claim is claimed for the request. The
+  /// same request gets its grant again when it repeats the `ClaimAsk`: the
+  /// first one or its decision may have been lost, and the entry process starts
+  /// a request at most once.
   Asked Ask(const ClaimAsk& ask, TimePoint now);
 
-  /// Takes in the end of a run. Returns the record to journal, or nothing if
-  /// the report changes nothing (repeated, late, or of another request).
+  /// Applies the end of a run. Returns the record to journal, or nothing if the
+  /// report has no effect (repeated, late, or from another request).
   std::optional<ClaimRecord> End(const ClaimEndReport& report, TimePoint now);
 
-  /// Takes in a record of another home's journal. Records must come in the
-  /// order in which they were decided: the last one on a key counts.
+  /// Applies a record of another home's journal. Records must be passed in
+  /// decision order: the last record of a key wins.
   void Absorb(const ClaimRecord& record, TimePoint now);
 
-  /// Notes that the entry cannot be reached, or can be again.
+  /// Marks an entry process as unreachable, or as reachable again.
   void OwnerLost(const Incarnation& entry, TimePoint now);
   void OwnerBack(const Incarnation& entry);
 
-  /// Forgets what is past its retention.
+  /// Removes claims past their retention.
   void Tick(TimePoint now);
 
-  /// Returns true if the key is remembered.
+  /// Returns true if the key has a claim.
   bool Holds(const ClaimKey& key) const { return claims_.count(key) > 0; }
 
-  /// Returns the newest state of every key, for a new journal.
+  /// Returns the newest record of every key, for a new journal.
   std::vector<ClaimRecord> Snapshot() const;
 
   std::size_t size() const { return claims_.size(); }
@@ -71,8 +73,8 @@
  private:
   struct Claim {
     ClaimRecord record;
-    std::optional<Incarnation> entry;  ///< Empty: not told to this process.
-    TimePoint since;                   ///< Of the state.
+    std::optional<Incarnation> entry;  ///< Empty if absorbed from a journal.
+    TimePoint since;                   ///< Start of the current state.
   };
   struct Dated {
     ClaimKey key;
@@ -90,7 +92,8 @@
 
   Options options_;
   std::unordered_map<ClaimKey, Claim> claims_;
-  /// States in time order; an element is stale if its claim changed since.
+  /// Keys by the time of their state change. An element is stale if the claim
+  /// changed later.
   std::deque<Dated> by_age_;
   std::deque<ClaimKey> answers_;
   std::map<Incarnation, TimePoint> lost_;
--- a/src/core/claims/claim_types.h
+++ b/src/core/claims/claim_types.h
@@ -14,23 +14,23 @@
 
 /// Hash of client account, deployment and `Idempotency-Key`.
 using ClaimKey = TypedId<struct ClaimKeyTag>;
-/// Names one journal of one home; a home that was fenced opens another.
+/// Identifies one journal of a home. A fenced home opens a new journal.
 using JournalId = TypedId<struct JournalIdTag>;
 
-/// Returns the key of a claim. Each part is hashed with its length, so no two
-/// different triples give the same input.
+/// Returns the key of a claim. The length of each part is hashed too, so that
+/// different triples never give the same hash input.
 ClaimKey MakeClaimKey(std::string_view client_account,
                       std::string_view deployment,
                       std::string_view idempotency_key);
 
-/// Returns a hash of what a retry must repeat: method, path and body.
+/// Returns a hash of the method, path and body, which a retry must repeat.
 std::uint64_t MakeBodyDigest(std::string_view method, std::string_view path,
                              std::string_view body);
 
 /// Returns the slot of `key`, in [0, slot_count).
 std::uint32_t SlotOf(const ClaimKey& key, std::uint32_t slot_count);
 
-/// One header of a stored answer.
+/// One HTTP header of a stored response.
 struct AnswerHeader {
   std::string name;
   std::string value;
@@ -38,66 +38,68 @@
   friend bool operator==(const AnswerHeader&, const AnswerHeader&) = default;
 };
 
-/// Whole answer of a finished request, kept to answer its retries.
+/// Complete response of a finished request, stored to answer its retries.
 struct ClaimAnswer {
   std::uint32_t status = 0;
   std::vector<AnswerHeader> headers;
   std::string body;
 
-  /// Returns the bytes held, headers included.
+  /// Returns the size of the body and headers in bytes, with a fixed overhead
+  /// for each header.
   std::size_t size() const;
 
   friend bool operator==(const ClaimAnswer&, const ClaimAnswer&) = default;
 };
 
-/// What is known of the one run that a key may have.
+/// State of the single run that is allowed for a key.
 enum class ClaimState {
-  kRunning,   ///< Granted to a request that has not reported its end.
+  kRunning,   ///< Granted; the request has not reported its end.
   kFinished,  ///< Ran to its end.
-  kNotRun,    ///< Provably never started; the key is free again.
-  kUnknown,   ///< May have run; no whole answer exists.
+  kNotRun,    ///< Certainly never started; the key is free again.
+  kUnknown,   ///< May have run; no complete response exists.
 };
 
-/// One step in the life of a claim, as journalled.
+/// Journal record of one state change of a claim.
 struct ClaimRecord {
   ClaimKey key;
   std::uint64_t body_digest = 0;
   RequestId request;
   ClaimState state = ClaimState::kRunning;
-  std::optional<ClaimAnswer> answer;  ///< Only if finished and small enough.
-  /// Copied from an earlier home's journal, not decided by the one that wrote
-  /// it. A copy may be older than what a home in between decided.
+  std::optional<ClaimAnswer>
+      answer;  ///< Only if finished and within the size limit.
+  /// True if the record was copied from an earlier home's journal. A copy may
+  /// be older than a decision of a home that owned the slot in between.
   bool copied = false;
 
   friend bool operator==(const ClaimRecord&, const ClaimRecord&) = default;
 };
 
-/// Answer of a home to the question whether a keyed request may run.
+/// Decision of a home on whether a keyed request may run.
 enum class ClaimVerdict {
-  kGranted,      ///< Run it now, once.
-  kRunning,      ///< Another request with the key runs; ask again.
-  kFinished,     ///< The answer is attached.
-  kAlreadyRun,   ///< Finished; its answer is no longer held.
+  kGranted,      ///< The request may run once.
+  kRunning,      ///< Another request with the key is running; retry later.
+  kFinished,     ///< Finished; the stored response is attached.
+  kAlreadyRun,   ///< Finished; the response is no longer stored.
   kUnknown,      ///< May have run.
   kBodyDiffers,  ///< The key was used with another body.
-  kNotHome,      ///< This process is not home of the slot.
-  kOverloaded,   ///< The key is free, but there is no room for a claim.
-  kNotReady,     ///< The home cannot decide now; nothing is known of the key.
+  kNotHome,      ///< This process is not the home of the slot.
+  kOverloaded,   ///< The key is free, but no claim can be added.
+  kNotReady,     ///< The home cannot decide yet; the key's state is unknown.
 };
 
-/// Question of an entry.
+/// Asks a home whether a keyed request may run. Sent by an entry process.
 struct ClaimAsk {
   RequestId request;
   ClaimKey key;
   std::uint64_t body_digest = 0;
   std::uint32_t slot = 0;
-  Incarnation entry;  ///< Process that would run the request.
+  Incarnation entry;  ///< Process that will run the request if granted.
   Duration wait = std::chrono::seconds(1);
 
   friend bool operator==(const ClaimAsk&, const ClaimAsk&) = default;
 };
 
-/// A home's verdict on one request.
+/// Verdict of a home on one request, with its response or retry delay.
 struct ClaimDecision {
   ClaimVerdict verdict = ClaimVerdict::kNotReady;
   std::optional<ClaimAnswer> answer;
@@ -106,7 +108,7 @@
   friend bool operator==(const ClaimDecision&, const ClaimDecision&) = default;
 };
 
-/// How a granted claim ended, as its entry reports it.
+/// Reports the end of a claim from its entry process to the home.
 struct ClaimEndReport {
   RequestId request;
   ClaimKey key;
--- a/src/core/claims/journal_absorber.cc
+++ b/src/core/claims/journal_absorber.cc
@@ -21,7 +21,7 @@
       if (!asking_since_) {
         asking_since_ = now;
       }
-      // An empty list of witnesses could never agree to anything.
+      // Without witnesses, grants always needed a store write.
       if (last_.witnesses.empty()) {
         complete_ = true;
       }
@@ -47,9 +47,9 @@
   if (phase_ != Phase::kSealing) {
     return;
   }
-  // Whatever the answer says, the next reading shows whether the seal is on.
-  // After a conflict, too, it waits: a store that reads stale for a while
-  // would otherwise be called without pause.
+  // Whatever the result, the next read shows whether the journal is sealed. Any
+  // error is followed by a delay, conflicts included: a store with stale reads
+  // would otherwise be called in a tight loop.
   phase_ = Phase::kToRead;
   if (!IsOk(version)) {
     next_call_ = now + options_.retry_interval;
@@ -105,7 +105,7 @@
     seal_.segment = last.segment;
     seal_.expected = last.version;
     if (last.segment.closed) {
-      // Its home would write the next number, so that is the one to take.
+      // The old home would write the next segment, so the seal goes there.
       seal_.segment.records.clear();
       seal_.segment.closed = false;
       ++seal_.segment.number;
--- a/src/core/claims/journal_absorber.h
+++ b/src/core/claims/journal_absorber.h
@@ -9,17 +9,18 @@
 
 namespace indigolead {
 
-/// Takes over one journal of another home: seals it, reads it, and finds out
-/// whether it holds every grant of its home.
+/// Takes over one journal of another home: seals it, reads it, and determines
+/// whether it holds every grant of that home.
 ///
-/// Sealing comes before reading to the end: after it, no conditional write of
-/// the old home can succeed, so nothing is added behind the reader's back.
+/// The journal is sealed before its records are read: after the seal, every
+/// conditional write of the old home fails, so no record is missed.
 class JournalAbsorber {
  public:
   struct Options {
     Duration retry_interval = std::chrono::milliseconds(250);
-    /// Without a witness's word for this long, the journal counts as
-    /// incomplete: safe, but its slots' new keys are refused for long.
+    /// Without a seal mark within this time, the journal counts as incomplete.
+    /// This is safe, but new keys of its slots are refused for the retention
+    /// time.
     Duration witness_timeout = std::chrono::seconds(2);
   };
 
@@ -34,13 +35,15 @@
 
   const JournalRef& source() const { return source_; }
   bool done() const { return phase_ == Phase::kDone; }
-  /// Returns true if no grant of the old home can be missing. Once done.
+  /// Returns true if the journal holds every grant of the old home. Valid once
+  /// `done()`.
   bool complete() const { return complete_; }
-  /// Returns the last state of every key in the journal. Once done. Only last
-  /// states are taken over: a successor that died while it copied them has
-  /// then copied nothing that a later reader could mistake for newer.
+  /// Returns the last record of every key in the journal. Valid once `done()`.
+  /// Earlier records are left out: if a successor died after copying only some
+  /// of them, a later reader could mistake an old state for the newest.
   const std::vector<ClaimRecord>& records() const { return records_; }
-  /// Returns the slots for which the old home itself knew of gaps. Once done.
+  /// Returns the slots for which the old home recorded gaps. Valid once
+  /// `done()`.
   const std::vector<std::uint32_t>& incomplete_slots() const {
     return last_.incomplete_slots;
   }
--- a/src/core/claims/slot_map.cc
+++ b/src/core/claims/slot_map.cc
@@ -49,7 +49,7 @@
   slot->since_epoch = map->epoch;
 }
 
-/// Forgets retired journals that no home can name any more.
+/// Removes retired journals that no home can use again.
 void PruneRetired(const SlotPlanner::Input& input, SlotMap* map) {
   std::erase_if(map->retired, [&](const JournalRef& it) {
     const HomeState* home = FindName(input.homes, it.home);
@@ -117,8 +117,8 @@
 
 std::vector<JournalRef> SlotPlanner::PickHomes(const SlotMap& map,
                                                const Input& input) const {
-  // Owners stay homes; the rest are taken domain by domain in turn, so that
-  // the loss of one domain takes as few slots as possible with it.
+  // Current owners stay homes. The others are picked round-robin over the
+  // failure domains, so that the loss of one domain affects few slots.
   std::set<std::string> owners;
   for (const SlotAssignment& it : map.slots) {
     owners.insert(it.owner.home);
@@ -126,9 +126,10 @@
   std::vector<JournalRef> picked;
   std::map<std::string, std::vector<JournalRef>> by_domain;
   for (const HomeState& it : input.homes) {
-    // A home that slept through the loss of a slot still names the journal
-    // from before. Read after those of the homes in between, its old records
-    // would pass for the newest, and a key that ran meanwhile would run again.
+    // A home that was paused while it lost a slot still reports its old
+    // journal. If that journal became a source after those of later homes, its
+    // old records would count as the newest, and a key that ran in between
+    // would run again.
     if (it.leaving || input.removed.count(it.ref.home) > 0 ||
         map.retired.count(it.ref) > 0) {
       continue;
@@ -156,8 +157,8 @@
 
 void SlotPlanner::Rebalance(const std::vector<JournalRef>& homes,
                             SlotMap* map) const {
-  // A move seals the giver's whole journal, so a map in which some move is
-  // not finished yet is left alone.
+  // A move seals the whole journal of the previous owner, so no move starts
+  // while another is unfinished.
   const bool settled =
       std::all_of(map->slots.begin(), map->slots.end(),
                   [](const SlotAssignment& it) { return it.sources.empty(); });
--- a/src/core/claims/slot_map.h
+++ b/src/core/claims/slot_map.h
@@ -11,13 +11,13 @@
 
 namespace indigolead {
 
-/// Where the claims of one slot are.
+/// Location of the claims of one slot.
 struct SlotAssignment {
   JournalRef owner;
-  /// Journals that the owner must read and seal before it decides, oldest
-  /// first. Emptied once the owner has written their claims to its own.
+  /// Journals that the owner must seal and read before it decides, oldest
+  /// first. Cleared once the owner has copied their claims to its own journal.
   std::vector<JournalRef> sources;
-  std::uint64_t since_epoch = 0;  ///< Epoch that made `owner` the owner.
+  std::uint64_t since_epoch = 0;  ///< Epoch in which `owner` was assigned.
 
   friend bool operator==(const SlotAssignment&,
                          const SlotAssignment&) = default;
@@ -25,58 +25,62 @@
 
 /// Assigns every slot of a deployment's keys to a home.
 struct SlotMap {
-  std::uint64_t epoch = 0;  ///< Grows by one with each change.
+  std::uint64_t epoch = 0;  ///< Increases by one with each change.
   std::vector<SlotAssignment> slots;
-  /// Journals whose writers provably no longer run.
+  /// Source journals whose writers have certainly stopped.
   std::set<JournalRef> gone;
-  /// Journals that lost a slot and so are sealed, or will be: no slot may be
-  /// given to them. Kept until their home names another journal.
+  /// Journals that lost a slot. They are or will be sealed, so no slot may be
+  /// assigned to them. Kept until the home opens another journal or is removed.
   std::set<JournalRef> retired;
-  FencingNumber fencing_number = 0;  ///< Of the lease holder that wrote it.
+  FencingNumber fencing_number =
+      0;  ///< Of the lease holder that wrote the map.
 
   friend bool operator==(const SlotMap&, const SlotMap&) = default;
 };
 
-/// A process that offers itself as a home.
+/// A process that can be a home.
 struct HomeState {
   JournalRef ref;
   std::string failure_domain;
   bool leaving = false;
-  /// Newest epoch whose slots it has taken over entirely.
+  /// Newest epoch whose slots it has taken over completely.
   std::uint64_t absorbed_epoch = 0;
 
   friend bool operator==(const HomeState&, const HomeState&) = default;
 };
 
-/// Decides who is home of which slot. Used by the holder of the control lease.
+/// Assigns slots to homes. Used by the holder of the control lease.
 ///
-/// Correctness does not depend on it: a successor seals the journal it takes
-/// over, so two processes that believe to be home cannot both grant. It only
-/// decides how soon a dead home is replaced and how evenly keys are spread.
+/// At-most-once execution does not depend on a single planner: a successor
+/// seals the journals it takes over, so two processes that both act as home
+/// cannot both grant. The planner determines how soon a dead home is replaced
+/// and how evenly the keys are distributed.
 class SlotPlanner {
  public:
   struct Options {
     std::uint32_t slot_count = 256;
-    /// Bounds the store's writes: each home writes one journal.
+    /// Limits the write load on the store, as each home writes one journal.
     std::size_t max_homes = 8;
     std::size_t max_sources = 8;
-    /// Slots move to spread the load only above this share of the mean.
+    /// Slots are rebalanced only if a home has more than this multiple of the
+    /// mean.
     double imbalance = 1.5;
   };
 
-  /// What is known of the processes now.
+  /// Current state of the processes.
   struct Input {
-    std::vector<HomeState> homes;  ///< Reachable ones.
-    /// Instances out of reach for longer than the caller's bound.
+    std::vector<HomeState> homes;  ///< Reachable homes.
+    /// Instances unreachable for longer than the caller's limit.
     std::set<std::string> lost;
-    /// Instances that the platform has removed from its list.
+    /// Instances that the platform no longer lists.
     std::set<std::string> removed;
     FencingNumber fencing_number = 0;
   };
 
   explicit SlotPlanner(Options options) : options_(options) {}
 
-  /// Returns the map to write after `current`, or nothing if it may stay.
+  /// Returns the map that replaces `current`, or nothing if no change is
+  /// needed.
   std::optional<SlotMap> Plan(const std::optional<SlotMap>& current,
                               const Input& input) const;
 
--- a/src/core/usage/steady_calendar.cc
+++ b/src/core/usage/steady_calendar.cc
@@ -6,11 +6,11 @@
 namespace indigolead {
 namespace {
 
-/// Readings that differ by less are of one and the same offset: the clocks are
-/// not read in one instant, and the time of day is slewed a little at times.
+/// Offsets that differ by less count as the same offset: the two clocks are not
+/// read at the same instant, and the time of day may be slewed slightly.
 constexpr WallMicros kSameMicros = 50'000;
-/// Offsets remembered. A clock that steps more often than this is not kept by
-/// anything that could be followed.
+/// Maximum number of offsets kept. A clock that steps between more values has
+/// no usable reference.
 constexpr std::size_t kMostOffsets = 8;
 
 WallMicros ToMicros(TimePoint boot) {
@@ -42,7 +42,7 @@
 void SteadyCalendar::Observe(TimePoint boot, WallMicros wall) {
   const WallMicros micros = wall - ToMicros(boot);
   Offset* offset = Near(micros);
-  offset->micros = micros;  // Follows a slew.
+  offset->micros = micros;  // Tracks a slewed clock.
   if (observed_at_) {
     offset->seen += boot - *observed_at_;
   }
--- a/src/core/usage/steady_calendar.h
+++ b/src/core/usage/steady_calendar.h
@@ -8,26 +8,26 @@
 
 namespace indigolead {
 
-/// Calendar time that does not jump when the machine's time of day does.
+/// Provides calendar time that does not jump when the machine's time of day is
+/// stepped.
 ///
-/// The failure: the time of day steps by seconds, and back some time later. The
-/// symptom: requests are counted in another window than the one they ran in,
-/// and both reports are wrong. So calendar time is the boot clock, which never
-/// steps, plus the difference that the two clocks have had for most of the time
-/// observed. A step that lasts shorter than the time before it has no effect;
-/// a process that was started during one follows the true time once it has
-/// seen it for longer.
+/// If the time of day steps by seconds and later back, requests are counted in
+/// the wrong window, and the reports of both windows are wrong. Calendar time
+/// is therefore the boot clock, which never steps, plus the offset between the
+/// two clocks that was observed for the longest time. A step shorter than the
+/// time before it has no effect. A process started during a step switches to
+/// the true time once it has observed it for longer than the step.
 class SteadyCalendar {
  public:
-  /// Takes a reading of both clocks, made together. Call several times a
-  /// second.
+  /// Records a simultaneous reading of both clocks. Must be called several
+  /// times a second.
   void Observe(TimePoint boot, WallMicros wall);
 
-  /// Returns the calendar time at `boot`; nothing before the first reading.
+  /// Returns the calendar time at `boot`, or nothing before the first reading.
   std::optional<WallMicros> At(TimePoint boot) const;
 
  private:
-  /// A difference of the two clocks, and for how long it was the one seen.
+  /// Difference of the two clocks and the total time it was observed.
   struct Offset {
     WallMicros micros = 0;
     Duration seen{0};
--- a/src/core/usage/usage_codec.h
+++ b/src/core/usage/usage_codec.h
@@ -9,18 +9,17 @@
 
 namespace indigolead {
 
-/// Returns the record as JSON, for the store.
+/// Encodes the record as JSON for the store.
 std::string EncodeEntryUsage(const EntryUsage& usage);
 
-/// Reads a record that `EncodeEntryUsage` made; an error if it is anything
-/// else.
+/// Decodes the output of `EncodeEntryUsage`. Returns an error for other input.
 Result<EntryUsage> DecodeEntryUsage(std::string_view json);
 
-/// Returns the settled reports as JSON, for the store.
+/// Encodes the finalized reports as JSON for the store.
 std::string EncodeFixedUsage(const FixedUsage& usage);
 
-/// Reads what `EncodeFixedUsage` made; an error if it is anything else, holds
-/// no window, or leaves one out.
+/// Decodes the output of `EncodeFixedUsage`. Returns an error for other input
+/// and for a list of windows that is empty or has gaps.
 Result<FixedUsage> DecodeFixedUsage(std::string_view json);
 
 }  // namespace indigolead
--- a/src/core/usage/usage_collector.cc
+++ b/src/core/usage/usage_collector.cc
@@ -36,8 +36,9 @@
                 .count();
   return std::all_of(
       entries_.begin(), entries_.end(), [&](const EntryUsage& it) {
-        // One that holds no counts has had none for long, and writes nothing
-        // until it has: most likely there is nothing to wait for.
+        // A record without counts has had none for a long time, and its process
+        // writes again only after new requests, so it most likely has nothing
+        // to report.
         const bool told =
             it.ended || it.counted_until >= end || it.windows.empty();
         return told || it.counted_until < silent || IsReplaced(it);
--- a/src/core/usage/usage_collector.h
+++ b/src/core/usage/usage_collector.h
@@ -9,29 +9,29 @@
 
 namespace indigolead {
 
-/// Adds up what all entries have counted.
+/// Adds up the request counts of all entry processes.
 class UsageCollector {
  public:
   struct Options {
     Duration window = std::chrono::seconds(60);
-    /// An entry whose record ends so long before a window's end is taken to be
-    /// gone: it writes at least once in each window.
+    /// An entry process whose record ends this long before the end of a window
+    /// is considered dead: a live one writes at least once in each window.
     Duration silent_after = std::chrono::seconds(120);
   };
 
   explicit UsageCollector(Options options) : options_(options) {}
 
-  /// Takes the records of all entries, in place of those before.
+  /// Replaces the records of all entry processes.
   void OnListed(std::vector<EntryUsage> entries);
 
-  /// Returns the first window in which anything was counted.
+  /// Returns the first window with counts.
   std::optional<UsageWindow> first() const;
 
-  /// Returns true if every entry that may have counted requests in `window` has
-  /// said all that it did.
+  /// Returns true if no more counts for `window` are expected from any entry
+  /// process.
   bool IsWhole(UsageWindow window) const;
 
-  /// Returns what is known of `window`.
+  /// Returns the known total counts of `window`.
   WindowCounts Sum(UsageWindow window) const;
 
  private:
--- a/src/core/usage/usage_meter.cc
+++ b/src/core/usage/usage_meter.cc
@@ -32,7 +32,7 @@
   const UsageWindow open = WindowAt(counted_until, options_.window);
   for (auto it = held_.begin(); it != held_.end() && it->first < open;) {
     Held& held = it->second;
-    // What was counted after the write was made is not known to stand there.
+    // Requests counted after the write was prepared are not stored yet.
     if (held.whole_at == TimePoint{} && mark == counted_) {
       held.whole_at = now;
     }
--- a/src/core/usage/usage_meter.h
+++ b/src/core/usage/usage_meter.h
@@ -11,45 +11,50 @@
 
 namespace indigolead {
 
-/// Counts the requests of one entry by window and client account, and keeps
-/// the counts until they have stood in the store for long enough.
+/// Counts the requests of one entry process by window and client account, and
+/// keeps the counts until they have been in the store long enough to be
+/// collected.
 class UsageMeter {
  public:
   struct Options {
     Duration window = std::chrono::seconds(60);
-    /// A window that stood in the store whole for so long has been collected,
-    /// also if the one who collects was lost and replaced meanwhile.
+    /// A window that has been completely in the store for this long counts as
+    /// collected. The time must cover the replacement of a lost collecting
+    /// process.
     Duration keep_written = std::chrono::seconds(20);
-    /// Windows kept while the store cannot be written; the oldest go first.
+    /// Maximum number of windows kept while the store is not writable. The
+    /// oldest are dropped first.
     std::size_t most_windows = 64;
   };
 
   explicit UsageMeter(Options options) : options_(options) {}
 
-  /// Counts a request of `account` that began to run at `at`.
+  /// Counts a request of `account` that started at `at`.
   void Count(const std::string& account, WallMicros at);
 
-  /// Returns the counts held, oldest first.
+  /// Returns the counts by window, oldest first.
   std::vector<WindowCounts> windows() const;
 
-  /// Returns true if anything was counted since the last `windows()` that
-  /// `OnWritten` confirmed.
+  /// Returns true if requests were counted after the last write confirmed by
+  /// `OnWritten`.
   bool has_news() const { return counted_ != written_; }
-  /// Returns a mark for what has been counted so far, for `OnWritten`.
+  /// Returns the number of requests counted so far, to be passed to
+  /// `OnWritten` once they are stored.
   std::uint64_t mark() const { return counted_; }
 
-  /// Everything up to `mark` stands in the store, counted until
-  /// `counted_until`. Drops what has stood there for long enough.
+  /// Records that the first `mark` requests, which include all before
+  /// `counted_until`, are in the store. Drops windows that have been there for
+  /// `keep_written`.
   void OnWritten(std::uint64_t mark, WallMicros counted_until, TimePoint now);
 
-  /// Returns how many requests were dropped that never stood in the store
-  /// whole.
+  /// Returns the number of requests in windows dropped at the `most_windows`
+  /// limit.
   std::uint64_t lost() const { return lost_; }
 
  private:
   struct Held {
     std::map<std::string, std::uint64_t> requests;
-    TimePoint whole_at{};  ///< Stands in the store whole since; 0: not yet.
+    TimePoint whole_at{};  ///< Completely stored since; 0 if not yet.
   };
 
   Options options_;
--- a/src/core/usage/usage_reporter.cc
+++ b/src/core/usage/usage_reporter.cc
@@ -55,7 +55,7 @@
 std::optional<UsageReporter::Step> UsageReporter::Tick(
     std::optional<FencingNumber> number, WallMicros calendar, TimePoint now) {
   if (number != number_) {
-    // Another holder may have settled reports meanwhile.
+    // Another holder may have finalized reports in the meantime.
     Forget();
     number_ = number;
   }
@@ -112,8 +112,8 @@
 std::optional<UsageReporter::Action> UsageReporter::Settle(WallMicros calendar,
                                                            TimePoint now) {
   const std::optional<UsageWindow> next = NextWindow();
-  // Before the first report of all, the records say where to begin; they are
-  // looked at as if for the last window that can have been collected.
+  // Before the very first report, the records determine the first window. They
+  // are listed as for the newest window that can be collected.
   const UsageWindow collected =
       WindowAt(calendar - ToMicros(options_.collect_after), options_.window) -
       1;
@@ -132,7 +132,7 @@
     return ListEntries{};
   }
   if (!next) {
-    looked_at_ = collected;  // Nobody has counted anything yet.
+    looked_at_ = collected;  // No requests have been counted yet.
     return std::nullopt;
   }
   const bool whole = collector_.IsWhole(window);
@@ -149,7 +149,7 @@
 FixedUsage UsageReporter::WithNext(UsageWindow window) const {
   FixedUsage next;
   for (const WindowCounts& it : fixed_.windows) {
-    // The list has no gaps: once one is kept, all that follow are.
+    // The list must have no gaps, so all windows after a kept one are kept.
     if (!next.windows.empty() || !done_.contains(it.window)) {
       next.windows.push_back(it);
     }
@@ -214,8 +214,9 @@
     settled_ = settling_;
     late_told_ += std::exchange(late_, 0);
   } else {
-    // It may stand there, or still come to stand there: only a reading tells,
-    // and a write after it is refused if this one comes first.
+    // The write may have taken effect or may do so later. The reports are read
+    // again, and a later conditional write fails if this one takes effect
+    // first.
     read_ = false;
     next_at_ = now + options_.retry_interval;
   }
--- a/src/core/usage/usage_reporter.h
+++ b/src/core/usage/usage_reporter.h
@@ -16,94 +16,97 @@
 
 namespace indigolead {
 
-/// What became of a report that was sent.
+/// Result of sending a report.
 enum class ReportOutcome {
   kDelivered,
-  kRefused,  ///< Not taken, and a repeat would not be either.
-  kUnknown,  ///< Not taken, or no answer: it is repeated as it was.
+  kRefused,  ///< Rejected permanently; a repeat would be rejected too.
+  kUnknown,  ///< Rejected temporarily or no reply; repeated unchanged.
 };
 
 /// Returns the lower-case name of `outcome`.
 std::string_view ReportOutcomeName(ReportOutcome outcome);
 
-/// Decides when the usage of a window is settled and told, for the one holder
-/// of the control lease.
+/// Finalizes and sends the usage report of each window. Used by the holder of
+/// the control lease.
 ///
-/// Nobody can read back what was told, and two contents for one window are an
-/// error that cannot be mended. So a report is settled before it is sent: its
-/// content is written to the store on the condition that nobody has written
-/// there since it was read, and only what is known to stand there is sent. A
-/// holder that was paused or replaced between the two leaves a settled report,
-/// which the next one repeats as it is.
+/// Sent reports cannot be read back, and two different reports for one window
+/// are an error that cannot be corrected. The content of a report is therefore
+/// finalized before it is sent: a conditional write stores it if nothing was
+/// written since the last read, and only stored content is sent. If the holder
+/// is paused or replaced in between, the next holder sends the stored report
+/// unchanged.
 ///
-/// The holder waits for all entries to have told what they counted, but not
-/// longer than leaves time to send the report before it is due: an entry that
-/// was killed tells nothing more.
+/// The holder waits until all entry processes have stored their counts, but
+/// leaves enough time to send the report before it is due: a killed entry
+/// process stores nothing more.
 ///
-/// Every step is answered once before the next one is asked for. Answers to
-/// steps of an earlier authority are ignored.
+/// Only one step is in flight at a time. Replies to steps under an earlier
+/// fencing number are ignored.
 class UsageReporter {
  public:
   struct Options {
     Duration window = std::chrono::seconds(60);
-    /// A report is due so long after its window's end.
+    /// Time from the end of a window until its report is due.
     Duration due_after = std::chrono::seconds(60);
-    /// Entries have written what they counted so long after a window's end.
+    /// Time from the end of a window until the entry processes have stored
+    /// their counts.
     Duration collect_after = std::chrono::seconds(2);
-    /// Time before a report is due that is kept for settling and sending it.
+    /// Time reserved before the due time to finalize and send a report.
     Duration due_margin = std::chrono::milliseconds(2500);
-    /// Between two looks for entries that have not told, and two attempts.
+    /// Time before missing counts are listed again, and before a failed step is
+    /// retried.
     Duration retry_interval = std::chrono::seconds(1);
-    /// A report that could not be delivered for so long after it was due is
-    /// given up.
+    /// An undelivered report is abandoned this long after it was due.
     Duration give_up_after = std::chrono::minutes(10);
     UsageCollector::Options collector;
   };
 
-  /// Read the settled reports; answer with `OnFixedRead`.
+  /// Requests a read of the finalized reports; completed by `OnFixedRead`.
   struct ReadFixed {
     friend bool operator==(const ReadFixed&, const ReadFixed&) = default;
   };
-  /// Read the records of all entries; answer with `OnEntriesListed`.
+  /// Requests the records of all entry processes; completed by
+  /// `OnEntriesListed`.
   struct ListEntries {
     friend bool operator==(const ListEntries&, const ListEntries&) = default;
   };
-  /// Write `value` if the object's version is `expected`; answer with
-  /// `OnFixedWritten`.
+  /// Requests a write of `value` if the object has the version `expected`;
+  /// completed by `OnFixedWritten`.
   struct WriteFixed {
     FixedUsage value;
     std::uint64_t expected = 0;
     friend bool operator==(const WriteFixed&, const WriteFixed&) = default;
   };
-  /// Send the report under `number`; answer with `OnReported`.
+  /// Requests that the report be sent under fencing number `number`; completed
+  /// by `OnReported`.
   struct Send {
     WindowCounts report;
     FencingNumber number = 0;
     friend bool operator==(const Send&, const Send&) = default;
   };
   using Action = std::variant<ReadFixed, ListEntries, WriteFixed, Send>;
-  /// One action, with the ticket by which its answer is known.
+  /// An action with the ticket that identifies its reply.
   struct Step {
     std::uint64_t ticket = 0;
     Action action;
     friend bool operator==(const Step&, const Step&) = default;
   };
 
-  /// Says how a window's report ended.
+  /// Describes a report that was finalized.
   struct Settled {
     UsageWindow window = 0;
-    bool whole = false;  ///< All entries had told what they counted.
+    bool whole = false;  ///< Has the counts of all entry processes.
     friend bool operator==(const Settled&, const Settled&) = default;
   };
 
   explicit UsageReporter(const Options& options);
 
-  /// Returns what to do now, if anything. `number` is the authority to act
-  /// under, `calendar` the true time and `now` this machine's boot clock.
+  /// Returns the next step, if any. `number` is the fencing number of the
+  /// control lease, `calendar` the calendar time and `now` the boot clock.
   std::optional<Step> Tick(std::optional<FencingNumber> number,
                            WallMicros calendar, TimePoint now);
 
-  /// The settled reports were read: their version with them, or nothing.
+  /// Finalized reports as read from the store, with their version.
   struct FixedView {
     FixedUsage value;
     std::uint64_t version = 0;
@@ -118,13 +121,13 @@
                       TimePoint now);
   void OnReported(std::uint64_t ticket, ReportOutcome outcome, TimePoint now);
 
-  /// Returns the report settled last under this authority, if it was not asked
-  /// for before.
+  /// Returns the last report finalized under the current fencing number, unless
+  /// an earlier call returned it.
   std::optional<Settled> TakeSettled();
-  /// Returns the reports given up since the last call.
+  /// Returns the windows whose report was abandoned since the last call.
   std::vector<UsageWindow> TakeGivenUp();
-  /// Returns the requests that entries told of after their window's report was
-  /// settled, since the last call.
+  /// Returns the number of requests that arrived after the report of their
+  /// window was finalized, counted since the last call.
   std::uint64_t TakeLate();
 
  private:
@@ -145,18 +148,19 @@
   std::optional<Step> in_flight_;
   std::uint64_t last_ticket_ = 0;
   TimePoint next_at_{};
-  bool read_ = false;  ///< `fixed_` is what stands in the store.
+  bool read_ = false;  ///< `fixed_` has been read from the store.
   FixedUsage fixed_;
   std::uint64_t version_ = 0;
-  /// Windows of `fixed_` that need not be sent any more.
+  /// Windows of `fixed_` that need not be sent again.
   std::set<UsageWindow> done_;
-  /// When the records last listed were asked for.
+  /// Calendar time at which the last listed records were requested.
   std::optional<WallMicros> listed_at_;
   WallMicros asked_at_ = 0;
-  /// Before the first report of all: the window for which the records were
-  /// looked at, to see where to begin.
+  /// Before the very first report: the window for which the records were last
+  /// listed to find the first window with counts.
   std::optional<UsageWindow> looked_at_;
-  /// Of the window settled last: requests told too late.
+  /// Late requests of the window that was finalized last; `late_told_` holds
+  /// those of earlier windows until `TakeLate`.
   std::uint64_t late_ = 0;
   std::uint64_t late_told_ = 0;
   std::optional<Settled> settling_;
--- a/src/core/usage/usage_types.h
+++ b/src/core/usage/usage_types.h
@@ -11,17 +11,17 @@
 
 namespace indigolead {
 
-/// Number of a span of calendar time for which usage is reported: window k
-/// begins k times its length after the start of 1970.
+/// Number of a reporting window. Window k starts k window lengths after the
+/// Unix epoch (the start of 1970).
 using UsageWindow = std::int64_t;
 
-/// Returns the window that `at` lies in.
+/// Returns the window that contains `at`.
 UsageWindow WindowAt(WallMicros at, Duration length);
 
-/// Returns when `window` begins; it ends where the next one begins.
+/// Returns the start time of `window`, which is the end of the previous one.
 WallMicros StartOf(UsageWindow window, Duration length);
 
-/// The requests that began to run in one window.
+/// Number of requests that started in one window.
 struct WindowCounts {
   UsageWindow window = 0;
   std::map<std::string, std::uint64_t> requests;  ///< By client account.
@@ -29,23 +29,24 @@
   friend bool operator==(const WindowCounts&, const WindowCounts&) = default;
 };
 
-/// What one run of an entry's process has counted, as it stands in the store.
+/// Stored record of the requests counted by one incarnation of an entry
+/// process.
 struct EntryUsage {
   std::string instance;
   Incarnation incarnation;
-  WallMicros started_at = 0;          ///< Nothing was counted before.
-  WallMicros counted_until = 0;       ///< Everything before is counted here.
-  bool ended = false;                 ///< Nothing more will be counted.
+  WallMicros started_at = 0;          ///< No request before this is counted.
+  WallMicros counted_until = 0;       ///< Every request before this is counted.
+  bool ended = false;                 ///< No more requests will be counted.
   std::vector<WindowCounts> windows;  ///< Oldest first.
 
   friend bool operator==(const EntryUsage&, const EntryUsage&) = default;
 };
 
-/// The reports whose content is settled: what is told of a window is one of
-/// these, whoever tells it.
+/// Reports with final content. Only these may be sent, by any holder of the
+/// control lease.
 struct FixedUsage {
-  /// Oldest first, without gaps. The newest is the last window settled; older
-  /// ones are kept while they are not known to be delivered.
+  /// Oldest first, without gaps. The newest is the last finalized window. Older
+  /// ones are kept until they are delivered or abandoned.
   std::vector<WindowCounts> windows;
 
   friend bool operator==(const FixedUsage&, const FixedUsage&) = default;
--- a/tests/core/claims/claim_home_test.cc
+++ b/tests/core/claims/claim_home_test.cc
@@ -7,10 +7,10 @@
 
 constexpr int kSettle = 400;  // Steps of 20 ms.
 
-// A side is killed with the store up. Its keys were all journalled before they
-// were granted, and an entry that never agreed to grants without the store
-// says so: the successor answers the old keys and grants new ones at once.
-TEST_CASE("A home's death loses no claim") {
+// A home is killed while the store is available. All its keys were journaled
+// before they were granted, and the witnesses never agreed to degraded grants,
+// so the successor knows the old keys and grants new ones at once.
+TEST_CASE("No claim is lost when a home is killed") {
   ClaimWorld world(1, {});
   world.Run(kSettle, 0, 0);
   REQUIRE(world.AskOnce(0, 1, 200) == ClaimVerdict::kGranted);
@@ -18,11 +18,11 @@
   const std::size_t victim = world.HomeOf(1);
   world.KillHome(victim);
 
-  SECTION("another side takes over when the platform drops the instance") {
+  SECTION("another home takes over when the platform removes the instance") {
     world.Run(kSettle, 0, 0);
     REQUIRE(world.HomeOf(1) != victim);
   }
-  SECTION("the restarted side takes its own slots back") {
+  SECTION("the restarted home takes over its own slots") {
     world.StartHome(victim);
     world.Run(kSettle, 0, 0);
     REQUIRE(world.HomeOf(1) == victim);
@@ -34,10 +34,10 @@
   CHECK(world.violation().empty());
 }
 
-// The store goes down. Homes first wait, then have their witnesses agree, and
-// grant from memory. A home that dies in that state may have granted keys that
-// nobody recorded: its successor answers unseen keys with "unknown".
-TEST_CASE("Keyed requests go on while the store is down") {
+// During a store outage a home waits, gets the agreement of its witnesses, and
+// then grants from memory. If it dies in that state, some grants may not be
+// recorded, so its successor answers keys without a claim with `kUnknown`.
+TEST_CASE("Keyed requests are granted during a store outage") {
   ClaimWorld world(2, {});
   world.Run(kSettle, 0, 0);
   world.set_store_up(false);
@@ -46,10 +46,10 @@
   REQUIRE(world.counts().degraded_grants == 1);
   world.Run(100, 0, 0);
 
-  SECTION("a retry through the other entry gets the same answer") {
+  SECTION("a retry through the other entry gets the same response") {
     CHECK(world.AskOnce(1, 1, 400) == ClaimVerdict::kFinished);
   }
-  SECTION("the claims reach the journal once the store is back") {
+  SECTION("the claims are journaled once the store recovers") {
     world.set_store_up(true);
     world.Run(kSettle, 0, 0);
     const std::size_t victim = world.HomeOf(1);
@@ -59,7 +59,7 @@
     CHECK(world.AskOnce(1, 1, 400) == ClaimVerdict::kFinished);
     CHECK(world.AskOnce(1, 2, 400) == ClaimVerdict::kGranted);
   }
-  SECTION("the home dies before the store is back") {
+  SECTION("the home dies before the store recovers") {
     const std::size_t victim = world.HomeOf(1);
     world.KillHome(victim);
     world.set_store_up(true);
@@ -70,9 +70,9 @@
   CHECK(world.violation().empty());
 }
 
-// A partition keeps the entry from the key's home. The caller is told soon
-// that nothing is known, instead of being kept until its deadline of 5 s.
-TEST_CASE("A home out of reach is not waited for to the deadline") {
+// A partition separates the entry process from the home of the key. The caller
+// gets `kNotReady` early instead of waiting for its deadline of 5 s.
+TEST_CASE("An unreachable home fails the request before its deadline") {
   ClaimWorld world(3, {});
   world.Run(kSettle, 0, 0);
   world.faults().mend = 0;
@@ -81,9 +81,9 @@
   CHECK(world.AskOnce(1, 1, 200) == ClaimVerdict::kGranted);
 }
 
-// A planned stop moves the slots of a live home. Its journal is sealed by the
-// successor, so nothing depends on the old home letting go in time.
-TEST_CASE("A leaving home hands its slots over with their claims") {
+// A planned stop moves the slots of a live home. The successor seals its
+// journal, so safety does not depend on when the old home stops granting.
+TEST_CASE("Claims move with the slots of a leaving home") {
   ClaimWorld world(4, {});
   world.Run(kSettle, 0, 0);
   REQUIRE(world.AskOnce(0, 1, 200) == ClaimVerdict::kGranted);
@@ -97,7 +97,7 @@
   CHECK(world.violation().empty());
 }
 
-TEST_CASE("A granted key whose entry dies is reported as unknown") {
+TEST_CASE("A granted key is unknown after its entry is killed") {
   ClaimWorld world(5, {});
   world.Run(kSettle, 0, 0);
   REQUIRE(world.AskOnce(0, 1, 200) == ClaimVerdict::kGranted);
--- a/tests/core/claims/claim_table_test.cc
+++ b/tests/core/claims/claim_table_test.cc
@@ -38,21 +38,21 @@
   const ClaimAsk retry = MakeAsk(2, 5, kEntryB);
   REQUIRE(table.Ask(first, kStart).claimed);
 
-  SECTION("the same request asking again gets its grant again") {
+  SECTION("the same request gets its grant again") {
     const auto again = table.Ask(first, kStart);
     CHECK(again.decision.verdict == ClaimVerdict::kGranted);
     CHECK_FALSE(again.claimed);
   }
-  SECTION("the caller's retry waits while it runs") {
+  SECTION("a retry is told to wait during the run") {
     CHECK(table.Ask(retry, kStart).decision.verdict == ClaimVerdict::kRunning);
   }
-  SECTION("the retry gets the same answer once it has finished") {
+  SECTION("a retry after the run gets the same response") {
     table.End(MakeEnd(first, ClaimState::kFinished, "menu"), kStart);
     const auto asked = table.Ask(retry, kStart);
     CHECK(asked.decision.verdict == ClaimVerdict::kFinished);
     CHECK(asked.decision.answer->body == "menu");
   }
-  SECTION("another body under the key is refused in every state") {
+  SECTION("another body for the key is refused in every state") {
     const ClaimAsk other = MakeAsk(3, 5, kEntryB, 8);
     CHECK(table.Ask(other, kStart).decision.verdict ==
           ClaimVerdict::kBodyDiffers);
@@ -60,15 +60,15 @@
     CHECK(table.Ask(other, kStart).decision.verdict ==
           ClaimVerdict::kBodyDiffers);
   }
-  SECTION("a run that provably did not start frees the key") {
+  SECTION("a run that never started frees the key") {
     table.End(MakeEnd(first, ClaimState::kNotRun), kStart);
     CHECK(table.Ask(retry, kStart).claimed);
-    // A late repeat of the first report must not free the second claim.
+    // A late duplicate of the first report must not free the second claim.
     CHECK_FALSE(table.End(MakeEnd(first, ClaimState::kNotRun), kStart));
     CHECK(table.Ask(MakeAsk(3, 5), kStart).decision.verdict ==
           ClaimVerdict::kRunning);
   }
-  SECTION("an entry out of reach leaves the key unknown until it is back") {
+  SECTION("the key is unknown while its entry is unreachable") {
     table.OwnerLost(kEntryA, kStart);
     CHECK(table.Ask(retry, kStart).decision.verdict == ClaimVerdict::kRunning);
     CHECK(table.Ask(retry, kStart + seconds(2)).decision.verdict ==
@@ -79,7 +79,7 @@
   }
 }
 
-TEST_CASE("What a table holds is bounded") {
+TEST_CASE("The claim table limits its contents") {
   ClaimTable::Options options;
   options.max_claims = 2;
   options.max_answer_bytes = 100;
@@ -87,11 +87,11 @@
   table.Ask(MakeAsk(1, 1), kStart);
   table.Ask(MakeAsk(2, 2), kStart);
 
-  SECTION("a claim beyond the bound is refused with the key free") {
+  SECTION("a claim above the limit is refused as overloaded") {
     CHECK(table.Ask(MakeAsk(3, 3), kStart).decision.verdict ==
           ClaimVerdict::kOverloaded);
   }
-  SECTION("the oldest answer goes first and leaves already-run behind") {
+  SECTION("the oldest response is dropped first and its key is already run") {
     const std::string long_body(80, 'x');
     table.End(MakeEnd(MakeAsk(1, 1), ClaimState::kFinished, long_body), kStart);
     table.End(MakeEnd(MakeAsk(2, 2), ClaimState::kFinished, long_body), kStart);
@@ -101,18 +101,18 @@
     CHECK(table.Ask(MakeAsk(5, 2), kStart).decision.verdict ==
           ClaimVerdict::kFinished);
   }
-  SECTION("a key is forgotten only after its retention") {
+  SECTION("a key is removed only after its retention") {
     table.End(MakeEnd(MakeAsk(1, 1), ClaimState::kFinished, ""), kStart);
     table.Tick(kStart + minutes(59));
     CHECK(table.Holds(ClaimKey{{0, 1}}));
     table.Tick(kStart + minutes(60));
     CHECK_FALSE(table.Holds(ClaimKey{{0, 1}}));
-    // The other one still runs at an entry that is in reach.
+    // The other key is still running at a reachable entry process.
     CHECK(table.Holds(ClaimKey{{0, 2}}));
   }
 }
 
-TEST_CASE("Keys of different accounts never meet") {
+TEST_CASE("Different accounts, keys or requests have different hashes") {
   CHECK(MakeClaimKey("a", "d", "k") == MakeClaimKey("a", "d", "k"));
   CHECK(MakeClaimKey("ab", "d", "k") != MakeClaimKey("a", "bd", "k"));
   CHECK(MakeClaimKey("a", "d", "k1") != MakeClaimKey("a", "d", "k"));
--- a/tests/core/claims/run_once_test.cc
+++ b/tests/core/claims/run_once_test.cc
@@ -21,12 +21,13 @@
   return faults;
 }
 
-// The caller sends a key through either entry, again and again. Meanwhile
-// messages are lost, repeated and reordered, homes and entries are killed,
-// paused and cut off, writes take effect without an answer, the store is down
-// at times, and slots move. A second run, a false "not run" or another answer
-// to a retry would each be a fault of the design, so any seed may find it.
-TEST_CASE("A key runs at most once whatever fails") {
+// Callers send the same keys repeatedly through both entry processes. Messages
+// are lost, repeated and reordered, homes are killed, paused and cut off, entry
+// processes are killed, writes take effect without a reply, the store is down
+// at times, and slots move. A second run, a false "not run" or a different
+// response to a retry would be a design fault, so the test uses arbitrary
+// seeds.
+TEST_CASE("A key runs at most once under random faults") {
   int runs = 0;
   int kills = 0;
   int degraded = 0;
@@ -44,27 +45,27 @@
   CHECK(held);
   INFO("runs " << runs << ", homes killed " << kills << ", degraded grants "
                << degraded);
-  // The check is worth something only if these things happened.
+  // The property is only tested if these events occurred.
   CHECK(runs > 100);
   CHECK(kills > 10);
   CHECK(degraded > 10);
 }
 
-// The caller's key 53 ran twice in this one world. A home died while it copied
-// the journals of two earlier ones: the older journal was copied, the newer
-// not. Its successor read that copy last, took it for the newest word on the
-// key, and wrote down that the key was free.
-TEST_CASE("A key runs at most once in the world that broke it") {
+// Key 53 ran twice with this seed. A home died while copying the journals of
+// two earlier homes: the older journal was copied, the newer was not. Its
+// successor read the copy last, treated it as the newest state and recorded the
+// key as free.
+TEST_CASE("A key runs at most once when a home dies during a takeover") {
   constexpr std::uint64_t kBreakingSeed = 16642721432904031ULL;
   ClaimWorld world(kBreakingSeed, Everything());
   world.Run(1500, 60, 0.3);
   CHECK(world.violation() == std::string());
 }
 
-// The caller's key 56 ran twice in this one. A home slept while its slots went
-// to another, and got them back on waking although it still named the journal
-// from before; its old records were then read after those of the other home.
-TEST_CASE("A key runs at most once when a home sleeps through its loss") {
+// Key 56 ran twice with this seed. A home was paused while its slots moved to
+// another home, and got them back afterwards although it still reported its old
+// journal. Its old records were then read after those of the other home.
+TEST_CASE("A key runs at most once when a paused home loses its slots") {
   constexpr std::uint64_t kBreakingSeed = 1000900;
   ClaimWorld world(kBreakingSeed, Everything());
   world.Run(1500, 60, 0.3);
--- a/tests/core/claims/slot_planner_test.cc
+++ b/tests/core/claims/slot_planner_test.cc
@@ -22,11 +22,11 @@
                      [&](const auto& it) { return it.owner == ref; });
 }
 
-// The caller's retry of a key that ran is told that the key is free, and runs
-// it again. Home "a" freezes; its slots go to "b", which seals a's journal and
-// runs keys; "a" wakes, still naming its old journal, just as "b" leaves. Were
-// the slots given to that journal, its old records would be read last.
-TEST_CASE("A home that lost a slot gets none before it has a new journal") {
+// Guards against a second run of a key. Home "a" is paused and its slots move
+// to "b", which seals the journal of "a" and grants keys. "a" resumes with its
+// old journal just as "b" leaves. If that journal got the slots, its old
+// records would be read last and show the keys as free.
+TEST_CASE("A home that lost a slot gets none until it opens a new journal") {
   SlotPlanner::Options options;
   options.slot_count = 4;
   const SlotPlanner planner(options);
@@ -50,14 +50,14 @@
   leaving.leaving = true;
   input.lost = {};
 
-  SECTION("while it names its old journal") {
+  SECTION("no slots while it reports its old journal") {
     input.homes = {Absorbed(old_a, first->epoch), leaving};
     const auto next = planner.Plan(moved, input);
     REQUIRE(next);
     CHECK_FALSE(Owns(*next, old_a));
     CHECK(next->retired.count(old_a) == 1);
   }
-  SECTION("it gets them once it names a new one") {
+  SECTION("slots are assigned once it reports a new journal") {
     const JournalRef new_a = Ref("a", 3);
     input.homes = {Absorbed(new_a, first->epoch), leaving};
     const auto next = planner.Plan(moved, input);
--- a/tests/core/usage/steady_calendar_test.cc
+++ b/tests/core/usage/steady_calendar_test.cc
@@ -12,7 +12,7 @@
 constexpr WallMicros kSecond = 1'000'000;
 constexpr WallMicros kBegin = 1'700'000'000 * kSecond;
 
-/// A machine whose time of day can be stepped.
+/// Simulates a machine whose time of day can be stepped.
 class Machine {
  public:
   void Run(Duration length, WallMicros step) {
@@ -22,7 +22,7 @@
     }
   }
 
-  /// Returns by how much the calendar is off the true time.
+  /// Returns the absolute error of the calendar time.
   WallMicros Error() const { return std::abs(*calendar_.At(now_) - True()); }
 
  private:
@@ -36,12 +36,12 @@
   SteadyCalendar calendar_;
 };
 
-TEST_CASE("Nothing is known before the first reading") {
+TEST_CASE("There is no calendar time before the first reading") {
   CHECK_FALSE(SteadyCalendar().At(TimePoint{}));
 }
 
-// The time of day jumps by two seconds for a while, forward or back. Counting
-// by it would move the requests of two seconds into a neighbouring window.
+// The time of day is stepped for a while, by two seconds forward or back or by
+// a day. Using it would count requests in the wrong window.
 TEST_CASE("A step of the time of day does not move the calendar") {
   const WallMicros step = GENERATE(2 * kSecond, -2 * kSecond, 86'400 * kSecond);
   Machine machine;
@@ -50,18 +50,18 @@
   machine.Run(seconds(5), step);
   CHECK(machine.Error() < kSecond / 1000);
 
-  SECTION("nor does the step back") {
+  SECTION("nor does the step back to the true time") {
     machine.Run(seconds(5), 0);
     CHECK(machine.Error() < kSecond / 1000);
   }
-  SECTION("nor do several of them") {
+  SECTION("nor do several steps") {
     machine.Run(seconds(1), 0);
     machine.Run(seconds(3), -step);
     CHECK(machine.Error() < kSecond / 1000);
   }
 }
 
-TEST_CASE("A process started during a step finds the true time afterwards") {
+TEST_CASE("A process started during a step switches to the true time later") {
   Machine machine;
   machine.Run(seconds(4), 2 * kSecond);
   CHECK(machine.Error() > kSecond);
@@ -69,7 +69,7 @@
   CHECK(machine.Error() < kSecond / 1000);
 }
 
-TEST_CASE("A slewed clock is followed") {
+TEST_CASE("The calendar tracks a slewed clock") {
   Machine machine;
   machine.Run(seconds(10), 0);
   for (WallMicros it = 1; it <= 20; ++it) {
--- a/tests/core/usage/usage_codec_test.cc
+++ b/tests/core/usage/usage_codec_test.cc
@@ -5,7 +5,7 @@
 namespace indigolead {
 namespace {
 
-TEST_CASE("An entry's record is read as it was written") {
+TEST_CASE("An entry usage record round-trips through JSON") {
   const EntryUsage usage{"front-1",
                          Incarnation{{1, 2}},
                          1'700'000'000'000'000,
@@ -16,20 +16,20 @@
   REQUIRE(IsOk(read));
   CHECK(ValueOf(read) == usage);
 
-  SECTION("anything else is no record") {
+  SECTION("other input is rejected") {
     for (const char* text : {"", "7", "{}", "null", R"({"instance":7})"}) {
       CHECK_FALSE(IsOk(DecodeEntryUsage(text)));
     }
   }
 }
 
-TEST_CASE("Settled reports are read as they were written") {
+TEST_CASE("Finalized reports round-trip through JSON") {
   const FixedUsage usage{{{7, {{"salon", 3}}}, {8, {{"owner", 1}}}}};
   const auto read = DecodeFixedUsage(EncodeFixedUsage(usage));
   REQUIRE(IsOk(read));
   CHECK(ValueOf(read) == usage);
 
-  SECTION("a list that leaves a window out, or is empty, is refused") {
+  SECTION("an empty list or a list with gaps is rejected") {
     CHECK_FALSE(IsOk(DecodeFixedUsage(EncodeFixedUsage({{{7, {}}, {9, {}}}}))));
     CHECK_FALSE(IsOk(DecodeFixedUsage(EncodeFixedUsage({}))));
   }
--- a/tests/core/usage/usage_collector_test.cc
+++ b/tests/core/usage/usage_collector_test.cc
@@ -24,7 +24,7 @@
           false, std::move(windows)};
 }
 
-TEST_CASE("What all entries counted is added up") {
+TEST_CASE("The counts of all entries are added up") {
   UsageCollector collector = Collector();
   CHECK_FALSE(collector.first());
   collector.OnListed(
@@ -37,33 +37,33 @@
   CHECK(collector.Sum(kWindow + 1) == WindowCounts{kWindow + 1, {}});
 }
 
-TEST_CASE("A window is whole once all have told what they counted in it") {
+TEST_CASE("A window is complete once no entry has more counts to report") {
   UsageCollector collector = Collector();
   EntryUsage other =
       Entry("front-2", kEnd - kSecond, {{kWindow, {{"salon", 1}}}});
 
-  SECTION("not while one has told of a part") {
+  SECTION("not while an entry has reported only part of it") {
     collector.OnListed({Entry("front-1", kEnd), other});
     CHECK_FALSE(collector.IsWhole(kWindow));
     CHECK(collector.IsWhole(kWindow - 1));
   }
-  SECTION("one that has ended tells nothing more") {
+  SECTION("an entry that has ended is not waited for") {
     other.ended = true;
     collector.OnListed({Entry("front-1", kEnd), other});
     CHECK(collector.IsWhole(kWindow));
   }
-  SECTION("nor does one whose instance has started anew") {
+  SECTION("an entry whose instance has restarted is not waited for") {
     EntryUsage next = Entry("front-2", kEnd);
     next.started_at = kEnd - kSecond / 2;
     collector.OnListed({Entry("front-1", kEnd), other, next});
     CHECK(collector.IsWhole(kWindow));
   }
-  SECTION("nor one that holds no counts") {
+  SECTION("an entry without counts is not waited for") {
     other.windows.clear();
     collector.OnListed({Entry("front-1", kEnd), other});
     CHECK(collector.IsWhole(kWindow));
   }
-  SECTION("nor one that has been silent for long") {
+  SECTION("an entry that has been silent for long is not waited for") {
     other.counted_until = kEnd - 11 * kSecond;
     collector.OnListed({Entry("front-1", kEnd), other});
     CHECK(collector.IsWhole(kWindow));
--- a/tests/core/usage/usage_meter_test.cc
+++ b/tests/core/usage/usage_meter_test.cc
@@ -19,7 +19,7 @@
   return options;
 }
 
-TEST_CASE("Requests are counted in the window in which they began") {
+TEST_CASE("Requests are counted in the window in which they started") {
   UsageMeter meter(FiveSeconds());
   meter.Count("salon", kBegin);
   meter.Count("salon", kBegin + 5 * kSecond - 1);
@@ -30,19 +30,19 @@
                                   {kFirst + 1, {{"salon", 1}}}});
 }
 
-TEST_CASE("Counts are kept until they have stood in the store long enough") {
+TEST_CASE("Counts are kept until they have been stored long enough") {
   UsageMeter meter(FiveSeconds());
   TimePoint now{seconds(100)};
   meter.Count("salon", kBegin + kSecond);
   CHECK(meter.has_news());
 
-  SECTION("a window that goes on is never dropped") {
+  SECTION("the current window is never dropped") {
     meter.OnWritten(meter.mark(), kBegin + 2 * kSecond, now);
     meter.OnWritten(meter.mark(), kBegin + 4 * kSecond, now + seconds(60));
     CHECK_FALSE(meter.has_news());
     CHECK(meter.windows().size() == 1);
   }
-  SECTION("one that is over is, some time after it was written whole") {
+  SECTION("a past window is dropped some time after its complete write") {
     meter.OnWritten(meter.mark(), kBegin + 6 * kSecond, now);
     CHECK(meter.windows().size() == 1);
     meter.OnWritten(meter.mark(), kBegin + 25 * kSecond, now + seconds(19));
@@ -50,7 +50,7 @@
     meter.OnWritten(meter.mark(), kBegin + 26 * kSecond, now + seconds(20));
     CHECK(meter.windows().empty());
   }
-  SECTION("not if a request was counted while the write was under way") {
+  SECTION("a request counted during the write keeps the window") {
     const std::uint64_t mark = meter.mark();
     meter.Count("salon", kBegin + 2 * kSecond);
     meter.OnWritten(mark, kBegin + 6 * kSecond, now);
@@ -58,7 +58,7 @@
     meter.OnWritten(meter.mark(), kBegin + 26 * kSecond, now + seconds(20));
     CHECK(meter.windows().size() == 1);
   }
-  SECTION("while nothing can be written the oldest go first, and are told") {
+  SECTION("without writes the oldest windows are dropped and counted as lost") {
     for (int n = 1; n < 6; ++n) {
       meter.Count("owner", kBegin + WallMicros{n} * 5 * kSecond);
     }
--- a/tests/core/usage/usage_reporter_test.cc
+++ b/tests/core/usage/usage_reporter_test.cc
@@ -43,8 +43,8 @@
 
 Error Lost() { return {ErrorCode::kTimeout, "store.put", "store", "lost"}; }
 
-/// One holder, whose steps the test answers. `at` is seconds after the begin of
-/// the window `kWindow`.
+/// A lease holder whose steps the test completes. `at` is in seconds after the
+/// start of the window `kWindow`.
 class Holder {
  public:
   std::optional<UsageReporter::Action> Tick(double at,
@@ -78,12 +78,12 @@
 
 const WindowCounts kCounts{kWindow, {{"salon", 3}}};
 
-TEST_CASE("A report is settled before it is sent") {
+TEST_CASE("A report is finalized before it is sent") {
   Holder holder;
   CHECK(holder.Tick(1) == UsageReporter::Action(ReadFixed{}));
   holder.OnRead(1, std::nullopt);
 
-  SECTION("the first holder looks where to begin, once for each window") {
+  SECTION("the first holder lists the records once for each window") {
     REQUIRE(holder.Tick(1.9) == UsageReporter::Action(ListEntries{}));
     holder.OnListed(1.9, {});
     CHECK_FALSE(holder.Tick(1.95));
@@ -93,20 +93,20 @@
     CHECK_FALSE(holder.Tick(6.9));
     CHECK(holder.Tick(7.1) == UsageReporter::Action(ListEntries{}));
   }
-  SECTION("nothing is asked for before the window is over and collected") {
+  SECTION("no step is requested before the window can be collected") {
     REQUIRE(holder.Tick(1.9) == UsageReporter::Action(ListEntries{}));
     holder.OnListed(1.9, {Entry("front-1", Holder::Calendar(1), {kCounts})});
     CHECK_FALSE(holder.Tick(2));
     CHECK_FALSE(holder.Tick(6.9));
     CHECK(holder.Tick(7.1) == UsageReporter::Action(ListEntries{}));
   }
-  SECTION("the records of all entries make the report") {
+  SECTION("the report is made from the records of all entries") {
     REQUIRE(holder.Tick(7.1) == UsageReporter::Action(ListEntries{}));
     holder.OnListed(7.1, {Entry("front-1", Holder::Calendar(5.1), {kCounts})});
     const WriteFixed write{{{kCounts}}, 0};
     REQUIRE(holder.Tick(7.2) == UsageReporter::Action(write));
 
-    SECTION("which is sent once it stands in the store") {
+    SECTION("it is sent once it is stored") {
       CHECK_FALSE(holder.Tick(7.3));
       holder.reporter.OnFixedWritten(holder.ticket, std::uint64_t{40},
                                      Holder::Boot(7.3));
@@ -118,45 +118,46 @@
       CHECK_FALSE(holder.Tick(11.9));
       CHECK(holder.Tick(12.1) == UsageReporter::Action(ListEntries{}));
     }
-    SECTION("and not before it is known to: a lost answer is read up") {
+    SECTION("a write without a reply is followed by a read before sending") {
       holder.reporter.OnFixedWritten(holder.ticket, Lost(), Holder::Boot(8));
       CHECK_FALSE(holder.Tick(8.5));
       REQUIRE(holder.Tick(9.1) == UsageReporter::Action(ReadFixed{}));
       holder.OnRead(9.1, UsageReporter::FixedView{{{kCounts}}, 40});
       CHECK(holder.Tick(9.2) == UsageReporter::Action(Send{kCounts, 7}));
     }
-    SECTION("nor under an authority that has ended") {
+    SECTION("it is not sent after the lease was lost") {
       CHECK_FALSE(holder.reporter.Tick(std::nullopt, Holder::Calendar(7.3),
                                        Holder::Boot(7.3)));
       holder.reporter.OnFixedWritten(holder.ticket, std::uint64_t{40},
                                      Holder::Boot(7.4));
       CHECK_FALSE(holder.reporter.Tick(std::nullopt, Holder::Calendar(7.5),
                                        Holder::Boot(7.5)));
-      // With a new one it reads again what stands there.
+      // Under a new fencing number it reads the stored reports again.
       CHECK(holder.Tick(7.6, 9) == UsageReporter::Action(ReadFixed{}));
     }
   }
 }
 
-// The holder was killed, paused or cut off after it had settled a report. The
-// next one cannot know whether it was sent, and nothing can be read back.
-TEST_CASE("A successor repeats exactly what was settled") {
+// A holder was killed, paused or cut off after it had finalized a report. The
+// next holder cannot know whether it was sent, and sent reports cannot be read
+// back.
+TEST_CASE("A successor sends the finalized report unchanged") {
   Holder holder;
   REQUIRE(holder.Tick(8));
   holder.OnRead(8, UsageReporter::FixedView{{{kCounts}}, 40});
   REQUIRE(holder.Tick(8.1) == UsageReporter::Action(Send{kCounts, 7}));
 
-  SECTION("again until its fate is known") {
+  SECTION("it is repeated until its outcome is known") {
     holder.reporter.OnReported(holder.ticket, ReportOutcome::kUnknown,
                                Holder::Boot(8.2));
     CHECK_FALSE(holder.Tick(8.3));
     CHECK(holder.Tick(9.3) == UsageReporter::Action(Send{kCounts, 7}));
   }
-  SECTION("and goes on with the next window, the one before kept if unsent") {
+  SECTION("the next window follows after delivery") {
     holder.reporter.OnReported(holder.ticket, ReportOutcome::kDelivered,
                                Holder::Boot(8.2));
     REQUIRE(holder.Tick(12.1) == UsageReporter::Action(ListEntries{}));
-    // Whatever the entries say of it now, a settled report stays.
+    // Later counts do not change a finalized report.
     const WindowCounts more{kWindow, {{"salon", 4}}};
     const WindowCounts next{kWindow + 1, {{"owner", 1}}};
     holder.OnListed(12.1,
@@ -166,7 +167,7 @@
                                    Holder::Boot(12.2));
     CHECK(holder.reporter.TakeLate() == 1);
   }
-  SECTION("one that is refused for good is told and left") {
+  SECTION("a permanently refused report is abandoned") {
     holder.reporter.OnReported(holder.ticket, ReportOutcome::kRefused,
                                Holder::Boot(8.2));
     CHECK(holder.reporter.TakeGivenUp() == std::vector<UsageWindow>{kWindow});
@@ -174,9 +175,9 @@
   }
 }
 
-// An entry was killed in the window and tells nothing more; whether it will
-// cannot be known.
-TEST_CASE("A report waits for a silent entry no longer than it may") {
+// An entry process that was killed in the window reports nothing more. The
+// holder cannot distinguish it from a slow one.
+TEST_CASE("A report waits for a silent entry only until it must be sent") {
   Holder holder;
   REQUIRE(holder.Tick(6));
   holder.OnRead(6, std::nullopt);
@@ -188,7 +189,7 @@
   CHECK_FALSE(holder.Tick(7.2));
   REQUIRE(holder.Tick(8.3) == UsageReporter::Action(ListEntries{}));
 
-  SECTION("it is settled at once when the entry has told") {
+  SECTION("it is finalized at once when the entry has reported") {
     auto told = entries;
     told[1].counted_until = Holder::Calendar(5.2);
     told[1].windows = {{kWindow, {{"salon", 2}}}};
@@ -196,7 +197,7 @@
     CHECK(holder.Tick(8.4) ==
           UsageReporter::Action(WriteFixed{{{{kWindow, {{"salon", 5}}}}}, 0}));
   }
-  SECTION("it is settled without it in time to be sent") {
+  SECTION("it is finalized without the entry in time to be sent") {
     holder.OnListed(8.3, entries);
     REQUIRE_FALSE(holder.Tick(8.4));
     REQUIRE(holder.Tick(12.5) == UsageReporter::Action(ListEntries{}));
@@ -210,9 +211,9 @@
   }
 }
 
-// Windows may be shorter than it takes to collect what was counted in them.
-// Then none is ever over and collected before the next one is over too.
-TEST_CASE("Short windows are reported as well") {
+// Windows may be shorter than the time needed to collect their counts. The next
+// window is then always over before a window can be collected.
+TEST_CASE("Windows shorter than the collection time are reported") {
   UsageReporter::Options options = FiveSeconds();
   options.window = seconds(1);
   options.collector.window = seconds(1);
@@ -234,13 +235,14 @@
   CHECK(step->action == UsageReporter::Action(WriteFixed{{{counts}}, 0}));
 }
 
-/// Entries, holders, a store and a receiver in one random world.
+/// Simulates entry processes, lease holders, a store and a receiver with random
+/// faults.
 ///
-/// Every 100 ms each of them may act. Entries count and write; some are killed
-/// with what they had not written. The authority moves between holders, some of
-/// which sleep with steps in flight. The store loses answers, and carries some
-/// writes out seconds late if their condition still holds. The receiver loses
-/// answers and is away for a time.
+/// Time advances in steps of 100 ms. Entry processes count requests and write
+/// records; some are killed before their counts are written. The lease moves
+/// between holders, some of which are paused with steps in flight. The store
+/// loses replies and applies some writes seconds late if their condition still
+/// holds. The receiver loses replies and is unavailable at times.
 class World {
  public:
   explicit World(std::uint64_t seed) : random_(MakeSeededRandom(seed)) {
@@ -263,7 +265,7 @@
         Drive(it.get());
       }
     }
-    // Everything is well for long enough to catch up.
+    // Runs without faults for long enough to catch up.
     receiver_away_until_ = 0;
     store_ill_until_ = 0;
     for (; now_ < 1500; ++now_) {
@@ -299,9 +301,9 @@
     int starts = 0;
     std::map<UsageWindow, std::map<std::string, std::uint64_t>> counted;
     EntryUsage written;
-    int cut_until = 0;  ///< From the store; its record changes late then.
+    int cut_until = 0;  ///< Writes no record until then.
   };
-  /// A write that has not taken effect yet.
+  /// A write that is not yet applied.
   struct Pending {
     int at = 0;
     FixedUsage value;
@@ -318,7 +320,7 @@
   }
 
   void Trouble() {
-    // The authority moves on; for a while nobody may have it.
+    // The lease moves to another holder, possibly after a time without one.
     if (Chance(0.008)) {
       holder_ = Below(3);
       number_ += 1 + Below(5);
@@ -363,7 +365,7 @@
     }
   }
 
-  /// Carries out the writes whose time has come.
+  /// Applies the pending writes that are due.
   void Land() {
     for (std::size_t it = 0; it < pending_.size();) {
       if (pending_[it].at > now_) {
@@ -428,7 +430,7 @@
 
   void Write(Side* side, std::uint64_t ticket, const WriteFixed& write) {
     if (StoreIsIll()) {
-      // Done and not answered, done late, or never done.
+      // Applied without a reply, applied late, or never applied.
       const int fate = Below(3);
       if (fate < 2) {
         pending_.push_back(
@@ -454,16 +456,16 @@
       return;
     }
     if (send.number < highest_) {
-      broken_.push_back("a number fell");
+      broken_.push_back("a fencing number decreased");
     }
     highest_ = std::max(highest_, send.number);
     const auto [it, first] =
         reported_.emplace(send.report.window, send.report.requests);
     if (!first && it->second != send.report.requests) {
-      broken_.push_back("two contents for a window");
+      broken_.push_back("two different reports for a window");
     }
     if (Calendar() < StartOf(send.report.window + 1, seconds(5))) {
-      broken_.push_back("a report before its window's end");
+      broken_.push_back("a report before the end of its window");
     }
     side->reporter.OnReported(
         ticket, away ? ReportOutcome::kUnknown : ReportOutcome::kDelivered,
@@ -474,7 +476,7 @@
   int now_ = 0;  ///< In tenths of a second.
   std::vector<std::unique_ptr<Side>> holders_;
   std::vector<Counting> entries_;
-  std::vector<EntryUsage> gone_;  ///< Records of runs that were killed.
+  std::vector<EntryUsage> gone_;  ///< Records of killed incarnations.
   std::size_t holder_ = 0;
   FencingNumber number_ = 1;
   int held_from_ = 0;
@@ -498,7 +500,7 @@
   return sum;
 }
 
-TEST_CASE("In random worlds one content is told for each window") {
+TEST_CASE("Each window has one report content under random faults") {
   int landed_late = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     INFO("seed " << seed);
@@ -506,10 +508,10 @@
     world.Run(/*kills=*/true);
     CHECK(world.broken() == std::vector<std::string>{});
     landed_late += world.steps_landed_late();
-    // Every window but those that go on at the end.
+    // All windows except the last ones, which are not over yet.
     REQUIRE(world.reported().size() + 2 >= world.truth().size());
     for (const auto& [window, requests] : world.reported()) {
-      // A kill takes away what was not written, and nothing is invented.
+      // A kill loses counts that were not written; no counts are added.
       for (const auto& [account, n] : requests) {
         CHECK(n <= world.truth().at(window).at(account));
       }
@@ -518,7 +520,7 @@
   CHECK(landed_late > 100);
 }
 
-TEST_CASE("Where no entry is killed the reports are exact") {
+TEST_CASE("Reports are exact if no entry is killed") {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     INFO("seed " << seed);
     World world(seed);
--- a/tests/support/claims/claim_world.cc
+++ b/tests/support/claims/claim_world.cc
@@ -12,8 +12,8 @@
 
 ClaimHome::Options HomeOptions() {
   ClaimHome::Options options;
-  // A key that is forgotten may run again; the property is about keys that
-  // are remembered, so retention outlasts every run of the world.
+  // A key may run again after its retention. The property holds for retained
+  // keys, so the retention is longer than every simulation.
   options.table.retention = std::chrono::hours(100);
   options.journal.retention = std::chrono::hours(100);
   options.journal.max_segment_records = 4;
@@ -128,7 +128,7 @@
     return;
   }
   if (now_ < home.paused_until) {
-    // A paused process finds everything that came meanwhile on waking.
+    // A paused process receives queued messages when it resumes.
     Later(home.paused_until - now_,
           [this, n, incarnation, deliver] { OnHome(n, incarnation, deliver); });
     return;
@@ -175,7 +175,7 @@
   Later(Delay(40), [this, n, incarnation, write, ref, lost] {
     Result<std::uint64_t> result =
         Error{ErrorCode::kUnavailable, "put", "", ""};
-    // A write on its way takes effect even if its writer has died since.
+    // A write in transit takes effect even if its writer has died.
     if (store_up_ && !homes_[n].store_cut) {
       const auto found = store_.find({ref, write.segment.number});
       const std::uint64_t held =
--- a/tests/support/claims/claim_world.h
+++ b/tests/support/claims/claim_world.h
@@ -15,30 +15,31 @@
 
 namespace indigolead {
 
-/// Runs the real claim cores of some entries and homes against a fake store
-/// and a fake network that lose, repeat, delay and reorder, from one seed.
+/// Simulates entry processes and homes from a seed. Runs the production claim
+/// code against a fake store and a fake network that lose, repeat, delay and
+/// reorder messages.
 class ClaimWorld {
  public:
   struct Faults {
     double lose = 0;         ///< Chance that a message is lost.
     double repeat = 0;       ///< Chance that it is delivered twice.
-    double lose_answer = 0;  ///< Chance that a write's answer is lost.
-    double kill = 0;         ///< Chance in each step of each fault below.
+    double lose_answer = 0;  ///< Chance that the reply to a write is lost.
+    double kill = 0;         ///< Chance per step, as for the faults below.
     double restart = 0.02;
     double pause = 0;
     double cut_link = 0;
-    double cut_store = 0;  ///< For one process.
+    double cut_store = 0;  ///< Cuts one home off from the store.
     double store_down = 0;
     double mend = 0.03;  ///< Chance that a cut or an outage ends.
   };
 
   ClaimWorld(std::uint64_t seed, Faults faults);
 
-  /// Advances by `steps` of 20 ms, starting requests with `key_count` keys at
-  /// `load` requests a step.
+  /// Advances by `steps` steps of 20 ms. Each step starts a request with one of
+  /// `key_count` keys with probability `load`.
   void Run(int steps, std::size_t key_count, double load);
 
-  /// Ends every fault and lets everything settle for `steps`.
+  /// Ends all faults and runs `steps` steps without new requests.
   void Heal(int steps);
 
   struct Counts {
@@ -47,7 +48,7 @@
     int replayed = 0;
     int already_run = 0;
     int unknown = 0;
-    int free = 0;  ///< Refused with the key free: "not run".
+    int free = 0;  ///< Refused with the key left free.
     int home_kills = 0;
     int entry_kills = 0;
     int degraded_grants = 0;
@@ -55,16 +56,17 @@
   };
   const Counts& counts() const { return counts_; }
 
-  /// Returns what was broken, or an empty text.
+  /// Returns the first violated property, or an empty string.
   const std::string& violation() const { return violation_; }
 
-  /// Starts one request and returns its verdict once it has one.
+  /// Starts a request and returns its verdict, or nothing after `steps` steps
+  /// without one.
   std::optional<ClaimVerdict> AskOnce(std::size_t entry, int key, int steps);
 
   struct Home {
     std::string name;
     Incarnation incarnation;
-    std::unique_ptr<ClaimHome> core;  ///< Empty while dead.
+    std::unique_ptr<ClaimHome> core;  ///< Null while the home is down.
     TimePoint paused_until;
     TimePoint died_at;
     bool leaving = false;
--- a/tests/support/claims/claim_world_run.cc
+++ b/tests/support/claims/claim_world_run.cc
@@ -35,20 +35,20 @@
     case ClaimVerdict::kFinished:
       ++counts_.replayed;
       if (decided.decision.answer->body != answers_[key]) {
-        Violate("a retry got the answer " + decided.decision.answer->body +
+        Violate("a retry got the response " + decided.decision.answer->body +
                 ", expected " + answers_[key]);
       }
       break;
     case ClaimVerdict::kAlreadyRun:
       ++counts_.already_run;
       if (runs_[key] != 1) {
-        Violate("already-run reported of a key that never ran");
+        Violate("already-run reported for a key that did not run once");
       }
       break;
     case ClaimVerdict::kOverloaded:
       ++counts_.free;
       if (runs_[key] != 0) {
-        Violate("not-run reported of a key that ran");
+        Violate("not-run reported for a key that ran");
       }
       break;
     case ClaimVerdict::kBodyDiffers:
@@ -136,7 +136,7 @@
     } else if (!it.core && now_ - it.died_at > seconds(4)) {
       input.removed.insert(it.name);
     } else if (Chance(0.05)) {
-      input.lost.insert(it.name);  // Silent for long, as seen from here.
+      input.lost.insert(it.name);  // Seems unreachable to the planner.
     }
   }
   const auto next = SlotPlanner(options).Plan(map_, input);
