--- a/bench/claims_bench.cc
+++ b/bench/claims_bench.cc
@@ -44,7 +44,7 @@
     const ClaimKey key{{random_(), random_()}};
     const RequestId request{{random_(), random_()}};
     const std::uint32_t slot = SlotOf(key, 256);
-    home_.OnAsk({request, key, 7, slot, entry_, seconds(1)}, now_);
+    home_.OnClaimQuery({request, key, 7, slot, entry_, seconds(1)}, now_);
     if (finish) {
       home_.OnEndReport({request, key, slot, 7, ClaimState::kFinished,
                          ClaimAnswer{200, {}, std::string(500, 'x')}, entry_},
--- a/src/core/claims/claim_client.cc
+++ b/src/core/claims/claim_client.cc
@@ -32,10 +32,11 @@
   held.body_digest = body_digest;
   held.deadline = now + deadline;
   held.home_deadline = now + std::min(deadline, options_.home_wait);
-  Ask(request, &held, now);
+  SendQuery(request, &held, now);
 }
 
-void ClaimClient::Ask(const RequestId& id, Request* request, TimePoint now) {
+void ClaimClient::SendQuery(const RequestId& id, Request* request,
+                            TimePoint now) {
   request->next_send = now + options_.repeat_interval;
   const SlotMap* map = FindMap(request->deployment);
   if (!map) {
@@ -43,11 +44,11 @@
   }
   const std::uint32_t slot =
       SlotOf(request->key, static_cast<std::uint32_t>(map->slots.size()));
-  out_.push_back(
-      SendAsk{map->slots[slot].owner.home, request->deployment, map->epoch,
-              ClaimAsk{id, request->key, request->body_digest, slot, self_,
-                       std::max(request->home_deadline - now,
-                                Duration(options_.repeat_interval))}});
+  out_.push_back(SendClaimQuery{
+      map->slots[slot].owner.home, request->deployment, map->epoch,
+      ClaimQuery{id, request->key, request->body_digest, slot, self_,
+                 std::max(request->home_deadline - now,
+                          Duration(options_.repeat_interval))}});
 }
 
 void ClaimClient::OnDecision(const RequestId& id, const ClaimDecision& decision,
@@ -74,7 +75,7 @@
       request.next_send = now + std::max(decision.retry_after, kMinRepeat);
       return;
     case ClaimVerdict::kOverloaded:
-      // A repeated `ClaimAsk` still in transit may claim the key after this
+      // A repeated `ClaimQuery` still in transit may claim the key after this
       // decision, so the key is released by a report.
       out_.push_back(ClaimDecided{id, decision});
       StartReport(id, &request, ClaimState::kNotRun, now);
@@ -137,12 +138,12 @@
   std::vector<RequestId> dropped;
   for (auto& [id, request] : requests_) {
     if (request.phase == Phase::kAsking && now >= request.home_deadline) {
-      GiveUp(id, &request, now);
+      TimeOutRequest(id, &request, now);
     } else if (request.phase == Phase::kReporting && now >= request.drop_at) {
       dropped.push_back(id);
     } else if (now >= request.next_send) {
       if (request.phase == Phase::kAsking) {
-        Ask(id, &request, now);
+        SendQuery(id, &request, now);
       } else if (request.phase == Phase::kReporting) {
         Report(id, &request, now);
       }
@@ -154,7 +155,8 @@
   }
 }
 
-void ClaimClient::GiveUp(const RequestId& id, Request* request, TimePoint now) {
+void ClaimClient::TimeOutRequest(const RequestId& id, Request* request,
+                                 TimePoint now) {
   out_.push_back(
       ClaimDecided{id,
                    {request->running_elsewhere ? ClaimVerdict::kRunning
--- a/src/core/claims/claim_client.h
+++ b/src/core/claims/claim_client.h
@@ -14,14 +14,15 @@
 
 namespace indigolead {
 
-/// Sends a `ClaimAsk` to a home. Repeated until a decision or a timeout.
-struct SendAsk {
+/// Sends a `ClaimQuery` to a home. Repeated until a decision or a timeout.
+struct SendClaimQuery {
   std::string home;
   std::string deployment;
   std::uint64_t epoch = 0;
-  ClaimAsk ask;
+  ClaimQuery query;
 
-  friend bool operator==(const SendAsk&, const SendAsk&) = default;
+  friend bool operator==(const SendClaimQuery&,
+                         const SendClaimQuery&) = default;
 };
 
 /// Reports the end of a granted claim to its home.
@@ -42,7 +43,7 @@
   friend bool operator==(const ClaimDecided&, const ClaimDecided&) = default;
 };
 
-using ClientAction = std::variant<SendAsk, SendEndReport, ClaimDecided>;
+using ClientAction = std::variant<SendClaimQuery, SendEndReport, ClaimDecided>;
 
 /// Runs keyed requests at most once, on the side of the entry process.
 ///
@@ -117,11 +118,11 @@
   };
 
   const SlotMap* FindMap(const std::string& deployment) const;
-  void Ask(const RequestId& id, Request* request, TimePoint now);
+  void SendQuery(const RequestId& id, Request* request, TimePoint now);
   void Report(const RequestId& id, Request* request, TimePoint now);
   void StartReport(const RequestId& id, Request* request, ClaimState end,
                    TimePoint now);
-  void GiveUp(const RequestId& id, Request* request, TimePoint now);
+  void TimeOutRequest(const RequestId& id, Request* request, TimePoint now);
 
   Options options_;
   Incarnation self_;
--- a/src/core/claims/claim_home.cc
+++ b/src/core/claims/claim_home.cc
@@ -51,42 +51,42 @@
   Tick(now);
 }
 
-void ClaimHome::OnAsk(const ClaimAsk& ask, TimePoint now) {
-  if (waiting_.count(ask.request) > 0 || ended_.count(ask.request) > 0) {
+void ClaimHome::OnClaimQuery(const ClaimQuery& query, TimePoint now) {
+  if (waiting_.count(query.request) > 0 || ended_.count(query.request) > 0) {
     return;  // The decision is pending, or the request has ended.
   }
-  const Slot* slot = FindSlot(ask.slot);
+  const Slot* slot = FindSlot(query.slot);
   if (!slot) {
-    Decide(ask, {ClaimVerdict::kNotHome, {}, std::chrono::milliseconds(100)});
+    Decide(query, {ClaimVerdict::kNotHome, {}, std::chrono::milliseconds(100)});
   } else if (!Ready(*slot)) {
-    Decide(ask, {ClaimVerdict::kNotReady, {}, std::chrono::milliseconds(50)});
-  } else if (slot->incomplete() && !table_.Holds(ask.key)) {
+    Decide(query, {ClaimVerdict::kNotReady, {}, std::chrono::milliseconds(50)});
+  } else if (slot->incomplete() && !table_.Holds(query.key)) {
     // An earlier home may have granted the key without recording it.
-    Decide(ask, {ClaimVerdict::kUnknown,
-                 {},
-                 slot->unknown_until ? *slot->unknown_until - now
-                                     : options_.table.retention});
+    Decide(query, {ClaimVerdict::kUnknown,
+                   {},
+                   slot->unknown_until ? *slot->unknown_until - now
+                                       : options_.table.retention});
   } else {
-    AskTable(ask, now);
+    QueryTable(query, now);
   }
   Advance(now);
 }
 
-void ClaimHome::AskTable(const ClaimAsk& ask, TimePoint now) {
-  if (!table_.Holds(ask.key) &&
+void ClaimHome::QueryTable(const ClaimQuery& query, TimePoint now) {
+  if (!table_.Holds(query.key) &&
       (!journal_->HasRoom() || waiters_.size() >= options_.max_waiters)) {
-    Decide(ask, {ClaimVerdict::kOverloaded, {}, std::chrono::seconds(1)});
+    Decide(query, {ClaimVerdict::kOverloaded, {}, std::chrono::seconds(1)});
     return;
   }
-  const ClaimTable::Asked asked = table_.Ask(ask, now);
-  if (!asked.claimed) {
-    Decide(ask, asked.decision);
+  const ClaimTable::QueryResult result = table_.Query(query, now);
+  if (!result.claimed) {
+    Decide(query, result.decision);
     return;
   }
   const std::uint64_t position = journal_->Append(ClaimRecord{
-      ask.key, ask.body_digest, ask.request, ClaimState::kRunning, {}});
-  waiters_[position] = {ask, now + ask.wait};
-  waiting_[ask.request] = position;
+      query.key, query.body_digest, query.request, ClaimState::kRunning, {}});
+  waiters_[position] = {query, now + query.wait};
+  waiting_[query.request] = position;
 }
 
 void ClaimHome::OnEndReport(const ClaimEndReport& report, TimePoint now) {
@@ -128,22 +128,22 @@
 
 void ClaimHome::OnEntryUp(const Incarnation& entry) {
   entries_.insert(entry);
-  table_.OwnerBack(entry);
+  table_.MarkEntryReachable(entry);
   journal_->SetCandidates({entries_.begin(), entries_.end()});
 }
 
 void ClaimHome::OnEntryDown(const Incarnation& entry, TimePoint now) {
   entries_.erase(entry);
-  table_.OwnerLost(entry, now);
+  table_.MarkEntryUnreachable(entry, now);
   journal_->SetCandidates({entries_.begin(), entries_.end()});
   std::vector<std::uint64_t> orphans;
   for (const auto& [position, waiter] : waiters_) {
-    if (waiter.ask.entry == entry) {
+    if (waiter.query.entry == entry) {
       orphans.push_back(position);
     }
   }
   for (const std::uint64_t it : orphans) {
-    GiveUp(it, now);
+    CancelWaiter(it, now);
   }
 }
 
@@ -184,30 +184,30 @@
   table_.Tick(now);
   std::vector<std::uint64_t> expired;
   for (const auto& [position, waiter] : waiters_) {
-    if (now >= waiter.give_up && position > journal_->released()) {
+    if (now >= waiter.deadline && position > journal_->released()) {
       expired.push_back(position);
     }
   }
   for (const std::uint64_t it : expired) {
-    Decide(waiters_.at(it).ask,
+    Decide(waiters_.at(it).query,
            {ClaimVerdict::kOverloaded, {}, std::chrono::seconds(1)});
-    GiveUp(it, now);
+    CancelWaiter(it, now);
   }
-  EndWindows(now);
+  UpdateUnknownWindows(now);
   Advance(now);
 }
 
-void ClaimHome::GiveUp(std::uint64_t position, TimePoint now) {
-  const ClaimAsk ask = waiters_.at(position).ask;
+void ClaimHome::CancelWaiter(std::uint64_t position, TimePoint now) {
+  const ClaimQuery query = waiters_.at(position).query;
   waiters_.erase(position);
-  waiting_.erase(ask.request);
-  const auto record = table_.End({ask.request,
-                                  ask.key,
-                                  ask.slot,
-                                  ask.body_digest,
+  waiting_.erase(query.request);
+  const auto record = table_.End({query.request,
+                                  query.key,
+                                  query.slot,
+                                  query.body_digest,
                                   ClaimState::kNotRun,
                                   {},
-                                  ask.entry},
+                                  query.entry},
                                  now);
   if (record) {
     journal_->Append(*record);
@@ -224,11 +224,11 @@
     Reopen(now);
     return;
   }
-  Flush();
+  SendReleased();
   bool all_ready = !map_.slots.empty();
   for (auto& [number, slot] : slots_) {
-    slot.noted = slot.noted || journal_->notes_durable();
-    all_ready = all_ready && Ready(slot) && slot.gaps_of.empty();
+    slot.gaps_recorded = slot.gaps_recorded || journal_->gaps_durable();
+    all_ready = all_ready && Ready(slot) && slot.incomplete_sources.empty();
   }
   if (all_ready) {
     absorbed_epoch_ = map_.epoch;
@@ -257,7 +257,7 @@
   std::erase_if(absorbers_,
                 [&](const auto& it) { return needed.count(it.first) == 0; });
   if (changed) {
-    NoteGaps();
+    RecordGaps();
   }
 }
 
@@ -280,40 +280,42 @@
     record.copied = true;
     slot->ready_at = journal_->Append(std::move(record));
   }
-  const auto& noted = absorber.incomplete_slots();
-  if (std::find(noted.begin(), noted.end(), number) != noted.end()) {
+  const auto& gaps_recorded = absorber.incomplete_slots();
+  if (std::find(gaps_recorded.begin(), gaps_recorded.end(), number) !=
+      gaps_recorded.end()) {
     slot->unknown_until = now + options_.table.retention;
-    slot->noted = false;
+    slot->gaps_recorded = false;
   }
   if (!absorber.complete()) {
-    slot->gaps_of.insert(source);
-    slot->noted = false;
+    slot->incomplete_sources.insert(source);
+    slot->gaps_recorded = false;
   }
   slot->absorbed.insert(source);
 }
 
-void ClaimHome::EndWindows(TimePoint now) {
+void ClaimHome::UpdateUnknownWindows(TimePoint now) {
   bool changed = false;
   for (auto& [number, slot] : slots_) {
     // The retention window starts only once the earlier home has stopped. Until
     // then it may still grant to entry processes with an old slot map.
-    const std::size_t gone = std::erase_if(
-        slot.gaps_of, [&](const auto& it) { return map_.gone.count(it) > 0; });
+    const std::size_t gone =
+        std::erase_if(slot.incomplete_sources,
+                      [&](const auto& it) { return map_.gone.count(it) > 0; });
     if (gone > 0) {
       slot.unknown_until = now + options_.table.retention;
     }
-    if (slot.gaps_of.empty() && slot.unknown_until &&
+    if (slot.incomplete_sources.empty() && slot.unknown_until &&
         now >= *slot.unknown_until) {
       slot.unknown_until.reset();
       changed = true;
     }
   }
   if (changed) {
-    NoteGaps();
+    RecordGaps();
   }
 }
 
-void ClaimHome::NoteGaps() {
+void ClaimHome::RecordGaps() {
   std::vector<std::uint32_t> gaps;
   for (const auto& [number, slot] : slots_) {
     if (slot.incomplete()) {
@@ -323,13 +325,13 @@
   journal_->SetIncompleteSlots(std::move(gaps));
 }
 
-void ClaimHome::Flush() {
+void ClaimHome::SendReleased() {
   const std::uint64_t released = journal_->released();
   while (!waiters_.empty() && waiters_.begin()->first <= released) {
-    const ClaimAsk ask = waiters_.begin()->second.ask;
+    const ClaimQuery query = waiters_.begin()->second.query;
     waiters_.erase(waiters_.begin());
-    waiting_.erase(ask.request);
-    Decide(ask, {ClaimVerdict::kGranted, {}, {}});
+    waiting_.erase(query.request);
+    Decide(query, {ClaimVerdict::kGranted, {}, {}});
   }
   while (!acks_.empty() && acks_.begin()->first <= released) {
     out_.push_back(acks_.begin()->second);
@@ -339,7 +341,7 @@
 
 void ClaimHome::Reopen(TimePoint now) {
   for (const auto& [position, waiter] : waiters_) {
-    Decide(waiter.ask,
+    Decide(waiter.query,
            {ClaimVerdict::kNotHome, {}, std::chrono::milliseconds(100)});
   }
   waiters_.clear();
@@ -356,7 +358,7 @@
 }
 
 bool ClaimHome::Ready(const Slot& slot) const {
-  return journal_->opened() && slot.noted &&
+  return journal_->opened() && slot.gaps_recorded &&
          journal_->durable() >= slot.ready_at &&
          std::all_of(slot.sources.begin(), slot.sources.end(),
                      [&](const auto& it) { return slot.absorbed.count(it); });
@@ -367,8 +369,8 @@
   return it == slots_.end() ? nullptr : &it->second;
 }
 
-void ClaimHome::Decide(const ClaimAsk& ask, ClaimDecision decision) {
-  out_.push_back(SendDecision{ask.entry, ask.request, std::move(decision)});
+void ClaimHome::Decide(const ClaimQuery& query, ClaimDecision decision) {
+  out_.push_back(SendDecision{query.entry, query.request, std::move(decision)});
 }
 
 void ClaimHome::Push(std::vector<JournalAction> actions) {
--- a/src/core/claims/claim_home.h
+++ b/src/core/claims/claim_home.h
@@ -63,7 +63,7 @@
   ClaimHome(Options options, std::string home, IdSource ids);
 
   void OnSlotMap(const SlotMap& map, TimePoint now);
-  void OnAsk(const ClaimAsk& ask, TimePoint now);
+  void OnClaimQuery(const ClaimQuery& query, TimePoint now);
   void OnEndReport(const ClaimEndReport& report, TimePoint now);
   void OnEntryUp(const Incarnation& entry);
   void OnEntryDown(const Incarnation& entry, TimePoint now);
@@ -97,31 +97,33 @@
     std::vector<JournalRef> sources;
     std::set<JournalRef> absorbed;
     std::uint64_t ready_at = 0;  ///< Position that must be durable first.
-    bool noted = true;           ///< The journal lists its gaps.
+    bool gaps_recorded = true;   ///< The journal lists its gaps.
     /// Incomplete sources whose writer may still be running.
-    std::set<JournalRef> gaps_of;
+    std::set<JournalRef> incomplete_sources;
     /// Until this time, a key without a claim gets `kUnknown`.
     std::optional<TimePoint> unknown_until;
 
-    bool incomplete() const { return !gaps_of.empty() || unknown_until; }
+    bool incomplete() const {
+      return !incomplete_sources.empty() || unknown_until;
+    }
   };
   struct Waiter {
-    ClaimAsk ask;
-    TimePoint give_up;
+    ClaimQuery query;
+    TimePoint deadline;
   };
 
   bool Ready(const Slot& slot) const;
   Slot* FindSlot(std::uint32_t slot);
-  void Decide(const ClaimAsk& ask, ClaimDecision decision);
-  void AskTable(const ClaimAsk& ask, TimePoint now);
-  void GiveUp(std::uint64_t position, TimePoint now);
+  void Decide(const ClaimQuery& query, ClaimDecision decision);
+  void QueryTable(const ClaimQuery& query, TimePoint now);
+  void CancelWaiter(std::uint64_t position, TimePoint now);
   void RememberEnded(const RequestId& request);
   void TakeOver(TimePoint now);
   void TakeOverSlot(std::uint32_t number, Slot* slot,
                     const JournalAbsorber& absorber, TimePoint now);
-  void NoteGaps();
-  void EndWindows(TimePoint now);
-  void Flush();
+  void RecordGaps();
+  void UpdateUnknownWindows(TimePoint now);
+  void SendReleased();
   void Reopen(TimePoint now);
   void Advance(TimePoint now);
   void Push(std::vector<JournalAction> actions);
@@ -138,7 +140,7 @@
   std::map<std::uint64_t, Waiter> waiters_;
   std::unordered_map<RequestId, std::uint64_t> waiting_;
   std::map<std::uint64_t, SendEndAck> acks_;
-  /// Requests that have reported their end, newest last. A `ClaimAsk` that
+  /// Requests that have reported their end, newest last. A `ClaimQuery` that
   /// arrives after the end report must not claim the key again: the entry
   /// process no longer tracks the request and would never end that claim.
   std::deque<RequestId> ended_order_;
--- a/src/core/claims/claim_journal.cc
+++ b/src/core/claims/claim_journal.cc
@@ -46,7 +46,7 @@
 void ClaimJournal::SetIncompleteSlots(std::vector<std::uint32_t> slots) {
   if (slots != incomplete_slots_) {
     incomplete_slots_ = std::move(slots);
-    notes_changed_ = true;
+    gaps_changed_ = true;
   }
 }
 
@@ -79,7 +79,7 @@
   if (now < next_store_call_) {
     return;
   }
-  if (phase_ == Phase::kUnsettled) {
+  if (phase_ == Phase::kUncertain) {
     phase_ = Phase::kReading;
     out->push_back(ReadJournal{ref_});
     return;
@@ -91,7 +91,7 @@
   // The store may hold this generation from now on, so grants without a store
   // write also need the agreement of its witnesses. Otherwise a recovery write
   // whose reply is lost would look complete while such grants continue.
-  possible_[attempt_.generation] = attempt_.witnesses;
+  possible_generations_[attempt_.generation] = attempt_.witnesses;
   phase_ = Phase::kWriting;
   next_store_call_ = now + options_.write_interval;
   ++writes_;
@@ -106,9 +106,9 @@
     return;
   }
   next_witness_call_ = now + options_.retry_interval;
-  for (const auto& [generation, witnesses] : possible_) {
+  for (const auto& [generation, witnesses] : possible_generations_) {
     if (!witnesses.empty()) {
-      asked_.insert(generation);
+      asked_generations_.insert(generation);
       out->push_back(
           AskWitnesses{ref_, generation, WitnessMark::kDegraded, witnesses});
     }
@@ -116,12 +116,12 @@
 }
 
 bool ClaimJournal::Degraded() const {
-  if (!opened_ || fenced_ || possible_.empty()) {
+  if (!opened_ || fenced_ || possible_generations_.empty()) {
     return false;
   }
-  for (const auto& [generation, witnesses] : possible_) {
-    const auto it = agreed_.find(generation);
-    if (witnesses.empty() || it == agreed_.end()) {
+  for (const auto& [generation, witnesses] : possible_generations_) {
+    const auto it = agreed_witnesses_.find(generation);
+    if (witnesses.empty() || it == agreed_witnesses_.end()) {
       return false;
     }
     for (const Incarnation& witness : witnesses) {
@@ -133,21 +133,22 @@
   return true;
 }
 
-bool ClaimJournal::Asked() const {
-  return std::any_of(possible_.begin(), possible_.end(),
-                     [this](auto& it) { return asked_.count(it.first) > 0; });
+bool ClaimJournal::AskedWitnesses() const {
+  return std::any_of(
+      possible_generations_.begin(), possible_generations_.end(),
+      [this](auto& it) { return asked_generations_.count(it.first) > 0; });
 }
 
 bool ClaimJournal::WantsWrite() const {
-  return !opened_ || !pending_.empty() || notes_changed_ || Asked() ||
+  return !opened_ || !pending_.empty() || gaps_changed_ || AskedWitnesses() ||
          WantsNewWitnesses();
 }
 
 bool ClaimJournal::WantsNewWitnesses() const {
-  if (possible_.empty()) {
+  if (possible_generations_.empty()) {
     return true;
   }
-  const std::vector<Incarnation>& held = possible_.rbegin()->second;
+  const std::vector<Incarnation>& held = possible_generations_.rbegin()->second;
   const std::size_t wanted =
       std::min(options_.witness_count, candidates_.size());
   const bool one_gone = std::any_of(
@@ -189,14 +190,14 @@
   if (taken < pending_.size()) {
     return segment;
   }
-  if (possible_.empty()) {
+  if (possible_generations_.empty()) {
     segment.witnesses = PickWitnesses();
-  } else if (Asked() || WantsNewWitnesses()) {
-    segment.generation = possible_.rbegin()->first + 1;
+  } else if (AskedWitnesses() || WantsNewWitnesses()) {
+    segment.generation = possible_generations_.rbegin()->first + 1;
     segment.witnesses = PickWitnesses();
   } else {
-    segment.generation = possible_.rbegin()->first;
-    segment.witnesses = possible_.rbegin()->second;
+    segment.generation = possible_generations_.rbegin()->first;
+    segment.witnesses = possible_generations_.rbegin()->second;
   }
   return segment;
 }
@@ -212,7 +213,7 @@
   }
   // A conflict may also come from an earlier write of this journal whose reply
   // was lost.
-  phase_ = Phase::kUnsettled;
+  phase_ = Phase::kUncertain;
   if (ErrorOf(version).code != ErrorCode::kConflict) {
     next_store_call_ = now + options_.retry_interval;
   }
@@ -224,7 +225,7 @@
     return;
   }
   if (!IsOk(segments)) {
-    phase_ = Phase::kUnsettled;
+    phase_ = Phase::kUncertain;
     next_store_call_ = now + options_.retry_interval;
     return;
   }
@@ -253,15 +254,16 @@
                  pending_.begin() + static_cast<std::ptrdiff_t>(added));
   durable_ += added;
   opened_ = true;
-  notes_changed_ = written.incomplete_slots != incomplete_slots_;
+  gaps_changed_ = written.incomplete_slots != incomplete_slots_;
   open_ = written;
   open_version_ = version;
   // Earlier writes still in transit expect an older version and will fail.
-  possible_.clear();
-  possible_[written.generation] = written.witnesses;
-  std::erase_if(agreed_,
+  possible_generations_.clear();
+  possible_generations_[written.generation] = written.witnesses;
+  std::erase_if(agreed_witnesses_,
                 [&](const auto& it) { return it.first < written.generation; });
-  std::erase_if(asked_, [&](auto it) { return it < written.generation; });
+  std::erase_if(asked_generations_,
+                [&](auto it) { return it < written.generation; });
   if (written.closed) {
     const std::size_t bytes = SizeOf(written.records);
     closed_.push_back({written.number, version, bytes, now});
@@ -280,7 +282,7 @@
 
 void ClaimJournal::OnWitness(const WitnessReply& reply) {
   if (reply.ref == ref_ && reply.mark == WitnessMark::kDegraded) {
-    agreed_[reply.generation].insert(reply.witness);
+    agreed_witnesses_[reply.generation].insert(reply.witness);
     Release();
   }
 }
@@ -294,11 +296,11 @@
 
 WitnessReply WitnessTable::Mark(const JournalRef& ref, std::uint64_t generation,
                                 WitnessMark mark) {
-  const Place place{ref, generation};
-  auto it = marks_.find(place);
+  const MarkKey mark_key{ref, generation};
+  auto it = marks_.find(mark_key);
   if (it == marks_.end() && marks_.size() < max_marks_ &&
       mark != WitnessMark::kNone) {
-    it = marks_.emplace(place, mark).first;
+    it = marks_.emplace(mark_key, mark).first;
   }
   return {ref, generation, it == marks_.end() ? WitnessMark::kNone : it->second,
           self_};
--- a/src/core/claims/claim_journal.h
+++ b/src/core/claims/claim_journal.h
@@ -173,7 +173,7 @@
   /// Returns the newest position whose record is in the store.
   std::uint64_t durable() const { return durable_; }
   /// Returns true if the last incomplete slots set are in the store.
-  bool notes_durable() const { return opened_ && !notes_changed_; }
+  bool gaps_durable() const { return opened_ && !gaps_changed_; }
   /// Returns true once a read has shown that a successor sealed this journal.
   bool fenced() const { return fenced_; }
   bool opened() const { return opened_; }
@@ -183,7 +183,7 @@
   std::uint64_t writes() const { return writes_; }
 
  private:
-  enum class Phase { kIdle, kWriting, kUnsettled, kReading };
+  enum class Phase { kIdle, kWriting, kUncertain, kReading };
   struct Closed {
     std::uint64_t number;
     std::uint64_t version;
@@ -194,7 +194,7 @@
   bool Degraded() const;
   bool WantsWrite() const;
   bool WantsNewWitnesses() const;
-  bool Asked() const;
+  bool AskedWitnesses() const;
   JournalSegment MakeAttempt() const;
   std::vector<Incarnation> PickWitnesses() const;
   void AdvanceStore(TimePoint now, std::vector<JournalAction>* out);
@@ -208,15 +208,16 @@
   Phase phase_ = Phase::kIdle;
   bool opened_ = false;
   bool fenced_ = false;
-  bool notes_changed_ = false;
+  bool gaps_changed_ = false;
   JournalSegment open_;  ///< Newest segment, as last written.
   std::uint64_t open_version_ = 0;
   JournalSegment attempt_;
-  /// Generations that the store may hold, with their witnesses. `agreed_` holds
-  /// the witnesses that marked each generation as degraded.
-  std::map<std::uint64_t, std::vector<Incarnation>> possible_;
-  std::map<std::uint64_t, std::set<Incarnation>> agreed_;
-  std::set<std::uint64_t> asked_;
+  /// Generations that the store may hold, with their witnesses.
+  /// `agreed_witnesses_` holds the witnesses that marked each generation as
+  /// degraded.
+  std::map<std::uint64_t, std::vector<Incarnation>> possible_generations_;
+  std::map<std::uint64_t, std::set<Incarnation>> agreed_witnesses_;
+  std::set<std::uint64_t> asked_generations_;
   std::vector<Incarnation> candidates_;
   std::vector<std::uint32_t> incomplete_slots_;
   std::deque<ClaimRecord> pending_;
@@ -245,15 +246,15 @@
                     WitnessMark mark);
 
  private:
-  struct Place {
+  struct MarkKey {
     JournalRef ref;
     std::uint64_t generation;
-    friend auto operator<=>(const Place&, const Place&) = default;
+    friend auto operator<=>(const MarkKey&, const MarkKey&) = default;
   };
 
   Incarnation self_;
   std::size_t max_marks_;
-  std::map<Place, WitnessMark> marks_;
+  std::map<MarkKey, WitnessMark> marks_;
 };
 
 }  // namespace indigolead
--- a/src/core/claims/claim_table.cc
+++ b/src/core/claims/claim_table.cc
@@ -5,14 +5,15 @@
 namespace indigolead {
 namespace {
 
-constexpr std::size_t kMaxLostEntries = 4096;
+constexpr std::size_t kMaxUnreachableEntries = 4096;
 
 }  // namespace
 
-ClaimTable::Asked ClaimTable::Ask(const ClaimAsk& ask, TimePoint now) {
-  const auto it = claims_.find(ask.key);
+ClaimTable::QueryResult ClaimTable::Query(const ClaimQuery& query,
+                                          TimePoint now) {
+  const auto it = claims_.find(query.key);
   if (it != claims_.end()) {
-    return {DecisionOn(it->second, ask, now), false};
+    return {DecisionOn(it->second, query, now), false};
   }
   if (claims_.size() >= options_.max_claims) {
     Tick(now);
@@ -20,17 +21,20 @@
   if (claims_.size() >= options_.max_claims) {
     return {{ClaimVerdict::kOverloaded, {}, std::chrono::seconds(1)}, false};
   }
-  Set(
-      ClaimRecord{
-          ask.key, ask.body_digest, ask.request, ClaimState::kRunning, {}},
-      ask.entry, now);
+  Set(ClaimRecord{query.key,
+                  query.body_digest,
+                  query.request,
+                  ClaimState::kRunning,
+                  {}},
+      query.entry, now);
   return {{ClaimVerdict::kGranted, {}, {}}, true};
 }
 
-ClaimDecision ClaimTable::DecisionOn(const Claim& claim, const ClaimAsk& ask,
+ClaimDecision ClaimTable::DecisionOn(const Claim& claim,
+                                     const ClaimQuery& query,
                                      TimePoint now) const {
   const ClaimRecord& record = claim.record;
-  if (record.body_digest != ask.body_digest) {
+  if (record.body_digest != query.body_digest) {
     return {ClaimVerdict::kBodyDiffers, {}, {}};
   }
   switch (record.state) {
@@ -47,21 +51,22 @@
   }
   // The entry process must match too: an absorbed claim has none, because its
   // grant may already have been used and the end report lost.
-  if (record.request == ask.request && claim.entry == ask.entry) {
+  if (record.request == query.request && claim.entry == query.entry) {
     return {ClaimVerdict::kGranted, {}, {}};
   }
-  if (OwnerIsLost(claim, now)) {
+  if (EntryIsUnreachable(claim, now)) {
     return {ClaimVerdict::kUnknown, {}, {}};
   }
   return {ClaimVerdict::kRunning, {}, options_.retry_after};
 }
 
-bool ClaimTable::OwnerIsLost(const Claim& claim, TimePoint now) const {
+bool ClaimTable::EntryIsUnreachable(const Claim& claim, TimePoint now) const {
   if (!claim.entry) {
-    return now - claim.since >= options_.owner_grace;
+    return now - claim.since >= options_.unreachable_grace;
   }
-  const auto it = lost_.find(*claim.entry);
-  return it != lost_.end() && now - it->second >= options_.owner_grace;
+  const auto it = unreachable_since_.find(*claim.entry);
+  return it != unreachable_since_.end() &&
+         now - it->second >= options_.unreachable_grace;
 }
 
 std::optional<ClaimRecord> ClaimTable::End(const ClaimEndReport& report,
@@ -103,29 +108,31 @@
   Set(record, std::nullopt, now);
 }
 
-void ClaimTable::OwnerLost(const Incarnation& entry, TimePoint now) {
-  if (lost_.size() >= kMaxLostEntries) {
+void ClaimTable::MarkEntryUnreachable(const Incarnation& entry, TimePoint now) {
+  if (unreachable_since_.size() >= kMaxUnreachableEntries) {
     // Claims of a removed element would stay running forever, so elements are
     // removed only after the retention, which outlasts every request.
-    std::erase_if(lost_, [&](const auto& it) {
+    std::erase_if(unreachable_since_, [&](const auto& it) {
       return now - it.second >= options_.retention;
     });
   }
-  lost_.try_emplace(entry, now);
+  unreachable_since_.try_emplace(entry, now);
 }
 
-void ClaimTable::OwnerBack(const Incarnation& entry) { lost_.erase(entry); }
+void ClaimTable::MarkEntryReachable(const Incarnation& entry) {
+  unreachable_since_.erase(entry);
+}
 
 void ClaimTable::Tick(TimePoint now) {
   while (!by_age_.empty() && now - by_age_.front().at >= options_.retention) {
-    const Dated oldest = by_age_.front();
+    const TimedKey oldest = by_age_.front();
     by_age_.pop_front();
     const auto it = claims_.find(oldest.key);
     if (it == claims_.end() || it->second.since != oldest.at) {
       continue;
     }
     if (it->second.record.state == ClaimState::kRunning &&
-        !OwnerIsLost(it->second, now)) {
+        !EntryIsUnreachable(it->second, now)) {
       it->second.since = now;
       by_age_.push_back({oldest.key, now});
     } else {
@@ -154,7 +161,7 @@
   if (record.answer) {
     answer_bytes_ += record.answer->size();
     answers_.push_back(record.key);
-    BoundAnswers();
+    LimitAnswerBytes();
   }
 }
 
@@ -174,7 +181,7 @@
   }
 }
 
-void ClaimTable::BoundAnswers() {
+void ClaimTable::LimitAnswerBytes() {
   while (answer_bytes_ > options_.max_answer_bytes && !answers_.empty()) {
     const auto it = claims_.find(answers_.front());
     answers_.pop_front();
--- a/src/core/claims/claim_table.h
+++ b/src/core/claims/claim_table.h
@@ -27,24 +27,24 @@
     Duration retention = std::chrono::minutes(60);
     /// A run whose entry process is unreachable for this long is reported as
     /// unknown.
-    Duration owner_grace = std::chrono::seconds(2);
+    Duration unreachable_grace = std::chrono::seconds(2);
     Duration retry_after = std::chrono::milliseconds(20);
   };
 
   explicit ClaimTable(Options options) : options_(options) {}
 
-  /// Result of `Ask`. If `claimed` is true, the claim must be journaled before
-  /// `kGranted` is sent.
-  struct Asked {
+  /// Result of `Query`. If `claimed` is true, the claim must be journaled
+  /// before `kGranted` is sent.
+  struct QueryResult {
     ClaimDecision decision;
     bool claimed = false;
   };
 
-  /// Decides on `ask`. A key without a claim is claimed for the request. The
-  /// same request gets its grant again when it repeats the `ClaimAsk`: the
+  /// Decides on `query`. A key without a claim is claimed for the request. The
+  /// same request gets its grant again when it repeats the `ClaimQuery`: the
   /// first one or its decision may have been lost, and the entry process starts
   /// a request at most once.
-  Asked Ask(const ClaimAsk& ask, TimePoint now);
+  QueryResult Query(const ClaimQuery& query, TimePoint now);
 
   /// Applies the end of a run. Returns the record to journal, or nothing if the
   /// report has no effect (repeated, late, or from another request).
@@ -55,8 +55,8 @@
   void Absorb(const ClaimRecord& record, TimePoint now);
 
   /// Marks an entry process as unreachable, or as reachable again.
-  void OwnerLost(const Incarnation& entry, TimePoint now);
-  void OwnerBack(const Incarnation& entry);
+  void MarkEntryUnreachable(const Incarnation& entry, TimePoint now);
+  void MarkEntryReachable(const Incarnation& entry);
 
   /// Removes claims past their retention.
   void Tick(TimePoint now);
@@ -76,27 +76,27 @@
     std::optional<Incarnation> entry;  ///< Empty if absorbed from a journal.
     TimePoint since;                   ///< Start of the current state.
   };
-  struct Dated {
+  struct TimedKey {
     ClaimKey key;
     TimePoint at;
   };
 
-  ClaimDecision DecisionOn(const Claim& claim, const ClaimAsk& ask,
+  ClaimDecision DecisionOn(const Claim& claim, const ClaimQuery& query,
                            TimePoint now) const;
-  bool OwnerIsLost(const Claim& claim, TimePoint now) const;
+  bool EntryIsUnreachable(const Claim& claim, TimePoint now) const;
   void Set(const ClaimRecord& record, const std::optional<Incarnation>& entry,
            TimePoint now);
   void Erase(const ClaimKey& key);
   void DropAnswer(Claim* claim);
-  void BoundAnswers();
+  void LimitAnswerBytes();
 
   Options options_;
   std::unordered_map<ClaimKey, Claim> claims_;
   /// Keys by the time of their state change. An element is stale if the claim
   /// changed later.
-  std::deque<Dated> by_age_;
+  std::deque<TimedKey> by_age_;
   std::deque<ClaimKey> answers_;
-  std::map<Incarnation, TimePoint> lost_;
+  std::map<Incarnation, TimePoint> unreachable_since_;
   std::size_t answer_bytes_ = 0;
 };
 
--- a/src/core/claims/claim_types.h
+++ b/src/core/claims/claim_types.h
@@ -88,7 +88,7 @@
 };
 
 /// Asks a home whether a keyed request may run. Sent by an entry process.
-struct ClaimAsk {
+struct ClaimQuery {
   RequestId request;
   ClaimKey key;
   std::uint64_t body_digest = 0;
@@ -96,7 +96,7 @@
   Incarnation entry;  ///< Process that will run the request if granted.
   Duration wait = std::chrono::seconds(1);
 
-  friend bool operator==(const ClaimAsk&, const ClaimAsk&) = default;
+  friend bool operator==(const ClaimQuery&, const ClaimQuery&) = default;
 };
 
 /// Verdict of a home on one request, with its response or retry delay.
--- a/src/core/claims/journal_absorber.cc
+++ b/src/core/claims/journal_absorber.cc
@@ -17,22 +17,23 @@
     case Phase::kToSeal:
       phase_ = Phase::kSealing;
       return {seal_};
-    case Phase::kAsking: {
+    case Phase::kAskingWitnesses: {
       if (!asking_since_) {
         asking_since_ = now;
       }
       // Without witnesses, grants always needed a store write.
-      if (last_.witnesses.empty()) {
+      if (last_segment_.witnesses.empty()) {
         complete_ = true;
       }
-      if (complete_ || refused_.size() == last_.witnesses.size() ||
+      if (complete_ ||
+          degraded_witnesses_.size() == last_segment_.witnesses.size() ||
           now - *asking_since_ >= options_.witness_timeout) {
         phase_ = Phase::kDone;
         return {};
       }
       next_call_ = now + options_.retry_interval;
-      return {AskWitnesses{source_, last_.generation, WitnessMark::kSealed,
-                           last_.witnesses}};
+      return {AskWitnesses{source_, last_segment_.generation,
+                           WitnessMark::kSealed, last_segment_.witnesses}};
     }
     case Phase::kReading:
     case Phase::kSealing:
@@ -75,19 +76,20 @@
     phase_ = Phase::kToSeal;
     return;
   }
-  KeepLastStates(stored);
-  last_ = stored.back().segment;
-  last_.records.clear();
-  phase_ = Phase::kAsking;
+  KeepLastRecords(stored);
+  last_segment_ = stored.back().segment;
+  last_segment_.records.clear();
+  phase_ = Phase::kAskingWitnesses;
 }
 
-void JournalAbsorber::KeepLastStates(const std::vector<StoredSegment>& stored) {
-  std::unordered_map<ClaimKey, std::size_t> place;
+void JournalAbsorber::KeepLastRecords(
+    const std::vector<StoredSegment>& stored) {
+  std::unordered_map<ClaimKey, std::size_t> index_by_key;
   records_.clear();
   for (const StoredSegment& it : stored) {
     for (const ClaimRecord& record : it.segment.records) {
       const auto [found, is_new] =
-          place.try_emplace(record.key, records_.size());
+          index_by_key.try_emplace(record.key, records_.size());
       if (is_new) {
         records_.push_back(record);
       } else {
@@ -116,15 +118,15 @@
 }
 
 void JournalAbsorber::OnWitness(const WitnessReply& reply) {
-  if (phase_ != Phase::kAsking || reply.ref != source_ ||
-      reply.generation != last_.generation) {
+  if (phase_ != Phase::kAskingWitnesses || reply.ref != source_ ||
+      reply.generation != last_segment_.generation) {
     return;
   }
   if (reply.mark == WitnessMark::kSealed) {
     complete_ = true;
     next_call_ = TimePoint{};
   } else if (reply.mark == WitnessMark::kDegraded) {
-    refused_.insert(reply.witness);
+    degraded_witnesses_.insert(reply.witness);
     next_call_ = TimePoint{};
   }
 }
--- a/src/core/claims/journal_absorber.h
+++ b/src/core/claims/journal_absorber.h
@@ -45,7 +45,7 @@
   /// Returns the slots for which the old home recorded gaps. Valid once
   /// `done()`.
   const std::vector<std::uint32_t>& incomplete_slots() const {
-    return last_.incomplete_slots;
+    return last_segment_.incomplete_slots;
   }
 
  private:
@@ -54,21 +54,21 @@
     kReading,
     kToSeal,
     kSealing,
-    kAsking,
+    kAskingWitnesses,
     kDone,
   };
 
   void MakeSeal(const std::vector<StoredSegment>& stored);
-  void KeepLastStates(const std::vector<StoredSegment>& stored);
+  void KeepLastRecords(const std::vector<StoredSegment>& stored);
 
   Options options_;
   JournalRef source_;
   Phase phase_ = Phase::kToRead;
   bool complete_ = false;
-  JournalSegment last_;
+  JournalSegment last_segment_;
   std::vector<ClaimRecord> records_;
   WriteSegment seal_;
-  std::set<Incarnation> refused_;
+  std::set<Incarnation> degraded_witnesses_;
   TimePoint next_call_;
   std::optional<TimePoint> asking_since_;
 };
--- a/src/core/claims/slot_map.cc
+++ b/src/core/claims/slot_map.cc
@@ -9,7 +9,7 @@
 
 using LoadByHome = std::map<JournalRef, std::size_t>;
 
-const HomeState* FindName(const std::vector<HomeState>& homes,
+const HomeState* FindHome(const std::vector<HomeState>& homes,
                           const std::string& name) {
   const auto it = std::find_if(
       homes.begin(), homes.end(),
@@ -38,7 +38,7 @@
       [](const auto& a, const auto& b) { return a.second < b.second; });
 }
 
-void Move(const JournalRef& to, SlotMap* map, SlotAssignment* slot) {
+void MoveSlot(const JournalRef& to, SlotMap* map, SlotAssignment* slot) {
   if (slot->owner.home.empty()) {
     slot->sources.clear();
   } else {
@@ -52,7 +52,7 @@
 /// Removes retired journals that no home can use again.
 void PruneRetired(const SlotPlanner::Input& input, SlotMap* map) {
   std::erase_if(map->retired, [&](const JournalRef& it) {
-    const HomeState* home = FindName(input.homes, it.home);
+    const HomeState* home = FindHome(input.homes, it.home);
     return home ? home->ref != it : input.removed.count(it.home) > 0;
   });
 }
@@ -69,7 +69,7 @@
   const std::vector<JournalRef> homes = PickHomes(next, input);
   LoadByHome load = CountSlots(homes, next);
   for (SlotAssignment& slot : next.slots) {
-    const HomeState* owner = FindName(input.homes, slot.owner.home);
+    const HomeState* owner = FindHome(input.homes, slot.owner.home);
     if (owner && owner->ref == slot.owner &&
         owner->absorbed_epoch >= slot.since_epoch) {
       slot.sources.clear();
@@ -80,7 +80,7 @@
       next.gone.insert(slot.owner);
     }
     for (const JournalRef& it : slot.sources) {
-      const HomeState* source = FindName(input.homes, it.home);
+      const HomeState* source = FindHome(input.homes, it.home);
       if ((source && source->ref != it) || input.removed.count(it.home) > 0) {
         next.gone.insert(it);
       }
@@ -97,7 +97,7 @@
     const auto to =
         same_name != load.end() && replaced ? same_name : LeastLoaded(&load);
     ++to->second;
-    Move(to->first, &next, &slot);
+    MoveSlot(to->first, &next, &slot);
   }
   Rebalance(homes, &next);
   std::set<JournalRef> named;
@@ -159,26 +159,26 @@
                             SlotMap* map) const {
   // A move seals the whole journal of the previous owner, so no move starts
   // while another is unfinished.
-  const bool settled =
+  const bool moves_finished =
       std::all_of(map->slots.begin(), map->slots.end(),
                   [](const SlotAssignment& it) { return it.sources.empty(); });
   LoadByHome load = CountSlots(homes, *map);
-  if (!settled || load.size() < 2) {
+  if (!moves_finished || load.size() < 2) {
     return;
   }
   const double mean =
       static_cast<double>(map->slots.size()) / static_cast<double>(load.size());
-  const bool worth_it =
+  const bool imbalanced =
       std::any_of(load.begin(), load.end(), [&](const auto& it) {
         return static_cast<double>(it.second) > mean * options_.imbalance;
       });
   for (SlotAssignment& slot : map->slots) {
     const auto from = load.find(slot.owner);
     const auto to = LeastLoaded(&load);
-    if (worth_it && from != load.end() && from->second > to->second + 1) {
+    if (imbalanced && from != load.end() && from->second > to->second + 1) {
       --from->second;
       ++to->second;
-      Move(to->first, map, &slot);
+      MoveSlot(to->first, map, &slot);
     }
   }
 }
--- a/src/core/usage/steady_calendar.h
+++ b/src/core/usage/steady_calendar.h
@@ -30,10 +30,10 @@
   /// Difference of the two clocks and the total time it was observed.
   struct Offset {
     WallMicros micros = 0;
-    Duration seen{0};
+    Duration observed_for{0};
   };
 
-  Offset* Near(WallMicros micros);
+  Offset* FindOrAddOffset(WallMicros micros);
 
   std::vector<Offset> offsets_;
   std::optional<TimePoint> observed_at_;
--- a/src/core/usage/usage_codec.cc
+++ b/src/core/usage/usage_codec.cc
@@ -74,13 +74,13 @@
   }
 }
 
-std::string EncodeFixedUsage(const FixedUsage& usage) {
+std::string EncodeFinalizedUsage(const FinalizedUsage& usage) {
   return Json{{"windows", ToJson(usage.windows)}}.dump();
 }
 
-Result<FixedUsage> DecodeFixedUsage(std::string_view json) {
+Result<FinalizedUsage> DecodeFinalizedUsage(std::string_view json) {
   try {
-    FixedUsage usage{WindowsFrom(Json::parse(json).at("windows"))};
+    FinalizedUsage usage{WindowsFrom(Json::parse(json).at("windows"))};
     if (usage.windows.empty() || HasGap(usage.windows)) {
       return Malformed("expected windows without a gap");
     }
--- a/src/core/usage/usage_codec.h
+++ b/src/core/usage/usage_codec.h
@@ -16,11 +16,11 @@
 Result<EntryUsage> DecodeEntryUsage(std::string_view json);
 
 /// Encodes the finalized reports as JSON for the store.
-std::string EncodeFixedUsage(const FixedUsage& usage);
+std::string EncodeFinalizedUsage(const FinalizedUsage& usage);
 
-/// Decodes the output of `EncodeFixedUsage`. Returns an error for other input
-/// and for a list of windows that is empty or has gaps.
-Result<FixedUsage> DecodeFixedUsage(std::string_view json);
+/// Decodes the output of `EncodeFinalizedUsage`. Returns an error for other
+/// input and for a list of windows that is empty or has gaps.
+Result<FinalizedUsage> DecodeFinalizedUsage(std::string_view json);
 
 }  // namespace indigolead
 
--- a/src/core/usage/usage_collector.cc
+++ b/src/core/usage/usage_collector.cc
@@ -28,7 +28,7 @@
                      });
 }
 
-bool UsageCollector::IsWhole(UsageWindow window) const {
+bool UsageCollector::IsComplete(UsageWindow window) const {
   const WallMicros end = StartOf(window + 1, options_.window);
   const WallMicros silent =
       end - std::chrono::duration_cast<std::chrono::microseconds>(
@@ -39,9 +39,9 @@
         // A record without counts has had none for a long time, and its process
         // writes again only after new requests, so it most likely has nothing
         // to report.
-        const bool told =
+        const bool has_reported =
             it.ended || it.counted_until >= end || it.windows.empty();
-        return told || it.counted_until < silent || IsReplaced(it);
+        return has_reported || it.counted_until < silent || IsReplaced(it);
       });
 }
 
--- a/src/core/usage/usage_collector.h
+++ b/src/core/usage/usage_collector.h
@@ -29,7 +29,7 @@
 
   /// Returns true if no more counts for `window` are expected from any entry
   /// process.
-  bool IsWhole(UsageWindow window) const;
+  bool IsComplete(UsageWindow window) const;
 
   /// Returns the known total counts of `window`.
   WindowCounts Sum(UsageWindow window) const;
--- a/src/core/usage/usage_meter.h
+++ b/src/core/usage/usage_meter.h
@@ -21,10 +21,10 @@
     /// A window that has been completely in the store for this long counts as
     /// collected. The time must cover the replacement of a lost collecting
     /// process.
-    Duration keep_written = std::chrono::seconds(20);
+    Duration written_retention = std::chrono::seconds(20);
     /// Maximum number of windows kept while the store is not writable. The
     /// oldest are dropped first.
-    std::size_t most_windows = 64;
+    std::size_t max_windows = 64;
   };
 
   explicit UsageMeter(Options options) : options_(options) {}
@@ -37,24 +37,25 @@
 
   /// Returns true if requests were counted after the last write confirmed by
   /// `OnWritten`.
-  bool has_news() const { return counted_ != written_; }
+  bool has_unwritten_counts() const { return counted_ != written_; }
   /// Returns the number of requests counted so far, to be passed to
   /// `OnWritten` once they are stored.
-  std::uint64_t mark() const { return counted_; }
+  std::uint64_t request_count() const { return counted_; }
 
-  /// Records that the first `mark` requests, which include all before
+  /// Records that the first `request_count` requests, which include all before
   /// `counted_until`, are in the store. Drops windows that have been there for
-  /// `keep_written`.
-  void OnWritten(std::uint64_t mark, WallMicros counted_until, TimePoint now);
+  /// `written_retention`.
+  void OnWritten(std::uint64_t request_count, WallMicros counted_until,
+                 TimePoint now);
 
-  /// Returns the number of requests in windows dropped at the `most_windows`
+  /// Returns the number of requests in windows dropped at the `max_windows`
   /// limit.
   std::uint64_t lost() const { return lost_; }
 
  private:
   struct Held {
     std::map<std::string, std::uint64_t> requests;
-    TimePoint whole_at{};  ///< Completely stored since; 0 if not yet.
+    TimePoint complete_since{};  ///< Completely stored since; 0 if not yet.
   };
 
   Options options_;
--- a/src/core/usage/usage_reporter.cc
+++ b/src/core/usage/usage_reporter.cc
@@ -35,16 +35,16 @@
 UsageReporter::UsageReporter(const Options& options)
     : options_(options), collector_(options_.collector) {}
 
-void UsageReporter::Forget() {
+void UsageReporter::Reset() {
   in_flight_.reset();
   read_ = false;
-  fixed_ = {};
+  finalized_ = {};
   version_ = 0;
   done_.clear();
   listed_at_.reset();
-  looked_at_.reset();
-  settling_.reset();
-  next_at_ = TimePoint{};
+  searched_window_.reset();
+  finalizing_report_.reset();
+  next_step_at_ = TimePoint{};
 }
 
 bool UsageReporter::IsDue(UsageWindow window, WallMicros calendar,
@@ -54,70 +54,70 @@
 
 std::optional<UsageReporter::Step> UsageReporter::Tick(
     std::optional<FencingNumber> number, WallMicros calendar, TimePoint now) {
-  if (number != number_) {
+  if (number != fencing_number_) {
     // Another holder may have finalized reports in the meantime.
-    Forget();
-    number_ = number;
+    Reset();
+    fencing_number_ = number;
   }
-  if (!number_ || in_flight_ || now < next_at_) {
+  if (!fencing_number_ || in_flight_ || now < next_step_at_) {
     return std::nullopt;
   }
-  if (auto action = Next(calendar, now)) {
+  if (auto action = NextAction(calendar, now)) {
     in_flight_ = Step{++last_ticket_, std::move(*action)};
   }
   return in_flight_;
 }
 
-std::optional<UsageReporter::Action> UsageReporter::Next(WallMicros calendar,
-                                                         TimePoint now) {
+std::optional<UsageReporter::Action> UsageReporter::NextAction(
+    WallMicros calendar, TimePoint now) {
   if (!read_) {
-    return ReadFixed{};
+    return ReadFinalized{};
   }
-  if (auto send = SendSettled(calendar)) {
+  if (auto send = SendFinalized(calendar)) {
     return send;
   }
-  return Settle(calendar, now);
+  return FinalizeNextWindow(calendar, now);
 }
 
 template <typename T>
-const T* UsageReporter::Answered(std::uint64_t ticket) const {
+const T* UsageReporter::ActionInFlight(std::uint64_t ticket) const {
   const bool known = in_flight_ && in_flight_->ticket == ticket;
   return known ? std::get_if<T>(&in_flight_->action) : nullptr;
 }
 
-std::optional<UsageReporter::Action> UsageReporter::SendSettled(
+std::optional<UsageReporter::Action> UsageReporter::SendFinalized(
     WallMicros calendar) {
-  for (const WindowCounts& it : fixed_.windows) {
+  for (const WindowCounts& it : finalized_.windows) {
     if (done_.contains(it.window)) {
       continue;
     }
     if (IsDue(it.window, calendar,
-              options_.due_after + options_.give_up_after)) {
+              options_.due_after + options_.abandon_after)) {
       done_.insert(it.window);
-      given_up_.push_back(it.window);
+      abandoned_.push_back(it.window);
       continue;
     }
-    return Send{it, *number_};
+    return Send{it, *fencing_number_};
   }
   return std::nullopt;
 }
 
 std::optional<UsageWindow> UsageReporter::NextWindow() const {
-  if (!fixed_.windows.empty()) {
-    return fixed_.windows.back().window + 1;
+  if (!finalized_.windows.empty()) {
+    return finalized_.windows.back().window + 1;
   }
   return collector_.first();
 }
 
-std::optional<UsageReporter::Action> UsageReporter::Settle(WallMicros calendar,
-                                                           TimePoint now) {
+std::optional<UsageReporter::Action> UsageReporter::FinalizeNextWindow(
+    WallMicros calendar, TimePoint now) {
   const std::optional<UsageWindow> next = NextWindow();
   // Before the very first report, the records determine the first window. They
   // are listed as for the newest window that can be collected.
   const UsageWindow collected =
       WindowAt(calendar - ToMicros(options_.collect_after), options_.window) -
       1;
-  if (!next && looked_at_ == collected) {
+  if (!next && searched_window_ == collected) {
     return std::nullopt;
   }
   const UsageWindow window = next.value_or(collected);
@@ -128,27 +128,27 @@
       StartOf(window + 1, options_.window) + ToMicros(options_.collect_after);
   const bool listed = listed_at_ && *listed_at_ >= needed;
   if (!listed) {
-    asked_at_ = calendar;
+    list_requested_at_ = calendar;
     return ListEntries{};
   }
   if (!next) {
-    looked_at_ = collected;  // No requests have been counted yet.
+    searched_window_ = collected;  // No requests have been counted yet.
     return std::nullopt;
   }
-  const bool whole = collector_.IsWhole(window);
-  if (!whole &&
+  const bool complete = collector_.IsComplete(window);
+  if (!complete &&
       !IsDue(window, calendar, options_.due_after - options_.due_margin)) {
-    next_at_ = now + options_.retry_interval;
+    next_step_at_ = now + options_.retry_interval;
     listed_at_.reset();
     return std::nullopt;
   }
-  settling_ = Settled{window, whole};
-  return WriteFixed{WithNext(window), version_};
+  finalizing_report_ = FinalizedReport{window, complete};
+  return WriteFinalized{WithNextWindow(window), version_};
 }
 
-FixedUsage UsageReporter::WithNext(UsageWindow window) const {
-  FixedUsage next;
-  for (const WindowCounts& it : fixed_.windows) {
+FinalizedUsage UsageReporter::WithNextWindow(UsageWindow window) const {
+  FinalizedUsage next;
+  for (const WindowCounts& it : finalized_.windows) {
     // The list must have no gaps, so all windows after a kept one are kept.
     if (!next.windows.empty() || !done_.contains(it.window)) {
       next.windows.push_back(it);
@@ -158,19 +158,19 @@
   return next;
 }
 
-void UsageReporter::OnFixedRead(std::uint64_t ticket,
-                                const Result<std::optional<FixedView>>& answer,
-                                TimePoint now) {
-  if (!Answered<ReadFixed>(ticket)) {
+void UsageReporter::OnFinalizedRead(
+    std::uint64_t ticket, const Result<std::optional<FinalizedView>>& answer,
+    TimePoint now) {
+  if (!ActionInFlight<ReadFinalized>(ticket)) {
     return;
   }
   in_flight_.reset();
   if (!IsOk(answer)) {
-    next_at_ = now + options_.retry_interval;
+    next_step_at_ = now + options_.retry_interval;
     return;
   }
-  const std::optional<FixedView>& view = ValueOf(answer);
-  fixed_ = view ? view->value : FixedUsage{};
+  const std::optional<FinalizedView>& view = ValueOf(answer);
+  finalized_ = view ? view->value : FinalizedUsage{};
   version_ = view ? view->version : 0;
   read_ = true;
 }
@@ -178,76 +178,81 @@
 void UsageReporter::OnEntriesListed(
     std::uint64_t ticket, const Result<std::vector<EntryUsage>>& answer,
     TimePoint now) {
-  if (!Answered<ListEntries>(ticket)) {
+  if (!ActionInFlight<ListEntries>(ticket)) {
     return;
   }
   in_flight_.reset();
   if (!IsOk(answer)) {
-    next_at_ = now + options_.retry_interval;
+    next_step_at_ = now + options_.retry_interval;
     return;
   }
   collector_.OnListed(ValueOf(answer));
-  listed_at_ = asked_at_;
-  NoteLate();
+  listed_at_ = list_requested_at_;
+  UpdateLateRequests();
 }
 
-void UsageReporter::NoteLate() {
-  if (fixed_.windows.empty()) {
+void UsageReporter::UpdateLateRequests() {
+  if (finalized_.windows.empty()) {
     return;
   }
-  const WindowCounts& settled = fixed_.windows.back();
-  const std::uint64_t known = Total(collector_.Sum(settled.window));
-  const std::uint64_t told = Total(settled);
-  late_ = std::max(late_, known > told ? known - told : 0);
+  const WindowCounts& last_report = finalized_.windows.back();
+  const std::uint64_t known = Total(collector_.Sum(last_report.window));
+  const std::uint64_t reported_total = Total(last_report);
+  current_late_requests_ =
+      std::max(current_late_requests_,
+               known > reported_total ? known - reported_total : 0);
 }
 
-void UsageReporter::OnFixedWritten(std::uint64_t ticket,
-                                   const Result<std::uint64_t>& answer,
-                                   TimePoint now) {
-  const auto* write = Answered<WriteFixed>(ticket);
+void UsageReporter::OnFinalizedWritten(std::uint64_t ticket,
+                                       const Result<std::uint64_t>& answer,
+                                       TimePoint now) {
+  const auto* write = ActionInFlight<WriteFinalized>(ticket);
   if (!write) {
     return;
   }
   if (IsOk(answer)) {
-    fixed_ = write->value;
+    finalized_ = write->value;
     version_ = ValueOf(answer);
-    settled_ = settling_;
-    late_told_ += std::exchange(late_, 0);
+    finalized_report_ = finalizing_report_;
+    total_late_requests_ += std::exchange(current_late_requests_, 0);
   } else {
     // The write may have taken effect or may do so later. The reports are read
     // again, and a later conditional write fails if this one takes effect
     // first.
     read_ = false;
-    next_at_ = now + options_.retry_interval;
+    next_step_at_ = now + options_.retry_interval;
   }
   in_flight_.reset();
 }
 
 void UsageReporter::OnReported(std::uint64_t ticket, ReportOutcome outcome,
                                TimePoint now) {
-  const auto* send = Answered<Send>(ticket);
+  const auto* send = ActionInFlight<Send>(ticket);
   if (!send) {
     return;
   }
   if (outcome == ReportOutcome::kUnknown) {
-    next_at_ = now + options_.retry_interval;
+    next_step_at_ = now + options_.retry_interval;
   } else {
     done_.insert(send->report.window);
     if (outcome == ReportOutcome::kRefused) {
-      given_up_.push_back(send->report.window);
+      abandoned_.push_back(send->report.window);
     }
   }
   in_flight_.reset();
 }
 
-std::optional<UsageReporter::Settled> UsageReporter::TakeSettled() {
-  return std::exchange(settled_, std::nullopt);
+std::optional<UsageReporter::FinalizedReport>
+UsageReporter::TakeFinalizedReport() {
+  return std::exchange(finalized_report_, std::nullopt);
 }
 
-std::vector<UsageWindow> UsageReporter::TakeGivenUp() {
-  return std::exchange(given_up_, {});
+std::vector<UsageWindow> UsageReporter::TakeAbandoned() {
+  return std::exchange(abandoned_, {});
 }
 
-std::uint64_t UsageReporter::TakeLate() { return std::exchange(late_told_, 0); }
+std::uint64_t UsageReporter::TakeLateRequests() {
+  return std::exchange(total_late_requests_, 0);
+}
 
 }  // namespace indigolead
--- a/src/core/usage/usage_reporter.h
+++ b/src/core/usage/usage_reporter.h
@@ -57,13 +57,14 @@
     /// retried.
     Duration retry_interval = std::chrono::seconds(1);
     /// An undelivered report is abandoned this long after it was due.
-    Duration give_up_after = std::chrono::minutes(10);
+    Duration abandon_after = std::chrono::minutes(10);
     UsageCollector::Options collector;
   };
 
-  /// Requests a read of the finalized reports; completed by `OnFixedRead`.
-  struct ReadFixed {
-    friend bool operator==(const ReadFixed&, const ReadFixed&) = default;
+  /// Requests a read of the finalized reports; completed by `OnFinalizedRead`.
+  struct ReadFinalized {
+    friend bool operator==(const ReadFinalized&,
+                           const ReadFinalized&) = default;
   };
   /// Requests the records of all entry processes; completed by
   /// `OnEntriesListed`.
@@ -71,11 +72,12 @@
     friend bool operator==(const ListEntries&, const ListEntries&) = default;
   };
   /// Requests a write of `value` if the object has the version `expected`;
-  /// completed by `OnFixedWritten`.
-  struct WriteFixed {
-    FixedUsage value;
+  /// completed by `OnFinalizedWritten`.
+  struct WriteFinalized {
+    FinalizedUsage value;
     std::uint64_t expected = 0;
-    friend bool operator==(const WriteFixed&, const WriteFixed&) = default;
+    friend bool operator==(const WriteFinalized&,
+                           const WriteFinalized&) = default;
   };
   /// Requests that the report be sent under fencing number `number`; completed
   /// by `OnReported`.
@@ -84,7 +86,7 @@
     FencingNumber number = 0;
     friend bool operator==(const Send&, const Send&) = default;
   };
-  using Action = std::variant<ReadFixed, ListEntries, WriteFixed, Send>;
+  using Action = std::variant<ReadFinalized, ListEntries, WriteFinalized, Send>;
   /// An action with the ticket that identifies its reply.
   struct Step {
     std::uint64_t ticket = 0;
@@ -93,10 +95,11 @@
   };
 
   /// Describes a report that was finalized.
-  struct Settled {
+  struct FinalizedReport {
     UsageWindow window = 0;
-    bool whole = false;  ///< Has the counts of all entry processes.
-    friend bool operator==(const Settled&, const Settled&) = default;
+    bool complete = false;  ///< Has the counts of all entry processes.
+    friend bool operator==(const FinalizedReport&,
+                           const FinalizedReport&) = default;
   };
 
   explicit UsageReporter(const Options& options);
@@ -107,65 +110,66 @@
                            WallMicros calendar, TimePoint now);
 
   /// Finalized reports as read from the store, with their version.
-  struct FixedView {
-    FixedUsage value;
+  struct FinalizedView {
+    FinalizedUsage value;
     std::uint64_t version = 0;
   };
-  void OnFixedRead(std::uint64_t ticket,
-                   const Result<std::optional<FixedView>>& answer,
-                   TimePoint now);
+  void OnFinalizedRead(std::uint64_t ticket,
+                       const Result<std::optional<FinalizedView>>& answer,
+                       TimePoint now);
   void OnEntriesListed(std::uint64_t ticket,
                        const Result<std::vector<EntryUsage>>& answer,
                        TimePoint now);
-  void OnFixedWritten(std::uint64_t ticket, const Result<std::uint64_t>& answer,
-                      TimePoint now);
+  void OnFinalizedWritten(std::uint64_t ticket,
+                          const Result<std::uint64_t>& answer, TimePoint now);
   void OnReported(std::uint64_t ticket, ReportOutcome outcome, TimePoint now);
 
   /// Returns the last report finalized under the current fencing number, unless
   /// an earlier call returned it.
-  std::optional<Settled> TakeSettled();
+  std::optional<FinalizedReport> TakeFinalizedReport();
   /// Returns the windows whose report was abandoned since the last call.
-  std::vector<UsageWindow> TakeGivenUp();
+  std::vector<UsageWindow> TakeAbandoned();
   /// Returns the number of requests that arrived after the report of their
   /// window was finalized, counted since the last call.
-  std::uint64_t TakeLate();
+  std::uint64_t TakeLateRequests();
 
  private:
-  void Forget();
+  void Reset();
   template <typename T>
-  const T* Answered(std::uint64_t ticket) const;
-  void NoteLate();
+  const T* ActionInFlight(std::uint64_t ticket) const;
+  void UpdateLateRequests();
   bool IsDue(UsageWindow window, WallMicros calendar, Duration after) const;
   std::optional<UsageWindow> NextWindow() const;
-  std::optional<Action> SendSettled(WallMicros calendar);
-  std::optional<Action> Settle(WallMicros calendar, TimePoint now);
-  std::optional<Action> Next(WallMicros calendar, TimePoint now);
-  FixedUsage WithNext(UsageWindow window) const;
+  std::optional<Action> SendFinalized(WallMicros calendar);
+  std::optional<Action> FinalizeNextWindow(WallMicros calendar, TimePoint now);
+  std::optional<Action> NextAction(WallMicros calendar, TimePoint now);
+  FinalizedUsage WithNextWindow(UsageWindow window) const;
 
   Options options_;
   UsageCollector collector_;
-  std::optional<FencingNumber> number_;
+  std::optional<FencingNumber> fencing_number_;
   std::optional<Step> in_flight_;
   std::uint64_t last_ticket_ = 0;
-  TimePoint next_at_{};
-  bool read_ = false;  ///< `fixed_` has been read from the store.
-  FixedUsage fixed_;
+  TimePoint next_step_at_{};
+  bool read_ = false;  ///< `finalized_` has been read from the store.
+  FinalizedUsage finalized_;
   std::uint64_t version_ = 0;
-  /// Windows of `fixed_` that need not be sent again.
+  /// Windows of `finalized_` that need not be sent again.
   std::set<UsageWindow> done_;
   /// Calendar time at which the last listed records were requested.
   std::optional<WallMicros> listed_at_;
-  WallMicros asked_at_ = 0;
+  WallMicros list_requested_at_ = 0;
   /// Before the very first report: the window for which the records were last
   /// listed to find the first window with counts.
-  std::optional<UsageWindow> looked_at_;
-  /// Late requests of the window that was finalized last; `late_told_` holds
-  /// those of earlier windows until `TakeLate`.
-  std::uint64_t late_ = 0;
-  std::uint64_t late_told_ = 0;
-  std::optional<Settled> settling_;
-  std::optional<Settled> settled_;
-  std::vector<UsageWindow> given_up_;
+  std::optional<UsageWindow> searched_window_;
+  /// Late requests of the window that was finalized last;
+  /// `total_late_requests_` holds those of earlier windows until
+  /// `TakeLateRequests`.
+  std::uint64_t current_late_requests_ = 0;
+  std::uint64_t total_late_requests_ = 0;
+  std::optional<FinalizedReport> finalizing_report_;
+  std::optional<FinalizedReport> finalized_report_;
+  std::vector<UsageWindow> abandoned_;
 };
 
 }  // namespace indigolead
--- a/src/core/usage/usage_types.h
+++ b/src/core/usage/usage_types.h
@@ -44,12 +44,13 @@
 
 /// Reports with final content. Only these may be sent, by any holder of the
 /// control lease.
-struct FixedUsage {
+struct FinalizedUsage {
   /// Oldest first, without gaps. The newest is the last finalized window. Older
   /// ones are kept until they are delivered or abandoned.
   std::vector<WindowCounts> windows;
 
-  friend bool operator==(const FixedUsage&, const FixedUsage&) = default;
+  friend bool operator==(const FinalizedUsage&,
+                         const FinalizedUsage&) = default;
 };
 
 }  // namespace indigolead
--- a/src/entry/claim_service.cc
+++ b/src/entry/claim_service.cc
@@ -226,7 +226,7 @@
 void ClaimService::Act(TimePoint now) {
   for (ClientAction& action : client_.TakeActions()) {
     wire::Envelope out;
-    if (const auto* ask = std::get_if<SendAsk>(&action)) {
+    if (const auto* ask = std::get_if<SendClaimQuery>(&action)) {
       FillClaimRequest(*ask, out.mutable_claim());
       SendTo(ask->home, out);
     } else if (const auto* report = std::get_if<SendEndReport>(&action)) {
--- a/src/entry/usage_service.cc
+++ b/src/entry/usage_service.cc
@@ -93,7 +93,7 @@
   if (!written_until_) {
     return true;  // Others wait for what this process may have counted.
   }
-  if (meter_.mark() == 0) {
+  if (meter_.request_count() == 0) {
     return false;  // Nobody waits for one that has told of nothing for long.
   }
   const Duration window = options_.meter.window;
@@ -106,7 +106,8 @@
   }
   // The middle of a window brings nothing that anyone waits for; it bounds what
   // a kill takes with it.
-  return told >= middle && *written_until_ < middle && meter_.has_news();
+  return told >= middle && *written_until_ < middle &&
+         meter_.has_unwritten_counts();
 }
 
 void UsageService::Write(WallMicros calendar, bool ended) {
@@ -116,17 +117,17 @@
       options_.instance, options_.incarnation, started_at_, until, ended,
       meter_.windows()};
   writing_ = true;
-  record_.Write(
-      EncodeEntryUsage(usage),
-      [this, alive = alive_, mark = meter_.mark(), until, ended](bool done) {
-        if (*alive) {
-          OnWritten(mark, until, ended, done);
-        }
-      });
+  record_.Write(EncodeEntryUsage(usage),
+                [this, alive = alive_, request_count = meter_.request_count(),
+                 until, ended](bool done) {
+                  if (*alive) {
+                    OnWritten(request_count, until, ended, done);
+                  }
+                });
 }
 
-void UsageService::OnWritten(std::uint64_t mark, WallMicros counted_until,
-                             bool ended, bool done) {
+void UsageService::OnWritten(std::uint64_t request_count,
+                             WallMicros counted_until, bool ended, bool done) {
   writing_ = false;
   closed_ = closed_ || ended;
   if (!done) {
@@ -134,8 +135,8 @@
     write_again_at_ = clock_() + options_.retry_interval;
   } else {
     written_until_ = std::max(written_until_.value_or(0), counted_until);
-    meter_.OnWritten(mark, counted_until, clock_());
-    log_(kUsageWritten, {{"counted", std::to_string(mark)},
+    meter_.OnWritten(request_count, counted_until, clock_());
+    log_(kUsageWritten, {{"counted", std::to_string(request_count)},
                          {"until_us", std::to_string(counted_until)},
                          {"ended", ended ? "yes" : "no"}});
   }
@@ -162,32 +163,32 @@
 }
 
 void UsageService::Act(const UsageReporter::Step& step) {
-  if (std::holds_alternative<UsageReporter::ReadFixed>(step.action)) {
-    ReadFixed(step.ticket);
+  if (std::holds_alternative<UsageReporter::ReadFinalized>(step.action)) {
+    ReadFinalized(step.ticket);
   } else if (std::holds_alternative<UsageReporter::ListEntries>(step.action)) {
     ListEntries(step.ticket);
   } else if (const auto* write =
-                 std::get_if<UsageReporter::WriteFixed>(&step.action)) {
-    WriteFixed(step.ticket, *write);
+                 std::get_if<UsageReporter::WriteFinalized>(&step.action)) {
+    WriteFinalized(step.ticket, *write);
   } else if (const auto* send =
                  std::get_if<UsageReporter::Send>(&step.action)) {
     Send(step.ticket, *send);
   }
 }
 
-void UsageService::ReadFixed(std::uint64_t ticket) {
+void UsageService::ReadFinalized(std::uint64_t ticket) {
   store_->Get(options_.fixed_key, Call(),
               [this, alive = alive_,
                ticket](const Result<std::optional<StoredObject>>& result) {
                 if (!*alive) {
                   return;
                 }
-                using View = std::optional<UsageReporter::FixedView>;
+                using View = std::optional<UsageReporter::FinalizedView>;
                 Result<View> view = View();
                 if (!IsOk(result)) {
                   view = ErrorOf(result);
                 } else if (const auto& object = ValueOf(result)) {
-                  auto fixed = DecodeFixedUsage(object->value);
+                  auto fixed = DecodeFinalizedUsage(object->value);
                   if (IsOk(fixed)) {
                     view = View({ValueOf(std::move(fixed)), object->version});
                   } else {
@@ -198,7 +199,7 @@
                   log_(kUsageCallFailed, {{"step", "read settled reports"},
                                           {"error", ToString(ErrorOf(view))}});
                 }
-                reporter_.OnFixedRead(ticket, view, clock_());
+                reporter_.OnFinalizedRead(ticket, view, clock_());
                 Drive(*calendar_.At(clock_()));
               });
 }
@@ -258,10 +259,11 @@
                  });
 }
 
-void UsageService::WriteFixed(std::uint64_t ticket,
-                              const UsageReporter::WriteFixed& write) {
+void UsageService::WriteFinalized(std::uint64_t ticket,
+                                  const UsageReporter::WriteFinalized& write) {
   store_->Put(
-      options_.fixed_key, EncodeFixedUsage(write.value), write.expected, Call(),
+      options_.fixed_key, EncodeFinalizedUsage(write.value), write.expected,
+      Call(),
       [this, alive = alive_, ticket](const Result<std::uint64_t>& result) {
         if (!*alive) {
           return;
@@ -270,7 +272,7 @@
           log_(kUsageCallFailed, {{"step", "settle a report"},
                                   {"error", ToString(ErrorOf(result))}});
         }
-        reporter_.OnFixedWritten(ticket, result, clock_());
+        reporter_.OnFinalizedWritten(ticket, result, clock_());
         Drive(*calendar_.At(clock_()));
       });
 }
@@ -316,16 +318,16 @@
 }
 
 void UsageService::TellProgress() {
-  if (const auto settled = reporter_.TakeSettled()) {
-    incomplete_.Add(settled->whole ? 0 : 1);
+  if (const auto settled = reporter_.TakeFinalizedReport()) {
+    incomplete_.Add(settled->complete ? 0 : 1);
     log_(kUsageSettled, {{"window", std::to_string(settled->window)},
-                         {"whole", settled->whole ? "yes" : "no"}});
+                         {"whole", settled->complete ? "yes" : "no"}});
   }
-  for (const UsageWindow it : reporter_.TakeGivenUp()) {
+  for (const UsageWindow it : reporter_.TakeAbandoned()) {
     given_up_.Add();
     log_(kUsageGivenUp, {{"window", std::to_string(it)}});
   }
-  if (const std::uint64_t late = reporter_.TakeLate(); late > 0) {
+  if (const std::uint64_t late = reporter_.TakeLateRequests(); late > 0) {
     lost_.Add(late);
     log_(kUsageLate, {{"requests", std::to_string(late)}});
   }
--- a/src/entry/usage_service.h
+++ b/src/entry/usage_service.h
@@ -87,15 +87,16 @@
  private:
   bool WriteIsDue(WallMicros calendar, TimePoint now) const;
   void Write(WallMicros calendar, bool ended);
-  void OnWritten(std::uint64_t mark, WallMicros counted_until, bool ended,
-                 bool done);
+  void OnWritten(std::uint64_t request_count, WallMicros counted_until,
+                 bool ended, bool done);
   void Drive(WallMicros calendar);
   void Act(const UsageReporter::Step& step);
-  void ReadFixed(std::uint64_t ticket);
+  void ReadFinalized(std::uint64_t ticket);
   void ListEntries(std::uint64_t ticket);
   std::vector<EntryUsage> Decode(const ObjectStore::Listing& listing);
   void DeleteOld(const StoredObject& object, const EntryUsage& usage);
-  void WriteFixed(std::uint64_t ticket, const UsageReporter::WriteFixed& write);
+  void WriteFinalized(std::uint64_t ticket,
+                      const UsageReporter::WriteFinalized& write);
   void Send(std::uint64_t ticket, const UsageReporter::Send& send);
   void OnSent(std::uint64_t ticket, const UsageReporter::Send& send,
               const Result<TargetAnswer>& answer);
--- a/src/side/claim_home_service.cc
+++ b/src/side/claim_home_service.cc
@@ -44,7 +44,7 @@
   switch (message.body_case()) {
     case wire::Envelope::kClaim:
       if (const auto ask = ReadClaimRequest(message.claim(), entry->second)) {
-        home_.OnAsk(*ask, now);
+        home_.OnClaimQuery(*ask, now);
       }
       break;
     case wire::Envelope::kClaimOutcome:
--- a/src/wire/claim_codec.cc
+++ b/src/wire/claim_codec.cc
@@ -117,25 +117,25 @@
 
 }  // namespace
 
-void FillClaimRequest(const SendAsk& ask, wire::ClaimRequest* out) {
-  out->set_request_id(ToBytes(ask.ask.request.value));
-  out->set_claim_key(ToBytes(ask.ask.key.value));
-  out->set_body_digest(ask.ask.body_digest);
-  out->set_slot(ask.ask.slot);
-  out->set_epoch(ask.epoch);
+void FillClaimRequest(const SendClaimQuery& query, wire::ClaimRequest* out) {
+  out->set_request_id(ToBytes(query.query.request.value));
+  out->set_claim_key(ToBytes(query.query.key.value));
+  out->set_body_digest(query.query.body_digest);
+  out->set_slot(query.query.slot);
+  out->set_epoch(query.epoch);
   out->set_wait_us(static_cast<std::uint64_t>(
-      duration_cast<microseconds>(ask.ask.wait).count()));
+      duration_cast<microseconds>(query.query.wait).count()));
 }
 
-std::optional<ClaimAsk> ReadClaimRequest(const wire::ClaimRequest& message,
-                                         const Incarnation& entry) {
+std::optional<ClaimQuery> ReadClaimRequest(const wire::ClaimRequest& message,
+                                           const Incarnation& entry) {
   const auto request = ReadId<RequestId>(message.request_id());
   const auto key = ReadId<ClaimKey>(message.claim_key());
   if (!request || !key) {
     return std::nullopt;
   }
-  return ClaimAsk{*request,       *key,  message.body_digest(),
-                  message.slot(), entry, microseconds(message.wait_us())};
+  return ClaimQuery{*request,       *key,  message.body_digest(),
+                    message.slot(), entry, microseconds(message.wait_us())};
 }
 
 void FillClaimReply(const SendDecision& decision, std::uint64_t epoch,
--- a/src/wire/claim_codec.h
+++ b/src/wire/claim_codec.h
@@ -14,9 +14,9 @@
 /// @name Claims as messages and as objects of the store.
 /// The reading functions return nothing if a message is malformed.
 /// @{
-void FillClaimRequest(const SendAsk& ask, wire::ClaimRequest* out);
-std::optional<ClaimAsk> ReadClaimRequest(const wire::ClaimRequest& message,
-                                         const Incarnation& entry);
+void FillClaimRequest(const SendClaimQuery& query, wire::ClaimRequest* out);
+std::optional<ClaimQuery> ReadClaimRequest(const wire::ClaimRequest& message,
+                                           const Incarnation& entry);
 
 void FillClaimReply(const SendDecision& decision, std::uint64_t epoch,
                     wire::ClaimReply* out);
--- a/tests/core/claims/claim_home_test.cc
+++ b/tests/core/claims/claim_home_test.cc
@@ -5,26 +5,26 @@
 namespace indigolead {
 namespace {
 
-constexpr int kSettle = 400;  // Steps of 20 ms.
+constexpr int kSettleSteps = 400;  // Steps of 20 ms.
 
 // A home is killed while the store is available. All its keys were journaled
 // before they were granted, and the witnesses never agreed to degraded grants,
 // so the successor knows the old keys and grants new ones at once.
 TEST_CASE("No claim is lost when a home is killed") {
   ClaimWorld world(1, {});
-  world.Run(kSettle, 0, 0);
+  world.Run(kSettleSteps, 0, 0);
   REQUIRE(world.AskOnce(0, 1, 200) == ClaimVerdict::kGranted);
   world.Run(100, 0, 0);
   const std::size_t victim = world.HomeOf(1);
   world.KillHome(victim);
 
   SECTION("another home takes over when the platform removes the instance") {
-    world.Run(kSettle, 0, 0);
+    world.Run(kSettleSteps, 0, 0);
     REQUIRE(world.HomeOf(1) != victim);
   }
   SECTION("the restarted home takes over its own slots") {
     world.StartHome(victim);
-    world.Run(kSettle, 0, 0);
+    world.Run(kSettleSteps, 0, 0);
     REQUIRE(world.HomeOf(1) == victim);
   }
   CHECK(world.AskOnce(1, 1, 400) == ClaimVerdict::kFinished);
@@ -39,9 +39,9 @@
 // recorded, so its successor answers keys without a claim with `kUnknown`.
 TEST_CASE("Keyed requests are granted during a store outage") {
   ClaimWorld world(2, {});
-  world.Run(kSettle, 0, 0);
+  world.Run(kSettleSteps, 0, 0);
   world.set_store_up(false);
-  world.faults().mend = 0;
+  world.faults().recover = 0;
   REQUIRE(world.AskOnce(0, 1, 400) == ClaimVerdict::kGranted);
   REQUIRE(world.counts().degraded_grants == 1);
   world.Run(100, 0, 0);
@@ -51,11 +51,11 @@
   }
   SECTION("the claims are journaled once the store recovers") {
     world.set_store_up(true);
-    world.Run(kSettle, 0, 0);
+    world.Run(kSettleSteps, 0, 0);
     const std::size_t victim = world.HomeOf(1);
     world.KillHome(victim);
     world.StartHome(victim);
-    world.Run(kSettle, 0, 0);
+    world.Run(kSettleSteps, 0, 0);
     CHECK(world.AskOnce(1, 1, 400) == ClaimVerdict::kFinished);
     CHECK(world.AskOnce(1, 2, 400) == ClaimVerdict::kGranted);
   }
@@ -64,7 +64,7 @@
     world.KillHome(victim);
     world.set_store_up(true);
     world.StartHome(victim);
-    world.Run(kSettle, 0, 0);
+    world.Run(kSettleSteps, 0, 0);
     CHECK(world.AskOnce(1, 1, 400) == ClaimVerdict::kUnknown);
   }
   CHECK(world.violation().empty());
@@ -74,8 +74,8 @@
 // gets `kNotReady` early instead of waiting for its deadline of 5 s.
 TEST_CASE("An unreachable home fails the request before its deadline") {
   ClaimWorld world(3, {});
-  world.Run(kSettle, 0, 0);
-  world.faults().mend = 0;
+  world.Run(kSettleSteps, 0, 0);
+  world.faults().recover = 0;
   world.SetLink(world.HomeOf(1), 0, false);
   CHECK(world.AskOnce(0, 1, 3 * 50 + 10) == ClaimVerdict::kNotReady);
   CHECK(world.AskOnce(1, 1, 200) == ClaimVerdict::kGranted);
@@ -85,13 +85,13 @@
 // journal, so safety does not depend on when the old home stops granting.
 TEST_CASE("Claims move with the slots of a leaving home") {
   ClaimWorld world(4, {});
-  world.Run(kSettle, 0, 0);
+  world.Run(kSettleSteps, 0, 0);
   REQUIRE(world.AskOnce(0, 1, 200) == ClaimVerdict::kGranted);
   world.Run(100, 0, 0);
-  const std::size_t giver = world.HomeOf(1);
-  world.home(giver).leaving = true;
-  world.Run(kSettle, 0, 0);
-  REQUIRE(world.HomeOf(1) != giver);
+  const std::size_t leaving_home = world.HomeOf(1);
+  world.home(leaving_home).leaving = true;
+  world.Run(kSettleSteps, 0, 0);
+  REQUIRE(world.HomeOf(1) != leaving_home);
   CHECK(world.AskOnce(1, 1, 400) == ClaimVerdict::kFinished);
   CHECK(world.AskOnce(1, 2, 400) == ClaimVerdict::kGranted);
   CHECK(world.violation().empty());
@@ -99,7 +99,7 @@
 
 TEST_CASE("A granted key is unknown after its entry is killed") {
   ClaimWorld world(5, {});
-  world.Run(kSettle, 0, 0);
+  world.Run(kSettleSteps, 0, 0);
   REQUIRE(world.AskOnce(0, 1, 200) == ClaimVerdict::kGranted);
   world.KillEntry(0);
   CHECK(world.AskOnce(1, 1, 400) == ClaimVerdict::kUnknown);
--- a/tests/core/claims/claim_table_test.cc
+++ b/tests/core/claims/claim_table_test.cc
@@ -12,8 +12,9 @@
 const Incarnation kEntryA{{1, 1}};
 const Incarnation kEntryB{{1, 2}};
 
-ClaimAsk MakeAsk(std::uint64_t request, std::uint64_t key,
-                 const Incarnation& entry = kEntryA, std::uint64_t digest = 7) {
+ClaimQuery MakeQuery(std::uint64_t request, std::uint64_t key,
+                     const Incarnation& entry = kEntryA,
+                     std::uint64_t digest = 7) {
   return {RequestId{{0, request}},
           ClaimKey{{0, key}},
           digest,
@@ -22,10 +23,10 @@
           seconds(1)};
 }
 
-ClaimEndReport MakeEnd(const ClaimAsk& ask, ClaimState end,
+ClaimEndReport MakeEnd(const ClaimQuery& query, ClaimState end,
                        const std::string& body = "") {
-  ClaimEndReport report{ask.request, ask.key, ask.slot, ask.body_digest,
-                        end,         {},      ask.entry};
+  ClaimEndReport report{query.request, query.key, query.slot, query.body_digest,
+                        end,           {},        query.entry};
   if (end == ClaimState::kFinished) {
     report.answer = ClaimAnswer{200, {}, body};
   }
@@ -34,48 +35,50 @@
 
 TEST_CASE("A key is granted to one request") {
   ClaimTable table({});
-  const ClaimAsk first = MakeAsk(1, 5);
-  const ClaimAsk retry = MakeAsk(2, 5, kEntryB);
-  REQUIRE(table.Ask(first, kStart).claimed);
+  const ClaimQuery first = MakeQuery(1, 5);
+  const ClaimQuery retry = MakeQuery(2, 5, kEntryB);
+  REQUIRE(table.Query(first, kStart).claimed);
 
   SECTION("the same request gets its grant again") {
-    const auto again = table.Ask(first, kStart);
+    const auto again = table.Query(first, kStart);
     CHECK(again.decision.verdict == ClaimVerdict::kGranted);
     CHECK_FALSE(again.claimed);
   }
   SECTION("a retry is told to wait during the run") {
-    CHECK(table.Ask(retry, kStart).decision.verdict == ClaimVerdict::kRunning);
+    CHECK(table.Query(retry, kStart).decision.verdict ==
+          ClaimVerdict::kRunning);
   }
   SECTION("a retry after the run gets the same response") {
     table.End(MakeEnd(first, ClaimState::kFinished, "menu"), kStart);
-    const auto asked = table.Ask(retry, kStart);
-    CHECK(asked.decision.verdict == ClaimVerdict::kFinished);
-    CHECK(asked.decision.answer->body == "menu");
+    const auto result = table.Query(retry, kStart);
+    CHECK(result.decision.verdict == ClaimVerdict::kFinished);
+    CHECK(result.decision.answer->body == "menu");
   }
   SECTION("another body for the key is refused in every state") {
-    const ClaimAsk other = MakeAsk(3, 5, kEntryB, 8);
-    CHECK(table.Ask(other, kStart).decision.verdict ==
+    const ClaimQuery other = MakeQuery(3, 5, kEntryB, 8);
+    CHECK(table.Query(other, kStart).decision.verdict ==
           ClaimVerdict::kBodyDiffers);
     table.End(MakeEnd(first, ClaimState::kFinished, "menu"), kStart);
-    CHECK(table.Ask(other, kStart).decision.verdict ==
+    CHECK(table.Query(other, kStart).decision.verdict ==
           ClaimVerdict::kBodyDiffers);
   }
   SECTION("a run that never started frees the key") {
     table.End(MakeEnd(first, ClaimState::kNotRun), kStart);
-    CHECK(table.Ask(retry, kStart).claimed);
+    CHECK(table.Query(retry, kStart).claimed);
     // A late duplicate of the first report must not free the second claim.
     CHECK_FALSE(table.End(MakeEnd(first, ClaimState::kNotRun), kStart));
-    CHECK(table.Ask(MakeAsk(3, 5), kStart).decision.verdict ==
+    CHECK(table.Query(MakeQuery(3, 5), kStart).decision.verdict ==
           ClaimVerdict::kRunning);
   }
   SECTION("the key is unknown while its entry is unreachable") {
-    table.OwnerLost(kEntryA, kStart);
-    CHECK(table.Ask(retry, kStart).decision.verdict == ClaimVerdict::kRunning);
-    CHECK(table.Ask(retry, kStart + seconds(2)).decision.verdict ==
+    table.MarkEntryUnreachable(kEntryA, kStart);
+    CHECK(table.Query(retry, kStart).decision.verdict ==
+          ClaimVerdict::kRunning);
+    CHECK(table.Query(retry, kStart + seconds(2)).decision.verdict ==
           ClaimVerdict::kUnknown);
-    table.OwnerBack(kEntryA);
+    table.MarkEntryReachable(kEntryA);
     table.End(MakeEnd(first, ClaimState::kFinished, "late"), kStart);
-    CHECK(table.Ask(retry, kStart).decision.answer->body == "late");
+    CHECK(table.Query(retry, kStart).decision.answer->body == "late");
   }
 }
 
@@ -84,25 +87,27 @@
   options.max_claims = 2;
   options.max_answer_bytes = 100;
   ClaimTable table(options);
-  table.Ask(MakeAsk(1, 1), kStart);
-  table.Ask(MakeAsk(2, 2), kStart);
+  table.Query(MakeQuery(1, 1), kStart);
+  table.Query(MakeQuery(2, 2), kStart);
 
   SECTION("a claim above the limit is refused as overloaded") {
-    CHECK(table.Ask(MakeAsk(3, 3), kStart).decision.verdict ==
+    CHECK(table.Query(MakeQuery(3, 3), kStart).decision.verdict ==
           ClaimVerdict::kOverloaded);
   }
   SECTION("the oldest response is dropped first and its key is already run") {
     const std::string long_body(80, 'x');
-    table.End(MakeEnd(MakeAsk(1, 1), ClaimState::kFinished, long_body), kStart);
-    table.End(MakeEnd(MakeAsk(2, 2), ClaimState::kFinished, long_body), kStart);
+    table.End(MakeEnd(MakeQuery(1, 1), ClaimState::kFinished, long_body),
+              kStart);
+    table.End(MakeEnd(MakeQuery(2, 2), ClaimState::kFinished, long_body),
+              kStart);
     CHECK(table.answer_bytes() <= 100);
-    CHECK(table.Ask(MakeAsk(4, 1), kStart).decision.verdict ==
+    CHECK(table.Query(MakeQuery(4, 1), kStart).decision.verdict ==
           ClaimVerdict::kAlreadyRun);
-    CHECK(table.Ask(MakeAsk(5, 2), kStart).decision.verdict ==
+    CHECK(table.Query(MakeQuery(5, 2), kStart).decision.verdict ==
           ClaimVerdict::kFinished);
   }
   SECTION("a key is removed only after its retention") {
-    table.End(MakeEnd(MakeAsk(1, 1), ClaimState::kFinished, ""), kStart);
+    table.End(MakeEnd(MakeQuery(1, 1), ClaimState::kFinished, ""), kStart);
     table.Tick(kStart + minutes(59));
     CHECK(table.Holds(ClaimKey{{0, 1}}));
     table.Tick(kStart + minutes(60));
--- a/tests/core/claims/run_once_test.cc
+++ b/tests/core/claims/run_once_test.cc
@@ -8,7 +8,7 @@
 namespace indigolead {
 namespace {
 
-ClaimWorld::Faults Everything() {
+ClaimWorld::Faults AllFaults() {
   ClaimWorld::Faults faults;
   faults.lose = 0.05;
   faults.repeat = 0.05;
@@ -34,7 +34,7 @@
   const bool held =
       rc::check("at most one run, true refusals, equal answers", [&] {
         const auto seed = *rc::gen::arbitrary<std::uint64_t>();
-        ClaimWorld world(seed, Everything());
+        ClaimWorld world(seed, AllFaults());
         world.Run(1500, 60, 0.3);
         runs += world.counts().runs;
         kills += world.counts().home_kills;
@@ -56,8 +56,8 @@
 // successor read the copy last, treated it as the newest state and recorded the
 // key as free.
 TEST_CASE("A key runs at most once when a home dies during a takeover") {
-  constexpr std::uint64_t kBreakingSeed = 16642721432904031ULL;
-  ClaimWorld world(kBreakingSeed, Everything());
+  constexpr std::uint64_t kFailingSeed = 16642721432904031ULL;
+  ClaimWorld world(kFailingSeed, AllFaults());
   world.Run(1500, 60, 0.3);
   CHECK(world.violation() == std::string());
 }
@@ -66,8 +66,8 @@
 // another home, and got them back afterwards although it still reported its old
 // journal. Its old records were then read after those of the other home.
 TEST_CASE("A key runs at most once when a paused home loses its slots") {
-  constexpr std::uint64_t kBreakingSeed = 1000900;
-  ClaimWorld world(kBreakingSeed, Everything());
+  constexpr std::uint64_t kFailingSeed = 1000900;
+  ClaimWorld world(kFailingSeed, AllFaults());
   world.Run(1500, 60, 0.3);
   CHECK(world.violation() == std::string());
 }
--- a/tests/core/usage/usage_codec_test.cc
+++ b/tests/core/usage/usage_codec_test.cc
@@ -24,14 +24,15 @@
 }
 
 TEST_CASE("Finalized reports round-trip through JSON") {
-  const FixedUsage usage{{{7, {{"salon", 3}}}, {8, {{"owner", 1}}}}};
-  const auto read = DecodeFixedUsage(EncodeFixedUsage(usage));
+  const FinalizedUsage usage{{{7, {{"salon", 3}}}, {8, {{"owner", 1}}}}};
+  const auto read = DecodeFinalizedUsage(EncodeFinalizedUsage(usage));
   REQUIRE(IsOk(read));
   CHECK(ValueOf(read) == usage);
 
   SECTION("an empty list or a list with gaps is rejected") {
-    CHECK_FALSE(IsOk(DecodeFixedUsage(EncodeFixedUsage({{{7, {}}, {9, {}}}}))));
-    CHECK_FALSE(IsOk(DecodeFixedUsage(EncodeFixedUsage({}))));
+    CHECK_FALSE(
+        IsOk(DecodeFinalizedUsage(EncodeFinalizedUsage({{{7, {}}, {9, {}}}}))));
+    CHECK_FALSE(IsOk(DecodeFinalizedUsage(EncodeFinalizedUsage({}))));
   }
 }
 
--- a/tests/core/usage/usage_collector_test.cc
+++ b/tests/core/usage/usage_collector_test.cc
@@ -44,29 +44,29 @@
 
   SECTION("not while an entry has reported only part of it") {
     collector.OnListed({Entry("front-1", kEnd), other});
-    CHECK_FALSE(collector.IsWhole(kWindow));
-    CHECK(collector.IsWhole(kWindow - 1));
+    CHECK_FALSE(collector.IsComplete(kWindow));
+    CHECK(collector.IsComplete(kWindow - 1));
   }
   SECTION("an entry that has ended is not waited for") {
     other.ended = true;
     collector.OnListed({Entry("front-1", kEnd), other});
-    CHECK(collector.IsWhole(kWindow));
+    CHECK(collector.IsComplete(kWindow));
   }
   SECTION("an entry whose instance has restarted is not waited for") {
     EntryUsage next = Entry("front-2", kEnd);
     next.started_at = kEnd - kSecond / 2;
     collector.OnListed({Entry("front-1", kEnd), other, next});
-    CHECK(collector.IsWhole(kWindow));
+    CHECK(collector.IsComplete(kWindow));
   }
   SECTION("an entry without counts is not waited for") {
     other.windows.clear();
     collector.OnListed({Entry("front-1", kEnd), other});
-    CHECK(collector.IsWhole(kWindow));
+    CHECK(collector.IsComplete(kWindow));
   }
   SECTION("an entry that has been silent for long is not waited for") {
     other.counted_until = kEnd - 11 * kSecond;
     collector.OnListed({Entry("front-1", kEnd), other});
-    CHECK(collector.IsWhole(kWindow));
+    CHECK(collector.IsComplete(kWindow));
   }
 }
 
--- a/tests/core/usage/usage_meter_test.cc
+++ b/tests/core/usage/usage_meter_test.cc
@@ -14,8 +14,8 @@
 UsageMeter::Options FiveSeconds() {
   UsageMeter::Options options;
   options.window = seconds(5);
-  options.keep_written = seconds(20);
-  options.most_windows = 4;
+  options.written_retention = seconds(20);
+  options.max_windows = 4;
   return options;
 }
 
@@ -34,28 +34,32 @@
   UsageMeter meter(FiveSeconds());
   TimePoint now{seconds(100)};
   meter.Count("salon", kBegin + kSecond);
-  CHECK(meter.has_news());
+  CHECK(meter.has_unwritten_counts());
 
   SECTION("the current window is never dropped") {
-    meter.OnWritten(meter.mark(), kBegin + 2 * kSecond, now);
-    meter.OnWritten(meter.mark(), kBegin + 4 * kSecond, now + seconds(60));
-    CHECK_FALSE(meter.has_news());
+    meter.OnWritten(meter.request_count(), kBegin + 2 * kSecond, now);
+    meter.OnWritten(meter.request_count(), kBegin + 4 * kSecond,
+                    now + seconds(60));
+    CHECK_FALSE(meter.has_unwritten_counts());
     CHECK(meter.windows().size() == 1);
   }
   SECTION("a past window is dropped some time after its complete write") {
-    meter.OnWritten(meter.mark(), kBegin + 6 * kSecond, now);
+    meter.OnWritten(meter.request_count(), kBegin + 6 * kSecond, now);
     CHECK(meter.windows().size() == 1);
-    meter.OnWritten(meter.mark(), kBegin + 25 * kSecond, now + seconds(19));
+    meter.OnWritten(meter.request_count(), kBegin + 25 * kSecond,
+                    now + seconds(19));
     CHECK(meter.windows().size() == 1);
-    meter.OnWritten(meter.mark(), kBegin + 26 * kSecond, now + seconds(20));
+    meter.OnWritten(meter.request_count(), kBegin + 26 * kSecond,
+                    now + seconds(20));
     CHECK(meter.windows().empty());
   }
   SECTION("a request counted during the write keeps the window") {
-    const std::uint64_t mark = meter.mark();
+    const std::uint64_t request_count = meter.request_count();
     meter.Count("salon", kBegin + 2 * kSecond);
-    meter.OnWritten(mark, kBegin + 6 * kSecond, now);
-    CHECK(meter.has_news());
-    meter.OnWritten(meter.mark(), kBegin + 26 * kSecond, now + seconds(20));
+    meter.OnWritten(request_count, kBegin + 6 * kSecond, now);
+    CHECK(meter.has_unwritten_counts());
+    meter.OnWritten(meter.request_count(), kBegin + 26 * kSecond,
+                    now + seconds(20));
     CHECK(meter.windows().size() == 1);
   }
   SECTION("without writes the oldest windows are dropped and counted as lost") {
--- a/tests/core/usage/usage_reporter_test.cc
+++ b/tests/core/usage/usage_reporter_test.cc
@@ -14,9 +14,9 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using ReadFixed = UsageReporter::ReadFixed;
+using ReadFinalized = UsageReporter::ReadFinalized;
 using ListEntries = UsageReporter::ListEntries;
-using WriteFixed = UsageReporter::WriteFixed;
+using WriteFinalized = UsageReporter::WriteFinalized;
 using Send = UsageReporter::Send;
 
 constexpr WallMicros kSecond = 1'000'000;
@@ -29,7 +29,7 @@
   options.due_after = seconds(10);
   options.collect_after = seconds(2);
   options.due_margin = milliseconds(2500);
-  options.give_up_after = seconds(120);
+  options.abandon_after = seconds(120);
   options.collector.window = seconds(5);
   options.collector.silent_after = seconds(10);
   return options;
@@ -41,7 +41,9 @@
           false, std::move(windows)};
 }
 
-Error Lost() { return {ErrorCode::kTimeout, "store.put", "store", "lost"}; }
+Error TimeoutError() {
+  return {ErrorCode::kTimeout, "store.put", "store", "lost"};
+}
 
 /// A lease holder whose steps the test completes. `at` is in seconds after the
 /// start of the window `kWindow`.
@@ -57,8 +59,8 @@
     return step->action;
   }
 
-  void OnRead(double at, std::optional<UsageReporter::FixedView> view) {
-    reporter.OnFixedRead(ticket, view, Boot(at));
+  void OnRead(double at, std::optional<UsageReporter::FinalizedView> view) {
+    reporter.OnFinalizedRead(ticket, view, Boot(at));
   }
   void OnListed(double at, std::vector<EntryUsage> entries) {
     reporter.OnEntriesListed(ticket, std::move(entries), Boot(at));
@@ -80,7 +82,7 @@
 
 TEST_CASE("A report is finalized before it is sent") {
   Holder holder;
-  CHECK(holder.Tick(1) == UsageReporter::Action(ReadFixed{}));
+  CHECK(holder.Tick(1) == UsageReporter::Action(ReadFinalized{}));
   holder.OnRead(1, std::nullopt);
 
   SECTION("the first holder lists the records once for each window") {
@@ -103,15 +105,15 @@
   SECTION("the report is made from the records of all entries") {
     REQUIRE(holder.Tick(7.1) == UsageReporter::Action(ListEntries{}));
     holder.OnListed(7.1, {Entry("front-1", Holder::Calendar(5.1), {kCounts})});
-    const WriteFixed write{{{kCounts}}, 0};
+    const WriteFinalized write{{{kCounts}}, 0};
     REQUIRE(holder.Tick(7.2) == UsageReporter::Action(write));
 
     SECTION("it is sent once it is stored") {
       CHECK_FALSE(holder.Tick(7.3));
-      holder.reporter.OnFixedWritten(holder.ticket, std::uint64_t{40},
-                                     Holder::Boot(7.3));
-      CHECK(holder.reporter.TakeSettled() ==
-            UsageReporter::Settled{kWindow, true});
+      holder.reporter.OnFinalizedWritten(holder.ticket, std::uint64_t{40},
+                                         Holder::Boot(7.3));
+      CHECK(holder.reporter.TakeFinalizedReport() ==
+            UsageReporter::FinalizedReport{kWindow, true});
       REQUIRE(holder.Tick(7.4) == UsageReporter::Action(Send{kCounts, 7}));
       holder.reporter.OnReported(holder.ticket, ReportOutcome::kDelivered,
                                  Holder::Boot(7.4));
@@ -119,21 +121,22 @@
       CHECK(holder.Tick(12.1) == UsageReporter::Action(ListEntries{}));
     }
     SECTION("a write without a reply is followed by a read before sending") {
-      holder.reporter.OnFixedWritten(holder.ticket, Lost(), Holder::Boot(8));
+      holder.reporter.OnFinalizedWritten(holder.ticket, TimeoutError(),
+                                         Holder::Boot(8));
       CHECK_FALSE(holder.Tick(8.5));
-      REQUIRE(holder.Tick(9.1) == UsageReporter::Action(ReadFixed{}));
-      holder.OnRead(9.1, UsageReporter::FixedView{{{kCounts}}, 40});
+      REQUIRE(holder.Tick(9.1) == UsageReporter::Action(ReadFinalized{}));
+      holder.OnRead(9.1, UsageReporter::FinalizedView{{{kCounts}}, 40});
       CHECK(holder.Tick(9.2) == UsageReporter::Action(Send{kCounts, 7}));
     }
     SECTION("it is not sent after the lease was lost") {
       CHECK_FALSE(holder.reporter.Tick(std::nullopt, Holder::Calendar(7.3),
                                        Holder::Boot(7.3)));
-      holder.reporter.OnFixedWritten(holder.ticket, std::uint64_t{40},
-                                     Holder::Boot(7.4));
+      holder.reporter.OnFinalizedWritten(holder.ticket, std::uint64_t{40},
+                                         Holder::Boot(7.4));
       CHECK_FALSE(holder.reporter.Tick(std::nullopt, Holder::Calendar(7.5),
                                        Holder::Boot(7.5)));
       // Under a new fencing number it reads the stored reports again.
-      CHECK(holder.Tick(7.6, 9) == UsageReporter::Action(ReadFixed{}));
+      CHECK(holder.Tick(7.6, 9) == UsageReporter::Action(ReadFinalized{}));
     }
   }
 }
@@ -144,7 +147,7 @@
 TEST_CASE("A successor sends the finalized report unchanged") {
   Holder holder;
   REQUIRE(holder.Tick(8));
-  holder.OnRead(8, UsageReporter::FixedView{{{kCounts}}, 40});
+  holder.OnRead(8, UsageReporter::FinalizedView{{{kCounts}}, 40});
   REQUIRE(holder.Tick(8.1) == UsageReporter::Action(Send{kCounts, 7}));
 
   SECTION("it is repeated until its outcome is known") {
@@ -162,15 +165,16 @@
     const WindowCounts next{kWindow + 1, {{"owner", 1}}};
     holder.OnListed(12.1,
                     {Entry("front-1", Holder::Calendar(11), {more, next})});
-    CHECK(holder.Tick(12.2) == UsageReporter::Action(WriteFixed{{{next}}, 40}));
-    holder.reporter.OnFixedWritten(holder.ticket, std::uint64_t{41},
-                                   Holder::Boot(12.2));
-    CHECK(holder.reporter.TakeLate() == 1);
+    CHECK(holder.Tick(12.2) ==
+          UsageReporter::Action(WriteFinalized{{{next}}, 40}));
+    holder.reporter.OnFinalizedWritten(holder.ticket, std::uint64_t{41},
+                                       Holder::Boot(12.2));
+    CHECK(holder.reporter.TakeLateRequests() == 1);
   }
   SECTION("a permanently refused report is abandoned") {
     holder.reporter.OnReported(holder.ticket, ReportOutcome::kRefused,
                                Holder::Boot(8.2));
-    CHECK(holder.reporter.TakeGivenUp() == std::vector<UsageWindow>{kWindow});
+    CHECK(holder.reporter.TakeAbandoned() == std::vector<UsageWindow>{kWindow});
     CHECK_FALSE(holder.Tick(8.3));
   }
 }
@@ -194,20 +198,20 @@
     told[1].counted_until = Holder::Calendar(5.2);
     told[1].windows = {{kWindow, {{"salon", 2}}}};
     holder.OnListed(8.3, told);
-    CHECK(holder.Tick(8.4) ==
-          UsageReporter::Action(WriteFixed{{{{kWindow, {{"salon", 5}}}}}, 0}));
+    CHECK(holder.Tick(8.4) == UsageReporter::Action(WriteFinalized{
+                                  {{{kWindow, {{"salon", 5}}}}}, 0}));
   }
   SECTION("it is finalized without the entry in time to be sent") {
     holder.OnListed(8.3, entries);
     REQUIRE_FALSE(holder.Tick(8.4));
     REQUIRE(holder.Tick(12.5) == UsageReporter::Action(ListEntries{}));
     holder.OnListed(12.5, entries);
-    CHECK(holder.Tick(12.6) ==
-          UsageReporter::Action(WriteFixed{{{{kWindow, {{"salon", 4}}}}}, 0}));
-    holder.reporter.OnFixedWritten(holder.ticket, std::uint64_t{40},
-                                   Holder::Boot(12.6));
-    CHECK(holder.reporter.TakeSettled() ==
-          UsageReporter::Settled{kWindow, false});
+    CHECK(holder.Tick(12.6) == UsageReporter::Action(WriteFinalized{
+                                   {{{kWindow, {{"salon", 4}}}}}, 0}));
+    holder.reporter.OnFinalizedWritten(holder.ticket, std::uint64_t{40},
+                                       Holder::Boot(12.6));
+    CHECK(holder.reporter.TakeFinalizedReport() ==
+          UsageReporter::FinalizedReport{kWindow, false});
   }
 }
 
@@ -221,8 +225,9 @@
   const WindowCounts counts{kWindow * 5, {{"salon", 3}}};
   auto step = reporter.Tick(7, Holder::Calendar(4.5), Holder::Boot(4.5));
   REQUIRE(step);
-  reporter.OnFixedRead(step->ticket, std::optional<UsageReporter::FixedView>(),
-                       Holder::Boot(4.5));
+  reporter.OnFinalizedRead(step->ticket,
+                           std::optional<UsageReporter::FinalizedView>(),
+                           Holder::Boot(4.5));
   step = reporter.Tick(7, Holder::Calendar(4.6), Holder::Boot(4.6));
   REQUIRE(step);
   REQUIRE(step->action == UsageReporter::Action(ListEntries{}));
@@ -232,7 +237,7 @@
       Holder::Boot(4.6));
   step = reporter.Tick(7, Holder::Calendar(4.7), Holder::Boot(4.7));
   REQUIRE(step);
-  CHECK(step->action == UsageReporter::Action(WriteFixed{{{counts}}, 0}));
+  CHECK(step->action == UsageReporter::Action(WriteFinalized{{{counts}}, 0}));
 }
 
 /// Simulates entry processes, lease holders, a store and a receiver with random
@@ -247,7 +252,7 @@
  public:
   explicit World(std::uint64_t seed) : random_(MakeSeededRandom(seed)) {
     for (int n = 0; n < 3; ++n) {
-      holders_.push_back(std::make_unique<Side>());
+      holders_.push_back(std::make_unique<LeaseHolder>());
     }
     for (int n = 0; n < 4; ++n) {
       entries_.push_back({"front-" + std::to_string(n), 0, {}, {}, 0});
@@ -256,26 +261,26 @@
 
   void Run(bool kills) {
     for (now_ = 0; now_ < 1200; ++now_) {
-      Trouble();
+      InjectFaults();
       for (std::size_t it = 0; it < entries_.size(); ++it) {
         Count(&entries_[it], kills);
       }
-      Land();
+      ApplyPendingWrites();
       for (auto& it : holders_) {
-        Drive(it.get());
+        StepHolder(it.get());
       }
     }
     // Runs without faults for long enough to catch up.
-    receiver_away_until_ = 0;
-    store_ill_until_ = 0;
+    receiver_down_until_ = 0;
+    store_down_until_ = 0;
     for (; now_ < 1500; ++now_) {
       for (auto& it : entries_) {
         Count(&it, false);
       }
-      Land();
+      ApplyPendingWrites();
       for (auto& it : holders_) {
-        it->asleep_until = 0;
-        Drive(it.get());
+        it->paused_until = 0;
+        StepHolder(it.get());
       }
     }
   }
@@ -288,25 +293,25 @@
       const {
     return truth_;
   }
-  const std::vector<std::string>& broken() const { return broken_; }
-  int steps_landed_late() const { return landed_late_; }
+  const std::vector<std::string>& violations() const { return violations_; }
+  int late_writes() const { return late_writes_; }
 
  private:
-  struct Side {
+  struct LeaseHolder {
     UsageReporter reporter{FiveSeconds()};
-    int asleep_until = 0;
+    int paused_until = 0;
   };
-  struct Counting {
+  struct EntryState {
     std::string name;
     int starts = 0;
     std::map<UsageWindow, std::map<std::string, std::uint64_t>> counted;
     EntryUsage written;
-    int cut_until = 0;  ///< Writes no record until then.
+    int store_cut_until = 0;  ///< Writes no record until then.
   };
   /// A write that is not yet applied.
   struct Pending {
     int at = 0;
-    FixedUsage value;
+    FinalizedUsage value;
     std::uint64_t expected = 0;
   };
 
@@ -319,7 +324,7 @@
     return TimePoint{seconds(1000)} + now_ * milliseconds(100);
   }
 
-  void Trouble() {
+  void InjectFaults() {
     // The lease moves to another holder, possibly after a time without one.
     if (Chance(0.008)) {
       holder_ = Below(3);
@@ -327,17 +332,17 @@
       held_from_ = now_ + Below(60);
     }
     if (Chance(0.01)) {
-      holders_[Below(3)]->asleep_until = now_ + Below(60);
+      holders_[Below(3)]->paused_until = now_ + Below(60);
     }
     if (Chance(0.01)) {
-      store_ill_until_ = now_ + Below(40);
+      store_down_until_ = now_ + Below(40);
     }
     if (Chance(0.01)) {
-      receiver_away_until_ = now_ + Below(40);
+      receiver_down_until_ = now_ + Below(40);
     }
   }
 
-  void Count(Counting* entry, bool kills) {
+  void Count(EntryState* entry, bool kills) {
     const UsageWindow window = WindowAt(Calendar(), seconds(5));
     if (Chance(0.5)) {
       const std::string account = "account-" + std::to_string(Below(6));
@@ -345,10 +350,10 @@
       ++truth_[window][account];
     }
     if (kills && Chance(0.01)) {
-      entry->cut_until = now_ + Below(200);
+      entry->store_cut_until = now_ + Below(200);
     }
     const int phase = now_ % 50;
-    if ((phase == 5 || phase == 30) && now_ >= entry->cut_until) {
+    if ((phase == 5 || phase == 30) && now_ >= entry->store_cut_until) {
       entry->written = {entry->name, Incarnation{{1, 1}}, 0, Calendar(), false,
                         {}};
       for (const auto& [k, requests] : entry->counted) {
@@ -357,7 +362,7 @@
       entry->written.started_at = entry->starts;
     }
     if (kills && Chance(0.004)) {
-      gone_.push_back(entry->written);
+      killed_records_.push_back(entry->written);
       entry->counted.clear();
       entry->written = {entry->name,     Incarnation{{1, 1}},
                         ++entry->starts, Calendar(),
@@ -366,7 +371,7 @@
   }
 
   /// Applies the pending writes that are due.
-  void Land() {
+  void ApplyPendingWrites() {
     for (std::size_t it = 0; it < pending_.size();) {
       if (pending_[it].at > now_) {
         ++it;
@@ -375,121 +380,125 @@
       if (pending_[it].expected == version_) {
         stored_ = pending_[it].value;
         version_ += 1;
-        ++landed_late_;
+        ++late_writes_;
       }
       pending_.erase(pending_.begin() + static_cast<std::ptrdiff_t>(it));
     }
   }
 
-  void Drive(Side* side) {
-    if (now_ < side->asleep_until) {
+  void StepHolder(LeaseHolder* lease_holder) {
+    if (now_ < lease_holder->paused_until) {
       return;
     }
-    const bool holds = holders_[holder_].get() == side && now_ >= held_from_;
+    const bool holds =
+        holders_[holder_].get() == lease_holder && now_ >= held_from_;
     const auto number =
         holds ? std::optional<FencingNumber>(number_) : std::nullopt;
-    const auto step = side->reporter.Tick(number, Calendar(), Boot());
+    const auto step = lease_holder->reporter.Tick(number, Calendar(), Boot());
     if (!step) {
       return;
     }
-    if (std::holds_alternative<ReadFixed>(step->action)) {
-      Read(side, step->ticket);
+    if (std::holds_alternative<ReadFinalized>(step->action)) {
+      Read(lease_holder, step->ticket);
     } else if (std::holds_alternative<ListEntries>(step->action)) {
-      List(side, step->ticket);
-    } else if (const auto* write = std::get_if<WriteFixed>(&step->action)) {
-      Write(side, step->ticket, *write);
+      List(lease_holder, step->ticket);
+    } else if (const auto* write = std::get_if<WriteFinalized>(&step->action)) {
+      Write(lease_holder, step->ticket, *write);
     } else {
-      Receive(side, step->ticket, std::get<Send>(step->action));
+      Receive(lease_holder, step->ticket, std::get<Send>(step->action));
     }
   }
 
-  bool StoreIsIll() { return now_ < store_ill_until_ && Chance(0.8); }
+  bool StoreFails() { return now_ < store_down_until_ && Chance(0.8); }
 
-  void Read(Side* side, std::uint64_t ticket) {
-    Result<std::optional<UsageReporter::FixedView>> answer =
-        std::optional<UsageReporter::FixedView>();
-    if (StoreIsIll()) {
-      answer = Lost();
+  void Read(LeaseHolder* lease_holder, std::uint64_t ticket) {
+    Result<std::optional<UsageReporter::FinalizedView>> answer =
+        std::optional<UsageReporter::FinalizedView>();
+    if (StoreFails()) {
+      answer = TimeoutError();
     } else if (version_ > 0) {
-      answer = std::optional(UsageReporter::FixedView{stored_, version_});
+      answer = std::optional(UsageReporter::FinalizedView{stored_, version_});
     }
-    side->reporter.OnFixedRead(ticket, answer, Boot());
+    lease_holder->reporter.OnFinalizedRead(ticket, answer, Boot());
   }
 
-  void List(Side* side, std::uint64_t ticket) {
-    if (StoreIsIll()) {
-      side->reporter.OnEntriesListed(ticket, Lost(), Boot());
+  void List(LeaseHolder* lease_holder, std::uint64_t ticket) {
+    if (StoreFails()) {
+      lease_holder->reporter.OnEntriesListed(ticket, TimeoutError(), Boot());
       return;
     }
-    std::vector<EntryUsage> entries = gone_;
-    for (const Counting& it : entries_) {
+    std::vector<EntryUsage> entries = killed_records_;
+    for (const EntryState& it : entries_) {
       entries.push_back(it.written);
     }
-    side->reporter.OnEntriesListed(ticket, entries, Boot());
+    lease_holder->reporter.OnEntriesListed(ticket, entries, Boot());
   }
 
-  void Write(Side* side, std::uint64_t ticket, const WriteFixed& write) {
-    if (StoreIsIll()) {
+  void Write(LeaseHolder* lease_holder, std::uint64_t ticket,
+             const WriteFinalized& write) {
+    if (StoreFails()) {
       // Applied without a reply, applied late, or never applied.
-      const int fate = Below(3);
-      if (fate < 2) {
+      const int outcome = Below(3);
+      if (outcome < 2) {
         pending_.push_back(
-            {now_ + fate * (10 + Below(50)), write.value, write.expected});
+            {now_ + outcome * (10 + Below(50)), write.value, write.expected});
       }
-      side->reporter.OnFixedWritten(ticket, Lost(), Boot());
+      lease_holder->reporter.OnFinalizedWritten(ticket, TimeoutError(), Boot());
       return;
     }
     if (write.expected != version_) {
-      side->reporter.OnFixedWritten(
+      lease_holder->reporter.OnFinalizedWritten(
           ticket, Error{ErrorCode::kConflict, "store.put", "store", "0"},
           Boot());
       return;
     }
     stored_ = write.value;
-    side->reporter.OnFixedWritten(ticket, ++version_, Boot());
+    lease_holder->reporter.OnFinalizedWritten(ticket, ++version_, Boot());
   }
 
-  void Receive(Side* side, std::uint64_t ticket, const Send& send) {
-    const bool away = now_ < receiver_away_until_;
+  void Receive(LeaseHolder* lease_holder, std::uint64_t ticket,
+               const Send& send) {
+    const bool away = now_ < receiver_down_until_;
     if (away && Chance(0.5)) {
-      side->reporter.OnReported(ticket, ReportOutcome::kUnknown, Boot());
+      lease_holder->reporter.OnReported(ticket, ReportOutcome::kUnknown,
+                                        Boot());
       return;
     }
     if (send.number < highest_) {
-      broken_.push_back("a fencing number decreased");
+      violations_.push_back("a fencing number decreased");
     }
     highest_ = std::max(highest_, send.number);
     const auto [it, first] =
         reported_.emplace(send.report.window, send.report.requests);
     if (!first && it->second != send.report.requests) {
-      broken_.push_back("two different reports for a window");
+      violations_.push_back("two different reports for a window");
     }
     if (Calendar() < StartOf(send.report.window + 1, seconds(5))) {
-      broken_.push_back("a report before the end of its window");
+      violations_.push_back("a report before the end of its window");
     }
-    side->reporter.OnReported(
+    lease_holder->reporter.OnReported(
         ticket, away ? ReportOutcome::kUnknown : ReportOutcome::kDelivered,
         Boot());
   }
 
   RandomSource random_;
   int now_ = 0;  ///< In tenths of a second.
-  std::vector<std::unique_ptr<Side>> holders_;
-  std::vector<Counting> entries_;
-  std::vector<EntryUsage> gone_;  ///< Records of killed incarnations.
+  std::vector<std::unique_ptr<LeaseHolder>> holders_;
+  std::vector<EntryState> entries_;
+  std::vector<EntryUsage> killed_records_;  ///< Records of killed incarnations.
   std::size_t holder_ = 0;
   FencingNumber number_ = 1;
   int held_from_ = 0;
-  int store_ill_until_ = 0;
-  int receiver_away_until_ = 0;
-  FixedUsage stored_;
+  int store_down_until_ = 0;
+  int receiver_down_until_ = 0;
+  FinalizedUsage stored_;
   std::uint64_t version_ = 0;
   std::vector<Pending> pending_;
-  int landed_late_ = 0;
+  int late_writes_ = 0;
   FencingNumber highest_ = 0;
   std::map<UsageWindow, std::map<std::string, std::uint64_t>> reported_;
   std::map<UsageWindow, std::map<std::string, std::uint64_t>> truth_;
-  std::vector<std::string> broken_;
+  std::vector<std::string> violations_;
 };
 
 std::uint64_t Sum(const std::map<std::string, std::uint64_t>& requests) {
@@ -501,13 +510,13 @@
 }
 
 TEST_CASE("Each window has one report content under random faults") {
-  int landed_late = 0;
+  int total_late_writes = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     INFO("seed " << seed);
     World world(seed);
     world.Run(/*kills=*/true);
-    CHECK(world.broken() == std::vector<std::string>{});
-    landed_late += world.steps_landed_late();
+    CHECK(world.violations() == std::vector<std::string>{});
+    total_late_writes += world.late_writes();
     // All windows except the last ones, which are not over yet.
     REQUIRE(world.reported().size() + 2 >= world.truth().size());
     for (const auto& [window, requests] : world.reported()) {
@@ -517,7 +526,7 @@
       }
     }
   }
-  CHECK(landed_late > 100);
+  CHECK(total_late_writes > 100);
 }
 
 TEST_CASE("Reports are exact if no entry is killed") {
@@ -525,7 +534,7 @@
     INFO("seed " << seed);
     World world(seed);
     world.Run(/*kills=*/false);
-    CHECK(world.broken() == std::vector<std::string>{});
+    CHECK(world.violations() == std::vector<std::string>{});
     for (const auto& [window, requests] : world.reported()) {
       CHECK(Sum(requests) == Sum(world.truth().at(window)));
       CHECK(requests == world.truth().at(window));
--- a/tests/support/claims/claim_world.cc
+++ b/tests/support/claims/claim_world.cc
@@ -42,15 +42,15 @@
 
 Id128 ClaimWorld::NextId() { return {random_(), random_()}; }
 
-Duration ClaimWorld::Delay(int most_ms) {
-  return milliseconds(std::uniform_int_distribution<int>(0, most_ms)(random_));
+Duration ClaimWorld::Delay(int max_ms) {
+  return milliseconds(std::uniform_int_distribution<int>(0, max_ms)(random_));
 }
 
-void ClaimWorld::Later(Duration delay, std::function<void()> run) {
+void ClaimWorld::Schedule(Duration delay, std::function<void()> run) {
   events_.emplace(now_ + delay, std::move(run));
 }
 
-void ClaimWorld::Violate(const std::string& text) {
+void ClaimWorld::RecordViolation(const std::string& text) {
   if (violation_.empty()) {
     violation_ = text;
   }
@@ -129,8 +129,9 @@
   }
   if (now_ < home.paused_until) {
     // A paused process receives queued messages when it resumes.
-    Later(home.paused_until - now_,
-          [this, n, incarnation, deliver] { OnHome(n, incarnation, deliver); });
+    Schedule(home.paused_until - now_, [this, n, incarnation, deliver] {
+      OnHome(n, incarnation, deliver);
+    });
     return;
   }
   deliver(*home.core);
@@ -146,8 +147,9 @@
   }
   const Incarnation incarnation = homes_[n].incarnation;
   for (int it = 0; it < copies; ++it) {
-    Later(Delay(60),
-          [this, n, incarnation, deliver] { OnHome(n, incarnation, deliver); });
+    Schedule(Delay(60), [this, n, incarnation, deliver] {
+      OnHome(n, incarnation, deliver);
+    });
   }
 }
 
@@ -156,7 +158,7 @@
   const int copies =
       Chance(faults_.lose) ? 0 : 1 + static_cast<int>(Chance(faults_.repeat));
   for (int it = 0; it < copies; ++it) {
-    Later(Delay(60), [this, home, entry, deliver] {
+    Schedule(Delay(60), [this, home, entry, deliver] {
       for (std::size_t n = 0; n < kEntries; ++n) {
         if (entries_[n].client && entries_[n].incarnation == entry &&
             links_[home][n]) {
@@ -172,7 +174,7 @@
   const Incarnation incarnation = homes_[n].incarnation;
   const JournalRef ref = write.segment.ref;
   const bool lost = Chance(faults_.lose_answer);
-  Later(Delay(40), [this, n, incarnation, write, ref, lost] {
+  Schedule(Delay(40), [this, n, incarnation, write, ref, lost] {
     Result<std::uint64_t> result =
         Error{ErrorCode::kUnavailable, "put", "", ""};
     // A write in transit takes effect even if its writer has died.
@@ -191,7 +193,7 @@
     if (lost) {
       result = Error{ErrorCode::kTimeout, "put", "", ""};
     }
-    Later(Delay(40), [this, n, incarnation, ref, result] {
+    Schedule(Delay(40), [this, n, incarnation, ref, result] {
       OnHome(n, incarnation, [this, ref, result](ClaimHome& home) {
         home.OnWritten(ref, result, now_);
       });
@@ -201,7 +203,7 @@
 
 void ClaimWorld::StoreRead(std::size_t n, const ReadJournal& read) {
   const Incarnation incarnation = homes_[n].incarnation;
-  Later(Delay(40), [this, n, incarnation, read] {
+  Schedule(Delay(40), [this, n, incarnation, read] {
     Result<std::vector<StoredSegment>> result =
         Error{ErrorCode::kUnavailable, "list", "", ""};
     if (store_up_ && !homes_[n].store_cut) {
@@ -213,7 +215,7 @@
       }
       result = found;
     }
-    Later(Delay(40), [this, n, incarnation, read, result] {
+    Schedule(Delay(40), [this, n, incarnation, read, result] {
       OnHome(n, incarnation, [this, read, result](ClaimHome& home) {
         home.OnRead(read.ref, result, now_);
       });
@@ -228,13 +230,13 @@
       StoreWrite(n, *write);
     } else if (const auto* read = std::get_if<ReadJournal>(&action)) {
       StoreRead(n, *read);
-    } else if (const auto* ask = std::get_if<AskWitnesses>(&action)) {
+    } else if (const auto* query = std::get_if<AskWitnesses>(&action)) {
       const Incarnation incarnation = homes_[n].incarnation;
-      for (const Incarnation& it : ask->witnesses) {
-        ToEntry(n, it, [this, n, incarnation, question = *ask](Entry& entry) {
+      for (const Incarnation& it : query->witnesses) {
+        ToEntry(n, it, [this, n, incarnation, question = *query](Entry& entry) {
           const WitnessReply reply = entry.witness->Mark(
               question.ref, question.generation, question.mark);
-          Later(Delay(60), [this, n, incarnation, reply] {
+          Schedule(Delay(60), [this, n, incarnation, reply] {
             OnHome(n, incarnation, [this, reply](ClaimHome& home) {
               home.OnWitness(reply, now_);
             });
@@ -258,10 +260,11 @@
 
 void ClaimWorld::EntryActions(std::size_t n) {
   for (ClientAction& action : entries_[n].client->TakeActions()) {
-    if (const auto* ask = std::get_if<SendAsk>(&action)) {
-      ToHome(n, IndexOf(ask->home), [this, sent = ask->ask](ClaimHome& home) {
-        home.OnAsk(sent, now_);
-      });
+    if (const auto* query = std::get_if<SendClaimQuery>(&action)) {
+      ToHome(n, IndexOf(query->home),
+             [this, sent = query->query](ClaimHome& home) {
+               home.OnClaimQuery(sent, now_);
+             });
     } else if (const auto* end = std::get_if<SendEndReport>(&action)) {
       ToHome(n, IndexOf(end->home),
              [this, sent = end->report](ClaimHome& home) {
--- a/tests/support/claims/claim_world.h
+++ b/tests/support/claims/claim_world.h
@@ -30,7 +30,7 @@
     double cut_link = 0;
     double cut_store = 0;  ///< Cuts one home off from the store.
     double store_down = 0;
-    double mend = 0.03;  ///< Chance that a cut or an outage ends.
+    double recover = 0.03;  ///< Chance that a cut or an outage ends.
   };
 
   ClaimWorld(std::uint64_t seed, Faults faults);
@@ -40,7 +40,7 @@
   void Run(int steps, std::size_t key_count, double load);
 
   /// Ends all faults and runs `steps` steps without new requests.
-  void Heal(int steps);
+  void EndFaults(int steps);
 
   struct Counts {
     int runs = 0;
@@ -101,12 +101,12 @@
 
   bool Chance(double p);
   Id128 NextId();
-  void Later(Duration delay, std::function<void()> run);
-  Duration Delay(int most_ms);
+  void Schedule(Duration delay, std::function<void()> run);
+  Duration Delay(int max_ms);
   void Step();
-  void MakeFaults();
-  void Control();
-  void SpreadMap();
+  void InjectFaults();
+  void PlanSlots();
+  void DistributeSlotMap();
   void StartRequest(std::size_t entry, int key);
   void HomeActions(std::size_t n);
   void EntryActions(std::size_t n);
@@ -121,7 +121,7 @@
   void Decided(std::size_t entry, const ClaimDecided& decided);
   void RunRequest(std::size_t entry, const RequestId& request, int key);
   std::size_t IndexOf(const std::string& home) const;
-  void Violate(const std::string& text);
+  void RecordViolation(const std::string& text);
 
   std::mt19937_64 random_;
   Faults faults_;
@@ -140,7 +140,7 @@
   std::map<int, std::string> answers_;
   Counts counts_;
   std::string violation_;
-  bool healing_ = false;
+  bool faults_ended_ = false;
 };
 
 }  // namespace indigolead
--- a/tests/support/claims/claim_world_run.cc
+++ b/tests/support/claims/claim_world_run.cc
@@ -35,24 +35,25 @@
     case ClaimVerdict::kFinished:
       ++counts_.replayed;
       if (decided.decision.answer->body != answers_[key]) {
-        Violate("a retry got the response " + decided.decision.answer->body +
-                ", expected " + answers_[key]);
+        RecordViolation("a retry got the response " +
+                        decided.decision.answer->body + ", expected " +
+                        answers_[key]);
       }
       break;
     case ClaimVerdict::kAlreadyRun:
       ++counts_.already_run;
       if (runs_[key] != 1) {
-        Violate("already-run reported for a key that did not run once");
+        RecordViolation("already-run reported for a key that did not run once");
       }
       break;
     case ClaimVerdict::kOverloaded:
       ++counts_.free;
       if (runs_[key] != 0) {
-        Violate("not-run reported for a key that ran");
+        RecordViolation("not-run reported for a key that ran");
       }
       break;
     case ClaimVerdict::kBodyDiffers:
-      Violate("body-differs reported for equal bodies");
+      RecordViolation("body-differs reported for equal bodies");
       break;
     default:
       ++counts_.unknown;
@@ -62,9 +63,9 @@
 
 void ClaimWorld::RunRequest(std::size_t n, const RequestId& request, int key) {
   const Incarnation incarnation = entries_[n].incarnation;
-  const bool refused = !healing_ && Chance(0.1);
-  const bool whole = healing_ || Chance(0.9);
-  Later(Delay(200), [this, n, incarnation, request, key, refused, whole] {
+  const bool refused = !faults_ended_ && Chance(0.1);
+  const bool complete = faults_ended_ || Chance(0.9);
+  Schedule(Delay(200), [this, n, incarnation, request, key, refused, complete] {
     Entry& entry = entries_[n];
     if (!entry.client || entry.incarnation != incarnation) {
       return;
@@ -76,19 +77,19 @@
     }
     ++counts_.runs;
     if (++runs_[key] > 1) {
-      Violate("key " + std::to_string(key) + " ran twice");
+      RecordViolation("key " + std::to_string(key) + " ran twice");
     }
     answers_[key] = "answer of " + ToHex(request.value);
-    Later(Delay(1500), [this, n, incarnation, request, key, whole] {
+    Schedule(Delay(1500), [this, n, incarnation, request, key, complete] {
       Entry& held = entries_[n];
       if (!held.client || held.incarnation != incarnation) {
         return;
       }
-      counts_.answered += whole ? 1 : 0;
+      counts_.answered += complete ? 1 : 0;
       held.client->Finish(
-          request, whole ? ClaimState::kFinished : ClaimState::kUnknown,
-          whole ? std::optional(ClaimAnswer{200, {}, answers_[key]})
-                : std::nullopt,
+          request, complete ? ClaimState::kFinished : ClaimState::kUnknown,
+          complete ? std::optional(ClaimAnswer{200, {}, answers_[key]})
+                   : std::nullopt,
           now_);
       EntryActions(n);
     });
@@ -122,7 +123,7 @@
   return found == verdicts_.end() ? std::nullopt : std::optional(found->second);
 }
 
-void ClaimWorld::Control() {
+void ClaimWorld::PlanSlots() {
   if (!store_up_ || !Chance(0.1)) {
     return;
   }
@@ -145,7 +146,7 @@
   }
 }
 
-void ClaimWorld::SpreadMap() {
+void ClaimWorld::DistributeSlotMap() {
   if (!map_) {
     return;
   }
@@ -162,10 +163,10 @@
   }
 }
 
-void ClaimWorld::MakeFaults() {
+void ClaimWorld::InjectFaults() {
   if (Chance(faults_.store_down)) {
     store_up_ = false;
-  } else if (Chance(faults_.mend)) {
+  } else if (Chance(faults_.recover)) {
     store_up_ = true;
   }
   for (std::size_t it = 0; it < kHomes; ++it) {
@@ -179,11 +180,11 @@
     }
     home.leaving = home.leaving || Chance(faults_.kill);
     home.store_cut =
-        home.store_cut ? !Chance(faults_.mend) : Chance(faults_.cut_store);
+        home.store_cut ? !Chance(faults_.recover) : Chance(faults_.cut_store);
     for (std::size_t entry = 0; entry < kEntries; ++entry) {
-      SetLink(
-          it, entry,
-          links_[it][entry] ? !Chance(faults_.cut_link) : Chance(faults_.mend));
+      SetLink(it, entry,
+              links_[it][entry] ? !Chance(faults_.cut_link)
+                                : Chance(faults_.recover));
     }
   }
   for (std::size_t it = 0; it < kEntries; ++it) {
@@ -197,9 +198,9 @@
 
 void ClaimWorld::Step() {
   now_ += kStep;
-  MakeFaults();
-  Control();
-  SpreadMap();
+  InjectFaults();
+  PlanSlots();
+  DistributeSlotMap();
   while (!events_.empty() && events_.begin()->first <= now_) {
     const auto run = std::move(events_.begin()->second);
     events_.erase(events_.begin());
@@ -229,11 +230,11 @@
   }
 }
 
-void ClaimWorld::Heal(int steps) {
+void ClaimWorld::EndFaults(int steps) {
   faults_ = Faults{};
   faults_.restart = 1;
-  faults_.mend = 1;
-  healing_ = true;
+  faults_.recover = 1;
+  faults_ended_ = true;
   for (Home& it : homes_) {
     it.leaving = false;
   }
