--- a/src/core/request/request_types.h
+++ b/src/core/request/request_types.h
@@ -238,7 +238,7 @@
   kNothing,        ///< Nothing was written to any target.
   kPrefillEngine,  ///< Only a prefill engine was called. One such call is part
                    ///< of a first attempt.
-  kTarget,  ///< The answering target was reached, or may have been.
+  kTarget,         ///< The answering target was reached, or may have been.
 };
 
 /// Why an attempt ended without a complete answer, such as a refusal by its
