--- a/src/entry/control_duty.cc
+++ b/src/entry/control_duty.cc
@@ -126,7 +126,8 @@
 }
 
 bool ControlDuty::OnMessage(LinkId link, const wire::Envelope& message) {
-  // A heartbeat that finds no room is dropped: the next one says the same.
+  // A heartbeat is dropped while earlier messages wait for room in the ring;
+  // the next one carries the same data.
   const bool room = platform_outbox_.waiting() == 0;
   if (message.has_order_status() || (message.has_heartbeat() && room)) {
     platform_outbox_.Push(Received{link, message});
--- a/src/entry/control_duty.h
+++ b/src/entry/control_duty.h
@@ -22,15 +22,15 @@
 
 namespace indigolead {
 
-/// Joins control to an entry's threads: links and revisions live on the
-/// dispatch thread, everything that waits for the store runs on the platform
-/// thread, and bounded rings join the two.
+/// Runs a `ControlService` across an entry's threads: links and revisions
+/// belong to the dispatch thread, everything that waits for the store runs on
+/// the platform thread, and bounded rings pass messages between the two.
 class ControlDuty {
  public:
   struct Hooks {
     /// Sends on a link. Called on the dispatch thread.
     std::function<bool(LinkId, const wire::Envelope&)> send;
-    RolePlan role_plan;  ///< Unset: the roles that the declaration fixes.
+    RolePlan role_plan;  ///< If unset, the declaration fixes the roles.
   };
 
   /// The io_contexts, `store` and `book` must outlive this object; `book` is
@@ -45,28 +45,29 @@
   /// Returns the part that runs on the dispatch thread.
   EntryService Service();
 
-  /// A revision is in force here. Called on the dispatch thread.
+  /// Takes a revision that is now in force on this entry. Called on the
+  /// dispatch thread.
   void OnRevision(const Revision& revision);
 
-  /// Starts and stops the part on the platform thread; call there. Stopping
-  /// gives the lease up, if it is held here.
+  /// Starts and stops the part on the platform thread; must be called there.
+  /// `Stop` releases the lease if this entry holds it.
   void Start();
   void Stop();
-  /// Returns true once the store no longer names this entry as the holder;
-  /// call on the platform thread, again and again after `Stop`.
+  /// Returns true once the store no longer names this entry as the holder. Must
+  /// be called on the platform thread, repeatedly after `Stop`.
   bool Stopped();
 
-  /// Returns the fencing number while the control lease is held here; call on
-  /// the platform thread.
+  /// Returns the fencing number while this entry holds the control lease. Must
+  /// be called on the platform thread.
   std::optional<FencingNumber> HeldNumber() const {
     return service_.HeldNumber();
   }
 
-  /// Sees what the platform said. Called on the platform thread.
+  /// Handles an event of the platform. Called on the platform thread.
   void OnPlatformEvent(const PlatformEvent& event);
 
-  /// Returns the status as JSON, at most `kStatusInterval` old; empty before
-  /// the first one. Safe from any thread: it never waits for the platform
+  /// Returns the status as JSON, at most `kStatusInterval` old, or an empty
+  /// string before the first one. Thread-safe; never waits for the platform
   /// thread.
   std::string StatusJson() const;
   static constexpr std::chrono::milliseconds kStatusInterval{500};
--- a/src/entry/control_events.h
+++ b/src/entry/control_events.h
@@ -10,34 +10,36 @@
     "This entry holds the control lease and acts as the controller."};
 inline constexpr EventInfo kLeaseLost{
     4102, "lease-lost", EventSeverity::kWarning,
-    "This entry no longer holds the control lease; it gives no orders."};
+    "This entry no longer holds the control lease; it writes no orders."};
 inline constexpr EventInfo kOrderForwarded{
     4103, "order-forwarded", EventSeverity::kInfo,
-    "An order was sent on to the side of its target."};
+    "An order was forwarded to the side of its target."};
 inline constexpr EventInfo kOrderWithheld{
     4104, "order-withheld", EventSeverity::kWarning,
-    "An order was decided but not written: the authority had ended by then."};
+    "An order was decided but not written, because the authority had ended."};
 inline constexpr EventInfo kControlObjectUnreadable{
     4105, "control-object-unreadable", EventSeverity::kError,
     "The lease or an order in the store could not be read."};
 inline constexpr EventInfo kChangeRecorded{
     4106, "change-recorded", EventSeverity::kInfo,
-    "A change was made; the same record goes to the audit trail."};
+    "A change was made; the same record is written to the audit trail."};
 inline constexpr EventInfo kAuditDropped{
     4107, "audit-dropped", EventSeverity::kWarning,
-    "Too many audit records wait for the store; one is in the log only."};
+    "Too many audit records wait for the store; one was only logged."};
 
 inline constexpr EventInfo kStageOrdered{
     4110, "stage-ordered", EventSeverity::kInfo,
-    "An engine was told to take a role: what became of the order."};
+    "An engine was ordered to take a role; the event gives the outcome."};
 inline constexpr EventInfo kRolesPlanned{
     4111, "roles-planned", EventSeverity::kInfo,
-    "Another share of a service's engines should make answers than before; the "
-    "loads are in engines kept busy, as this entry sees them."};
+    "The share of a service's engines that should decode has changed; the "
+    "loads "
+    "are in engines kept busy, as this entry sees them."};
 inline constexpr EventInfo kLeaseStandby{
     4112, "lease-standby", EventSeverity::kInfo,
-    "This entry watches the control lease closely, to replace a lost holder "
-    "within seconds, or seldom, as a reserve."};
+    "This entry became a standby, which watches the control lease closely to "
+    "replace a lost holder within seconds, or a reserve, which checks it "
+    "rarely."};
 
 }  // namespace indigolead
 
--- a/src/entry/control_records.cc
+++ b/src/entry/control_records.cc
@@ -1,5 +1,5 @@
-// What the control service writes and shows: the audit trail, `applied/ENTRY`
-// and the status.
+// Implements what the control service writes to the store and reports: the
+// audit trail, `applied/ENTRY` and the status.
 
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -179,7 +179,8 @@
 }
 
 std::string ControlService::StatusJson() const {
-  const SystemStatus status = Status();  // Before the clock: no age below 0.
+  // Reads the status before the clock, so that no age is below 0.
+  const SystemStatus status = Status();
   return EncodeStatus(status, clock_(), wall_clock_());
 }
 
--- a/src/entry/control_service.cc
+++ b/src/entry/control_service.cc
@@ -280,8 +280,8 @@
 }
 
 void ControlService::OnInstances(const InstanceList& list) {
-  // Only a target that the platform no longer lists and whose link is down is
-  // gone; either sign alone may be lag.
+  // A target is gone only if the platform no longer lists it and its link is
+  // down; either sign alone may be lag.
   std::map<std::string, bool> listed;
   for (const InstanceRecord& record : list.instances) {
     listed[record.name] = true;
--- a/src/entry/control_service.h
+++ b/src/entry/control_service.h
@@ -21,7 +21,8 @@
 
 namespace indigolead {
 
-/// What the dispatch thread knows of revisions in force, copied for others.
+/// A copy, for other threads, of the revisions in force that the dispatch
+/// thread knows.
 struct ConfigSnapshot {
   std::map<std::string, RevisionRollout> in_force;  ///< By deployment.
   std::map<std::string, KnownRevisions> by_peer;    ///< By instance.
@@ -30,12 +31,13 @@
                          const ConfigSnapshot&) = default;
 };
 
-/// An entry's part in control: follows lease and orders, passes orders on to
-/// the sides, competes for the lease and acts as the controller while it holds
-/// it, keeps the audit trail, and knows the state of the system.
+/// Runs the control plane of one entry: follows the lease and the orders,
+/// forwards orders to the sides, competes for the lease, acts as the controller
+/// while it holds the lease, keeps the audit trail, and reports the state of
+/// the system.
 ///
-/// Lives on the platform thread, so that a slow store delays no request. What
-/// comes from links is handed over from the dispatch thread in order.
+/// Runs on the platform thread, so that a slow store delays no request. The
+/// dispatch thread hands over link messages in order.
 class ControlService {
  public:
   struct Options {
@@ -46,17 +48,17 @@
     OrderForwarder::Options forwarder;
     AuditTrail::Options audit;
     Duration call_deadline = std::chrono::seconds(2);
-    /// Least time between two writes of `applied/ENTRY`.
+    /// Minimum time between two writes of `applied/ENTRY`.
     Duration applied_interval = std::chrono::seconds(2);
-    /// A side's figure is unknown once its link was down; a peer that was down
-    /// for longer is forgotten.
+    /// What a side reported counts as unknown while its link is down. A peer
+    /// whose link has been down for longer than this is forgotten.
     Duration forget_peer_after = std::chrono::minutes(10);
     std::size_t max_peers = 8192;
   };
 
   struct Hooks {
     std::function<bool(LinkId, const wire::Envelope&)> send;
-    RolePlan role_plan;  ///< Unset: the roles that the declaration fixes.
+    RolePlan role_plan;  ///< If unset, the declaration fixes the roles.
     std::function<double()> jitter;
   };
 
@@ -69,35 +71,38 @@
   ControlService& operator=(const ControlService&) = delete;
 
   void Start();
-  /// Gives the lease up, so that another entry need not wait for its end.
+  /// Releases the lease, so that another entry need not wait until it expires.
   void Stop();
 
   /// Returns true if no other service needs the message.
   bool HandleMessage(LinkId link, const wire::Envelope& message);
   void OnLinkUp(LinkId link, const wire::Hello& hello);
   void OnLinkDown(LinkId link);
-  /// Call several times a second.
+  /// Drives the timers; must be called several times a second.
   void Tick(TimePoint now);
 
   void OnRevision(const Revision& revision);
   void OnConfig(ConfigSnapshot snapshot);
-  /// Drained instances and the cause of each, all of them.
+  /// Replaces the set of drained instances, with the cause of each.
   void OnDrains(const std::map<std::string, std::string>& drains);
   void OnInstances(const InstanceList& list);
   void OnQuarantines(std::vector<QuarantineStatus> quarantines);
 
-  /// Appends a change made elsewhere in this entry to the trail and the log.
+  /// Appends a change made elsewhere in this entry to the audit trail and the
+  /// log.
   void Record(AuditRecord record);
 
   SystemStatus Status() const;
   /// Returns `Status()` as JSON.
   std::string StatusJson() const;
 
-  /// Returns the number under which this entry acts, or nothing.
+  /// Returns the fencing number under which this entry acts, if it has
+  /// authority.
   std::optional<FencingNumber> HeldNumber() const;
-  /// True while this entry acts as the controller.
+  /// Returns true while this entry acts as the controller.
   bool holds_lease() const;
-  /// True while the newest lease seen names this entry, in force or not.
+  /// Returns true while the newest lease seen names this entry, whether or not
+  /// it is in force.
   bool named_in_lease() const;
 
  private:
--- a/src/entry/control_state.h
+++ b/src/entry/control_state.h
@@ -12,9 +12,9 @@
 
 namespace indigolead {
 
-/// Prefix of the lease and the orders. They share one so that one watch shows
-/// both in the order of the store's versions: whoever has seen an order has
-/// also seen every lease before it.
+/// Prefix of the lease and the orders. They share a prefix so that one watch
+/// delivers both in the order of the store's versions: a reader that has seen
+/// an order has also seen every lease written before it.
 inline constexpr char kControlPrefix[] = "control/";
 inline constexpr char kLeaseKey[] = "control/lease";
 inline constexpr char kOrderPrefix[] = "control/orders/";
@@ -34,10 +34,12 @@
 /// Decodes one object into `state`. Objects of other keys are ignored.
 void AddControlObject(const StoredObject& object, ControlState* state);
 
-/// Returns the lease in `object`; no record if it is absent or unreadable.
+/// Returns the lease in `object`, without a record if it is absent or
+/// unreadable.
 LeaseView LeaseFrom(const std::optional<StoredObject>& object);
 
-/// Returns the order in `object`; none if it is absent or unreadable.
+/// Returns the order in `object`, or an empty one if it is absent or
+/// unreadable.
 StoredOrder OrderFrom(const std::optional<StoredObject>& object);
 
 }  // namespace indigolead
--- a/src/entry/controller.cc
+++ b/src/entry/controller.cc
@@ -103,7 +103,8 @@
         for (auto& [target, stored] : state.orders) {
           orders.push_back(std::move(stored));
         }
-        // The lease of the same listing, so that a stale one is recognised.
+        // Uses the lease of the same listing, so that a stale listing is
+        // recognised.
         reconciler_.OnOrders(std::move(orders),
                              state.lease.record.value_or(LeaseRecord{}),
                              clock_());
--- a/src/entry/controller.h
+++ b/src/entry/controller.h
@@ -15,21 +15,23 @@
 
 namespace indigolead {
 
-/// Carries out what lease and reconciler decide, with calls of the store.
+/// Executes the decisions of the lease and the reconciler as store calls.
 ///
-/// Every entry has one; only the holder of the lease writes orders. The
-/// authority is asked for again with a fresh clock reading immediately before
-/// each order is handed to the store, because a process may sleep between the
-/// decision and the send. What slips through even so carries an old number,
-/// lands after the new lease, and is passed on to no side.
+/// Every entry has a controller, but only the lease holder writes orders. The
+/// authority is checked again with a fresh clock reading immediately before
+/// each order is handed to the store, because a process may be suspended
+/// between the decision and the send. An order that is written late
+/// nevertheless carries an old fencing number and a store version after the new
+/// lease, so it is forwarded to no side.
 ///
-/// Lives on the thread of its store.
+/// Runs on the thread of its store.
 class Controller {
  public:
   struct Options {
     Lease::Options lease;
     Reconciler::Options reconciler;
-    /// Takes part in the lease. Entries that do not still follow the orders.
+    /// Whether this entry competes for the lease. An entry that does not still
+    /// follows the orders.
     bool enabled = true;
     Duration call_deadline = std::chrono::seconds(2);
   };
@@ -46,11 +48,12 @@
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
-  /// The watch showed lease and orders.
+  /// Takes the lease and orders delivered by the watch.
   void OnState(const ControlState& state);
-  /// Drives both cores; call several times a second.
+  /// Drives the lease and the reconciler; must be called several times a
+  /// second.
   void Tick();
-  /// Gives the lease up, if it is held here.
+  /// Releases the lease if this entry holds it.
   void Resign();
 
   Reconciler& reconciler() { return reconciler_; }
@@ -75,7 +78,7 @@
   EventLog log_;
   LeaseKeeper lease_;
   Reconciler reconciler_;
-  /// Callbacks of the store may come after this object is gone.
+  /// False once this object is destroyed; store callbacks may run after that.
   std::shared_ptr<bool> alive_;
 };
 
--- a/src/entry/entry_process.cc
+++ b/src/entry/entry_process.cc
@@ -30,10 +30,10 @@
 constexpr std::chrono::milliseconds kDrainPoll{20};
 constexpr std::chrono::milliseconds kResignWait{500};
 
-/// One duty's thread and the io_context that it runs.
+/// A named thread and the io_context that it runs.
 class DutyThread {
  public:
-  /// `name` is what the system's tools show, 15 characters at most.
+  /// `name` is shown by system tools; at most 15 characters.
   explicit DutyThread(const char* name)
       : name_(name), work_(boost::asio::make_work_guard(io_)) {}
   ~DutyThread() { Join(); }
@@ -171,14 +171,14 @@
     }
     const EntrySettings& entry = settings_.entry;
     if (!entry.tls_certificate_file.empty() || !entry.tls_key_file.empty()) {
-      // Serving in the clear what was meant to be encrypted would show callers'
-      // keys to whoever listens.
+      // Serving plaintext where TLS was requested would expose callers' keys on
+      // the network.
       return Error{ErrorCode::kInvalidInput, "entry.start", "",
                    "this build serves callers without TLS; remove "
-                   "tls_certificate_file and tls_key_file and let the balancer "
-                   "end TLS"};
+                   "tls_certificate_file and tls_key_file and terminate TLS at "
+                   "the load balancer"};
     }
-    // Nothing else runs yet, so the duties may be set up on this thread.
+    // No other thread runs yet, so all components may be set up on this one.
     dispatcher_.AddService(load_control_.Service(BootTimeNow));
     dispatcher_.AddService(control_.Service());
     dispatcher_.AddService(guards_.Service());
@@ -195,7 +195,7 @@
     dispatch_thread_.Start();
     callers_thread_.Start();
     platform_thread_.Start();
-    // Without a store there is nothing to hold a lease in.
+    // The lease is kept in the store, so without a store there is none.
     if (!settings_.store.address.empty()) {
       platform_thread_.Call([this] {
         control_.Start();
@@ -286,7 +286,7 @@
     return hooks;
   }
 
-  /// Answers the paths that are the entry's own, on the callers' thread.
+  /// Answers the entry's own paths. Runs on the callers' thread.
   std::optional<WholeAnswer> LocalAnswer(std::string_view path) const {
     if (path != "/admin/status") {
       return std::nullopt;
@@ -321,7 +321,7 @@
     return hooks;
   }
 
-  /// Lets open requests and streams end, within `drain_timeout`.
+  /// Waits up to `drain_timeout` for open requests and streams to end.
   void DrainCallers() {
     log_(kEntryStopping, {});
     callers_thread_.Call([this] { callers_.StartDrain(); });
@@ -339,8 +339,8 @@
          {{"open_requests", std::to_string(open_requests_.load())}});
   }
 
-  /// Gives the control lease up. Waits for the store only briefly: a lease
-  /// that was not given up lapses by itself.
+  /// Releases the control lease. Waits for the store only briefly, because a
+  /// lease that is not released expires by itself.
   void StopControl() {
     platform_thread_.Call([this] {
       control_.Stop();
--- a/src/entry/entry_process.h
+++ b/src/entry/entry_process.h
@@ -12,11 +12,12 @@
 
 namespace indigolead {
 
-/// One run of `indigolead entry`: callers' HTTP on one side, links to the sides
-/// of targets on the other.
+/// Runs `indigolead entry`: serves HTTP to callers and holds links to the sides
+/// of targets.
 ///
-/// Three threads, joined by bounded rings: callers, dispatch and platform. The
-/// platform thread alone waits for the store, so that a request never does.
+/// Uses three threads, connected by bounded rings: callers, dispatch and
+/// platform. Only the platform thread waits for the store, so a request never
+/// does.
 class EntryProcess {
  public:
   EntryProcess(Settings settings, EventLog log);
@@ -27,18 +28,18 @@
   /// Binds the addresses and starts the threads.
   Status Start();
 
-  /// Starts, unless that was done, and returns once a requested stop is
-  /// complete: open requests answered, or `drain_timeout` over.
+  /// Calls `Start` if needed, and returns once a requested stop is complete:
+  /// open requests are answered, or `drain_timeout` has passed.
   Status Run();
 
-  /// Begins the planned stop. Safe from any thread and in a signal handler.
+  /// Begins a planned stop. Thread-safe and async-signal-safe.
   void RequestStop();
 
-  /// Addresses bound, "IP:port", once started.
+  /// Return the bound addresses as "IP:port", once started.
   std::string http_address() const;
   std::string link_address() const;
 
-  /// Takes a revision in, as if it had been read from the store.
+  /// Applies a revision as if it had been read from the store.
   void OfferRevision(const std::string& json);
 
  private:
--- a/src/entry/lease_keeper.h
+++ b/src/entry/lease_keeper.h
@@ -11,9 +11,9 @@
 
 namespace indigolead {
 
-/// Carries out what the control lease decides, with calls of the store.
+/// Executes the decisions of the control lease as store calls.
 ///
-/// Lives on the thread of its store.
+/// Runs on the thread of its store.
 class LeaseKeeper {
  public:
   struct Options {
@@ -21,9 +21,9 @@
     Duration call_deadline = std::chrono::seconds(2);
   };
   struct Hooks {
-    /// Authority under the number began.
+    /// Called when authority under the fencing number begins.
     std::function<void(FencingNumber)> on_gained;
-    /// Authority under the number ended.
+    /// Called when authority under the fencing number ends.
     std::function<void(FencingNumber, LeaseLoss)> on_lost;
     Lease::Jitter jitter;
   };
@@ -35,16 +35,17 @@
   LeaseKeeper(const LeaseKeeper&) = delete;
   LeaseKeeper& operator=(const LeaseKeeper&) = delete;
 
-  /// A watch showed the lease.
+  /// Takes the lease as delivered by a watch.
   void OnWatched(const LeaseView& view);
   /// See `Lease::SetReserve`.
   void SetReserve(bool reserve) { lease_.SetReserve(reserve); }
-  /// Drives the timers; call several times a second.
+  /// Drives the timers; must be called several times a second.
   void Tick();
-  /// Gives the lease up, if it is held here.
+  /// Releases the lease if this entry holds it.
   void Resign();
 
-  /// Returns the number to act under, as of a fresh reading of the clock.
+  /// Returns the fencing number to act under as of a fresh clock reading, if
+  /// there is authority.
   std::optional<FencingNumber> Authority() const;
   const Lease& lease() const { return lease_; }
 
@@ -59,7 +60,7 @@
   Clock clock_;
   EventLog log_;
   Lease lease_;
-  /// Callbacks of the store may come after this object is gone.
+  /// False once this object is destroyed; store callbacks may run after that.
   std::shared_ptr<bool> alive_;
 };
 
--- a/src/entry/order_forwarder.cc
+++ b/src/entry/order_forwarder.cc
@@ -31,7 +31,8 @@
 void OrderForwarder::OnStateRead(const Result<ControlState>& answer,
                                  TimePoint now) {
   const auto sent_at = std::exchange(read_sent_at_, std::nullopt);
-  // A stale read is older than what the watch has shown: it proves nothing.
+  // A stale read is older than the state that the watch has delivered, so it
+  // does not show that this state is current.
   if (!sent_at || !IsOk(answer) ||
       ValueOf(answer).lease.version < state_.lease.version) {
     return;
@@ -43,7 +44,8 @@
   }
 }
 
-// Reads and the watch may cross, so each object keeps its newest version.
+// Results of reads and of the watch may arrive out of order, so each object
+// keeps its newest version.
 void OrderForwarder::Merge(const ControlState& state) {
   if (state.lease.version > state_.lease.version) {
     state_.lease = state.lease;
@@ -68,8 +70,8 @@
       std::any_of(sides_.begin(), sides_.end(),
                   [](const auto& entry) { return !entry.second.trusted; });
   const bool due = !last_read_ || now - *last_read_ >= options_.read_interval;
-  // One read serves every side that connected before it. An unanswered one is
-  // replaced, so that a lost answer does not leave a side waiting.
+  // One read serves every side that connected before it. An unanswered read is
+  // repeated, so that a lost answer does not leave a side waiting.
   if (waiting && due) {
     last_read_ = now;
     read_sent_at_ = now;
--- a/src/entry/order_forwarder.h
+++ b/src/entry/order_forwarder.h
@@ -15,17 +15,17 @@
 
 namespace indigolead {
 
-/// Passes orders and fencing numbers from the store on to the sides that this
+/// Forwards orders and fencing numbers from the store to the sides that this
 /// entry has links to.
 ///
-/// Orders reach sides only this way, whoever holds the lease. Two things keep
-/// an old order from a side:
-/// - an order is passed on only if it was written while its number was in
-///   force, which the lease seen in the same watch tells;
-/// - a side that has just connected may know nothing, so it is told a number
-///   and an order only after the store was read *after* it connected. An entry
-///   that is cut off from the store, or whose watch is silent, tells it
-///   nothing, and the side takes no orders.
+/// Orders reach sides only this way, whichever entry holds the lease. Two rules
+/// keep outdated orders from a side:
+/// - an order is forwarded only if it was written while its fencing number was
+///   in force, according to the lease seen in the same watch;
+/// - a side that has just connected may know no fencing number yet, so it is
+///   sent a number and an order only after a read of the store that began
+///   *after* it connected. An entry that is cut off from the store, or whose
+///   watch is silent, sends it nothing, and the side takes no orders.
 ///
 /// Messages may be lost, so an order is repeated until the side answers it.
 class OrderForwarder {
@@ -36,33 +36,36 @@
   };
   struct Hooks {
     std::function<bool(LinkId, const wire::Envelope&)> send;
-    /// Lists lease and orders in the store; answered with `OnStateRead`.
+    /// Lists the lease and the orders in the store; the result is passed to
+    /// `OnStateRead`.
     std::function<void()> read_state;
   };
 
   OrderForwarder(Options options, Hooks hooks, EventLog log);
 
-  /// A side connected.
+  /// Registers a side that has connected.
   void OnSideUp(LinkId link, const std::string& instance, TimePoint now);
   void OnLinkDown(LinkId link);
 
-  /// The watch showed the lease and orders as of a newer version.
+  /// Takes the lease and orders that the watch delivered for a newer version.
   void OnState(const ControlState& state, TimePoint now);
 
-  /// The listing asked for by `read_state` was answered.
+  /// Takes the result of a listing requested through `read_state`.
   void OnStateRead(const Result<ControlState>& answer, TimePoint now);
 
-  /// A side reported on an order.
+  /// Takes a side's report on an order.
   void OnReport(LinkId link, const OrderReport& report);
 
-  /// Repeats what was not answered.
+  /// Repeats unanswered orders and reads.
   void Tick(TimePoint now);
 
  private:
   struct Side {
     std::string instance;
     TimePoint up_at;
-    bool trusted = false;  ///< The store was read after the side connected.
+    /// Whether a read of the store that began after the side connected has
+    /// returned.
+    bool trusted = false;
     std::optional<OrderReport> report;
     TimePoint sent_at;
     FencingNumber sent_number = 0;
--- a/src/entry/own_object.cc
+++ b/src/entry/own_object.cc
@@ -4,7 +4,7 @@
 
 namespace indigolead {
 
-// Shared with the callbacks, which may come after the owner is gone.
+// Shared with the callbacks, which may run after the `OwnObject` is destroyed.
 struct OwnObject::State {
   std::optional<std::uint64_t> version;  ///< Unset: must be read first.
 
--- a/src/entry/own_object.h
+++ b/src/entry/own_object.h
@@ -11,18 +11,19 @@
 
 namespace indigolead {
 
-/// One object of the store that only this process writes, whole.
+/// A store object that only this process writes, always as a whole.
 ///
-/// The last value wins, so a write whose answer was lost is simply made again
-/// after reading the object's version.
+/// The last value wins, so after a write with a lost answer the next write
+/// reads the object's version and replaces it.
 class OwnObject {
  public:
-  /// `store` must outlive this object. `version` is the object's, if it is
-  /// known: 0 if it does not exist, as under a name that no other process had.
+  /// `store` must outlive this object. `version` is the object's version if
+  /// known; 0 means that it does not exist, as for a key that no other process
+  /// has used.
   OwnObject(ObjectStore* store, std::string key, CallOptions options,
             std::optional<std::uint64_t> version = std::nullopt);
 
-  /// Writes `value`, then calls `done` with true if it is known to be there.
+  /// Writes `value`, then calls `done` with true if the store confirmed it.
   /// At most one write may be in flight.
   void Write(std::string value, std::function<void(bool)> done);
 
--- a/src/entry/platform_duty.cc
+++ b/src/entry/platform_duty.cc
@@ -46,7 +46,7 @@
                                     std::uint64_t) {
     (this->*on_state)(state);
   };
-  hooks.on_error = [](const Error&) {};  // The watcher logs and tries again.
+  hooks.on_error = [](const Error&) {};  // The watcher logs and retries.
   hooks.jitter = Jitter;
   return hooks;
 }
@@ -61,8 +61,8 @@
 }
 
 void PlatformDuty::OnDeployments(const ListWatcher::State& state) {
-  // A deployment whose object vanished keeps its last revision: taking it away
-  // would cut its callers, and no command deletes one.
+  // A deployment whose object has disappeared keeps its last revision: removing
+  // it would fail its callers, and no command deletes a deployment.
   for (const auto& [key, object] : state) {
     std::uint64_t& emitted = emitted_[key];
     if (object.version > emitted) {
--- a/src/entry/platform_duty.h
+++ b/src/entry/platform_duty.h
@@ -21,10 +21,10 @@
 
 namespace indigolead {
 
-/// Follows what the platform says: deployments, drains and the instance list.
+/// Follows the platform's deployments, drains and instance list.
 ///
-/// Runs on the platform thread, so that a slow or dead store never delays a
-/// request. While the store is away the last state stays in force.
+/// Runs on the platform thread, so that a slow or failed store never delays a
+/// request. While the store is unreachable, the last state stays in force.
 class PlatformDuty {
  public:
   using Emit = std::function<void(PlatformEvent&&)>;
@@ -37,10 +37,10 @@
   PlatformDuty(const PlatformDuty&) = delete;
   PlatformDuty& operator=(const PlatformDuty&) = delete;
 
-  /// Starts to follow. Without a store address nothing is followed.
+  /// Starts the watches; does nothing without a store address.
   void Start();
 
-  /// The store, for further duties of the platform thread.
+  /// Returns the store, for other components on the platform thread.
   HttpObjectStore* store() { return &store_; }
 
  private:
@@ -58,7 +58,7 @@
   HttpObjectStore store_;
   ListWatcher deployments_;
   ListWatcher drains_;
-  /// Versions handed on, by key; one element for each deployment.
+  /// The version last emitted of each deployment, by key.
   std::map<std::string, std::uint64_t> emitted_;
 };
 
--- a/src/entry/relay_registration.cc
+++ b/src/entry/relay_registration.cc
@@ -13,7 +13,8 @@
 constexpr std::string_view kFailureDomain = "failure_domain=";
 constexpr std::string_view kProcessor = "processor=";
 
-/// Returns what follows `name` on its line of `text`; empty if there is none.
+/// Returns the rest of the line of `text` that begins with `name`, or an empty
+/// view if there is none.
 std::string ValueOf(std::string_view text, std::string_view name) {
   while (!text.empty()) {
     const std::string_view line = text.substr(0, text.find('\n'));
--- a/src/entry/relay_registration.h
+++ b/src/entry/relay_registration.h
@@ -8,12 +8,12 @@
 
 namespace indigolead {
 
-/// Returns the lines of an entry's registration that say how it is asked to
-/// relay the store's changes; none without an address.
+/// Returns the lines of an entry's registration that tell others how to ask it
+/// to relay the store's changes. Empty if `relay` has no address.
 std::string EncodeRelay(const RelayCandidate& relay);
 
-/// Returns what the registration of the entry `name` says of that. Without an
-/// address if it says nothing, or nothing that can be used.
+/// Decodes those lines from the registration of the entry `name`. The result
+/// has no address if they are missing or unusable.
 RelayCandidate DecodeRelay(const std::string& name, std::string_view text);
 
 }  // namespace indigolead
--- a/src/entry/roster_keeper.cc
+++ b/src/entry/roster_keeper.cc
@@ -30,8 +30,8 @@
          std::chrono::duration_cast<Duration>(interval * DrawShare());
 }
 
-// By the fleet as it is now: where it has shrunk, the others expect a renewal
-// sooner than they did when the last one was made.
+// Uses the current size of the fleet: if it has shrunk since the last renewal,
+// the others expect the next one sooner.
 bool RosterKeeper::RenewalIsDue(TimePoint now) const {
   if (!renewed_at_) {
     return now >= retry_at_;
@@ -56,7 +56,7 @@
 void RosterKeeper::Renew() {
   renewing_ = true;
   renewal_sent_at_ = clock_();
-  // Another value each time, or the store would not count it as a change.
+  // The value differs each time; otherwise the store would see no change.
   const std::string value = "incarnation=" + options_.incarnation +
                             "\nrenewals=" + std::to_string(++renewals_) + "\n" +
                             EncodeRelay(options_.relay);
@@ -70,8 +70,8 @@
               });
 }
 
-// The others take an entry for gone that they have not seen renewed, and divide
-// what it shared among themselves.
+// The others treat an entry without a renewal as gone and divide its share
+// among themselves, so it must stop using that share.
 void RosterKeeper::LeaveIfNotRenewed(TimePoint now) {
   if (registered_at_ && now - confirmed_at_ >= roster_.LeaveAfter()) {
     log_(kRosterLeft, {{"renewed_ms_ago", Milliseconds(now - confirmed_at_)}});
@@ -101,17 +101,17 @@
   renewed_at_.reset();
   retry_at_ = Later(options_.retry_interval);
   if (error.code != ErrorCode::kConflict) {
-    return;  // If it took effect after all, the next one conflicts.
+    return;  // If the write took effect after all, the next one conflicts.
   }
-  // An earlier process of this name, or a write of ours whose answer was lost:
-  // the conflict tells the version to replace.
+  // An earlier process of this name registered, or the answer to a write of
+  // this one was lost. The conflict error carries the version to replace.
   own_version_ = 0;
   std::from_chars(error.detail.data(),
                   error.detail.data() + error.detail.size(), own_version_);
 }
 
-// A list without this entry's own registration is older than that, and shows
-// nothing of those that started with it.
+// A list without this entry's own registration is older than the registration
+// and does not show the entries that started at the same time.
 void RosterKeeper::Settle() {
   const bool shows_start = own_version_ != 0 && roster_.own_version() != 0;
   if (shows_start && roster_.unchanged()) {
@@ -169,7 +169,8 @@
 void RosterKeeper::DeleteExpired() {
   const CallOptions call{CallPriority::kStatus, options_.call_deadline};
   for (const RosterRecord& it : roster_.ToDelete(clock_())) {
-    // If the entry is alive after all, it has another version by now.
+    // If the entry is alive after all, its version has changed and the delete
+    // conflicts.
     store_->Delete(
         options_.prefix + it.name, it.version, call,
         [log = log_, name = it.name](const Result<Unit>& result) {
@@ -217,7 +218,7 @@
       options_.prefix + options_.roster.own_name, own_version_, call,
       [log = log_](const Result<Unit>& result) {
         if (!IsOk(result)) {
-          // It expires.
+          // Not retried: the registration expires.
           log(kRosterCallFailed, {{"error", ToString(ErrorOf(result))}});
         }
       });
--- a/src/entry/roster_keeper.h
+++ b/src/entry/roster_keeper.h
@@ -13,38 +13,41 @@
 
 namespace indigolead {
 
-/// Registers this entry in the store, renews the registration, and reads how
-/// many others there are.
+/// Registers this entry in the store, renews the registration, and counts the
+/// other entries.
 ///
-/// Every entry makes one write in the time that the pace of its roster allows,
-/// and one read that may be stale in `list_interval`; after its start more, at
-/// first, until the list is settled. Lives on the thread of its store.
+/// Every entry makes one write per renewal interval of its roster and one read,
+/// which may be stale, per `list_interval`. After a start it lists more often,
+/// until the list no longer changes. Runs on the thread of its store.
 class RosterKeeper {
  public:
   struct Options {
     EntryRoster::Options roster;
-    std::string prefix;       ///< Of the registrations' keys, with the slash.
+    std::string prefix;  ///< Of the registrations' keys, with the final slash.
     std::string incarnation;  ///< Of this process; part of the registration.
-    /// This entry as one that relays the store's changes to others; its name is
-    /// that of the roster. No address: it does not.
+    /// This entry as a relay of the store's changes; its name is that of the
+    /// roster. Without an address it does not relay.
     RelayCandidate relay;
     Duration list_interval = std::chrono::seconds(20);
-    /// While something is parted by the list of entries at every moment.
+    /// Interval while `ListClosely(true)` is in effect.
     Duration close_interval = std::chrono::seconds(2);
-    /// The first interval after a start, when many entries come at once. Each
-    /// list that shows nobody new doubles it.
+    /// The first interval after a start, when many entries may start at once.
+    /// Each list without a new entry doubles it.
     Duration first_interval = std::chrono::seconds(2);
     Duration retry_interval = std::chrono::seconds(2);
     Duration call_deadline = std::chrono::milliseconds(1500);
   };
   struct Hooks {
-    /// The number of entries is another one than before, or known at last.
+    /// Called when the number of entries becomes known or changes.
     std::function<void(std::size_t)> on_count;
-    /// A list was taken, or the own registration was confirmed or taken back.
+    /// Called after each list, and when this entry's registration is confirmed
+    /// or withdrawn.
     std::function<void(const EntryView&)> on_view;
-    /// A list was taken: the entries that may relay, this one among them.
+    /// Called after each list with the entries that may relay, including this
+    /// one.
     std::function<void(const std::vector<RelayCandidate>&)> on_relays;
-    /// Returns a draw from [0, 1), which spreads the calls of many entries.
+    /// Returns a random number in [0, 1), which spreads the calls of many
+    /// entries.
     std::function<double()> jitter;
   };
 
@@ -55,11 +58,13 @@
   RosterKeeper(const RosterKeeper&) = delete;
   RosterKeeper& operator=(const RosterKeeper&) = delete;
 
-  /// Drives the timers; call several times a second.
+  /// Drives the timers; must be called several times a second.
   void Tick();
-  /// Lists the entries often while `closely`, and at once when that begins.
+  /// Lists the entries every `close_interval` while `closely`, starting at
+  /// once. Used while the entries divide a resource by the current list.
   void ListClosely(bool closely);
-  /// Takes the registration back; a planned stop need not be waited out.
+  /// Withdraws the registration, so that the others need not wait until it
+  /// expires.
   void Stop();
 
  private:
@@ -67,7 +72,7 @@
   void OnRenewed(const Result<std::uint64_t>& result);
   void List();
   void OnListed(const ObjectStore::Listing& listing);
-  /// Takes this entry for gone where the others are about to.
+  /// Treats this entry as gone shortly before the others do.
   void LeaveIfNotRenewed(TimePoint now);
   void DeleteExpired();
   void Tell();
@@ -76,7 +81,8 @@
   bool RenewalIsDue(TimePoint now) const;
   void Settle();
   TimePoint Later(Duration interval) const;
-  /// Returns a draw from [0.5, 1): entries that started together part.
+  /// Returns a random number in [0.5, 1), so that the calls of entries that
+  /// started together drift apart.
   double DrawShare() const { return 0.5 + 0.5 * hooks_.jitter(); }
 
   ObjectStore* store_;
@@ -85,24 +91,26 @@
   Clock clock_;
   EventLog log_;
   EntryRoster roster_;
-  /// When the registration was written; nothing before, or after a failure.
+  /// When the registration was last written; unset before the first write and
+  /// after a failure.
   std::optional<TimePoint> renewed_at_;
-  double renew_share_ = 1;  ///< Of the interval, drawn anew for each renewal.
-  TimePoint retry_at_;      ///< Of a write that failed.
+  /// Random part of the renewal interval; drawn anew for each renewal.
+  double renew_share_ = 1;
+  TimePoint retry_at_;  ///< When a failed write is retried.
   TimePoint list_at_;
-  Duration settled_interval_;  ///< Grows to `list_interval`.
+  Duration settled_interval_;  ///< At most `Options::list_interval`.
   bool renewing_ = false;
   bool listing_ = false;
   bool stopped_ = false;
   bool closely_ = false;
   std::optional<TimePoint> listed_at_;
   std::optional<TimePoint> registered_at_;
-  TimePoint renewal_sent_at_;  ///< Of the last call.
+  TimePoint renewal_sent_at_;  ///< When the last renewal was sent.
   TimePoint confirmed_at_;  ///< When the last renewal that succeeded was sent.
   std::uint64_t renewals_ = 0;
-  std::uint64_t own_version_ = 0;  ///< Zero: not known to be registered.
+  std::uint64_t own_version_ = 0;  ///< Zero if not known to be registered.
   std::optional<std::size_t> told_;
-  /// Callbacks of the store may come after this object is gone.
+  /// False once this object is destroyed; store callbacks may run after that.
   std::shared_ptr<bool> alive_;
 };
 
--- a/src/entry/stage_service.cc
+++ b/src/entry/stage_service.cc
@@ -48,9 +48,9 @@
 LeaseKeeper::Hooks StageService::LeaseHooks(Lease::Jitter jitter) {
   LeaseKeeper::Hooks hooks;
   hooks.on_gained = [this](FencingNumber number) {
-    // The holder before may have given an order just before it lost the lease,
-    // or resigned. Nobody did before the first holder of all, and none but this
-    // one if no other's number came in between.
+    // The previous holder may have sent an order just before it lost or
+    // resigned the lease. There is no such holder if this lease is the first of
+    // all, or if the previous one was this entry's own.
     const auto& record = lease_.lease().newest().record;
     const bool alone = record && (record->earlier.empty() ||
                                   record->earlier.back() == last_number_);
@@ -86,11 +86,10 @@
   service.engines_changed = true;
 }
 
-// The failure: a fleet of thousands of engines registers within a second, or
-// changes in swarms, and the control takes its whole list with each of them.
-// The symptom: a thin entry is busy with nothing else for seconds (3,000
-// engines: 7 s of a whole core) and serves nobody. Once before each decision is
-// often enough.
+// Passes the engines to the control once before each decision, not with each
+// change. When thousands of engines register or change within a second, passing
+// the whole list each time keeps a small entry from serving requests for
+// seconds (3,000 engines took 7 s of a whole core).
 void StageService::TellEngines(Service* service) {
   if (!std::exchange(service->engines_changed, false)) {
     return;
@@ -136,7 +135,7 @@
 void StageService::Tick() {
   ended_.clear();
   if (stopped_) {
-    // Again and again: a renewal that was in flight goes first.
+    // Repeated on each tick, because a renewal in flight must finish first.
     lease_.Resign();
     return;
   }
@@ -162,7 +161,7 @@
   TargetClient* client = carrier_->ClientForExtraCall(order.instance);
   if (!client) {
     Finish(service, order, StageOrderOutcome::kRefused,
-           "the engine is gone or wants no call now");
+           "the engine is gone or takes no calls now");
     return;
   }
   calls_[order.instance] = FetchAnswer(
@@ -180,7 +179,7 @@
   TargetClient* client = carrier_->ClientForExtraCall(order.instance);
   if (!IsOk(answer) || !target || !client) {
     Finish(service, order, StageOrderOutcome::kRefused,
-           IsOk(answer) ? "the engine is gone or wants no call now"
+           IsOk(answer) ? "the engine is gone or takes no calls now"
                         : ToString(ErrorOf(answer)));
     return;
   }
--- a/src/entry/stage_service.h
+++ b/src/entry/stage_service.h
@@ -16,7 +16,8 @@
 
 namespace indigolead {
 
-/// The words of orders to engines, as `TargetDialect` is those of requests.
+/// Encodes orders to engines and decodes the answers, as `TargetDialect` does
+/// for requests.
 struct OrderDialect {
   std::function<TargetRequest(const TargetRecord&)> report;
   std::function<Result<std::uint64_t>(const TargetRecord&, const TargetAnswer&)>
@@ -27,31 +28,32 @@
   std::function<StageOrderOutcome(const TargetAnswer&)> read_outcome;
 };
 
-/// Gives engines the orders that their service's `StageControl` decides, while
+/// Sends engines the orders that their service's `StageControl` decides, while
 /// this entry holds the control lease.
 ///
-/// The authority is asked for again immediately before an order is written,
-/// because a process may sleep between the decision and the send; and an order
-/// names the number of orders that the engine had accepted, so that a copy
-/// which is carried out late finds its condition broken.
+/// The authority is checked again immediately before an order is written,
+/// because a process may be suspended between the decision and the send. An
+/// order also carries the number of orders that the engine had accepted, so
+/// that a copy that arrives late no longer meets its condition.
 ///
-/// Lives on the thread of its store and targets.
+/// Runs on the thread of its store and targets.
 class StageService {
  public:
   struct Options {
-    std::string holder;  ///< Name under which orders are given.
+    std::string holder;  ///< Name of this entry in its orders.
     LeaseKeeper::Options lease;
     StageControl::Options control;
-    /// After another holder's last possible order this holder gives none.
+    /// How long a new holder waits after another holder's last possible order
+    /// before it sends its own.
     Duration separation = std::chrono::seconds(3);
     std::size_t max_answer_bytes = 64U << 10;
-    /// Entries that watch the lease closely, in expectation: each of a fleet of
-    /// n is one with probability standbys / n. Enough that a lost failure
-    /// domain leaves some; none at all happens once in 3,000 starts of a fleet,
-    /// and the reserves take over after half a minute then.
+    /// Expected number of entries that check the lease often: each of n entries
+    /// is one with probability standbys / n. Enough that some remain when a
+    /// failure domain is lost. One fleet start in 3,000 has none at all; the
+    /// reserves then take over after half a minute.
     double standbys = 8;
-    /// Entries assumed until they are counted: of a large fleet that starts all
-    /// at once a few should try to take the lease, not every one.
+    /// Number of entries assumed until they are counted: when a large fleet
+    /// starts at once, only a few entries should try to take the lease.
     std::size_t assumed_entries = 64;
   };
 
@@ -62,19 +64,20 @@
   StageService(const StageService&) = delete;
   StageService& operator=(const StageService&) = delete;
 
-  /// Takes over what the directory says of an engine.
+  /// Applies a directory change of an engine.
   void OnEngine(const TargetChange& change);
-  /// Takes the load that a service's work puts on its engines.
+  /// Sets the load on a service's engines.
   void OnLoad(const std::string& service, const RoleLoad& load);
-  /// Takes the number of entries: how closely this one watches the lease.
+  /// Sets the number of entries, which decides whether this one is a standby.
   void OnEntries(std::size_t entries);
-  /// Drives lease and orders; call several times a second, after `Stop` too.
+  /// Drives the lease and the orders; must be called several times a second,
+  /// also after `Stop`.
   void Tick();
-  /// Gives no further order and gives the lease up, with the ticks that follow
-  /// if a call of the store is still open.
+  /// Sends no further orders and releases the lease. While a store call is
+  /// still open, the following ticks do so.
   void Stop();
-  /// Returns the number under which this entry may act as the only one, if it
-  /// may: it holds the lease, and what the holder before it did is over.
+  /// Returns the fencing number under which this entry may act, if it holds the
+  /// lease and the orders of the previous holder can no longer take effect.
   std::optional<FencingNumber> Authority() const;
 
  private:
@@ -82,7 +85,8 @@
     explicit Service(const StageControl::Options& options) : control(options) {}
     StageControl control;
     std::map<std::string, StagedEngine> engines;
-    bool engines_changed = false;  ///< Since `control` was told of them.
+    /// Whether `engines` changed since it was last passed to `control`.
+    bool engines_changed = false;
   };
   using Call = std::unique_ptr<TargetClient::Call>;
 
@@ -103,14 +107,15 @@
   Clock clock_;
   EventLog log_;
   LeaseKeeper lease_;
-  /// This entry's draw from [0, 1); the lowest of the fleet are standbys.
+  /// This entry's random number in [0, 1); entries with low ones are standbys.
   double standby_draw_;
   bool standby_;
   std::optional<TimePoint> orders_from_;
-  FencingNumber last_number_ = 0;  ///< Of this holder's latest lease.
+  FencingNumber last_number_ = 0;  ///< Of this entry's latest lease.
   std::map<std::string, Service> services_;
   std::map<std::string, Call> calls_;  ///< In flight, by engine.
-  std::vector<Call> ended_;  ///< Destroyed outside their own callbacks.
+  /// Kept so that they are destroyed outside their own callbacks.
+  std::vector<Call> ended_;
   bool stopped_ = false;
 };
 
--- a/src/entry/status_server.cc
+++ b/src/entry/status_server.cc
@@ -19,7 +19,8 @@
 
 }  // namespace
 
-/// Outlives the server as long as a connection does.
+/// State shared with the connections; outlives the server while one of them
+/// exists.
 struct StatusServer::Shared {
   Answer answer;
   std::size_t connections = 0;
--- a/src/entry/status_server.h
+++ b/src/entry/status_server.h
@@ -15,19 +15,19 @@
 
 namespace indigolead {
 
-/// Answers short questions about a process, such as whether it is ready, on an
-/// address of their own.
+/// Serves short status queries about a process, such as whether it is ready, on
+/// a separate address.
 ///
-/// Takes at most a few connections and drops those that stay idle: whoever
-/// asks is a machine that asks again.
+/// Accepts a limited number of connections and closes idle ones, because its
+/// clients are programs that ask again.
 class StatusServer {
  public:
   struct Options {
-    std::string address;  ///< "IP:port"; empty: nothing is served.
+    std::string address;  ///< "IP:port"; if empty, nothing is served.
     std::size_t max_connections = 32;
     Duration idle_timeout = std::chrono::seconds(10);
   };
-  /// Returns the answer for a path, without its query.
+  /// Returns the answer for a path, which is given without its query.
   using Answer = std::function<WholeAnswer(std::string_view path)>;
 
   /// `io` must outlive this object.
--- a/src/entry/usage_service.cc
+++ b/src/entry/usage_service.cc
@@ -91,10 +91,11 @@
     return false;
   }
   if (!written_until_) {
-    return true;  // Others wait for what this process may have counted.
+    return true;  // The holder may be waiting for this process's counts.
   }
   if (meter_.request_count() == 0) {
-    return false;  // Nobody waits for one that has told of nothing for long.
+    // No recent counts; the holder does not wait for a record without counts.
+    return false;
   }
   const Duration window = options_.meter.window;
   const WallMicros delay = ToMicros(write_delay_);
@@ -104,8 +105,8 @@
   if (*written_until_ < begin) {
     return true;
   }
-  // The middle of a window brings nothing that anyone waits for; it bounds what
-  // a kill takes with it.
+  // Nothing waits for the write in the middle of a window; it limits what is
+  // lost when the process is killed.
   return told >= middle && *written_until_ < middle &&
          meter_.has_unwritten_counts();
 }
@@ -155,7 +156,7 @@
 }
 
 void UsageService::Drive(WallMicros calendar) {
-  // Several steps of one report go on at once where their answers come at once.
+  // A step whose answer arrives at once is followed by the next at once.
   if (const auto step =
           reporter_.Tick(hooks_.authority(), calendar, clock_())) {
     Act(*step);
@@ -240,8 +241,8 @@
   return entries;
 }
 
-// Nothing in the store expires by itself, and each start of a process leaves a
-// record: without this the list would grow by the restarts of a day.
+// Store objects do not expire and each process start leaves a record, so
+// without this the list would grow with every restart.
 void UsageService::DeleteOld(const StoredObject& object,
                              const EntryUsage& usage) {
   const WallMicros age = *calendar_.At(clock_()) - usage.counted_until;
@@ -284,10 +285,10 @@
       [this, ticket, send](const Result<TargetAnswer>& answer) {
         OnSent(ticket, send, answer);
       },
-      // The failure: the process sleeps, or a connection takes its time, until
-      // another entry holds the lease and has reported under a higher number.
-      // The symptom: the receiver sees numbers fall. The last moment at which
-      // nothing has been sent yet is here.
+      // Checked at the last moment before anything is sent: if the process is
+      // suspended, or connecting takes long, another entry may hold the lease
+      // and have reported under a higher number. The receiver would then see
+      // numbers fall.
       [this, number = send.number] { return hooks_.authority() == number; });
 }
 
--- a/src/entry/usage_service.h
+++ b/src/entry/usage_service.h
@@ -20,7 +20,8 @@
 
 namespace indigolead {
 
-/// The words of a usage report, as `TargetDialect` is those of requests.
+/// Encodes usage reports and decodes the answers, as `TargetDialect` does for
+/// requests.
 struct UsageDialect {
   std::function<TargetRequest(const WindowCounts&, const std::string& holder,
                               FencingNumber)>
@@ -28,39 +29,40 @@
   std::function<ReportOutcome(const TargetAnswer&)> read_outcome;
 };
 
-/// Counts the requests that enter here, writes the counts to the store, and
+/// Counts the requests of this entry, writes the counts to the store, and
 /// reports those of all entries while this one holds the control lease.
 ///
-/// Counts stand in the store a moment after each window's end and in its
-/// middle, under a key of this process's own, so that a successor under the
-/// same name does not overwrite them. A process that is killed loses what it
-/// counted since its last write, half a window at most.
+/// Counts are written in the middle and shortly after the end of each window,
+/// under a key of this process alone, so that a successor of the same name does
+/// not overwrite them. A killed process loses what it counted since its last
+/// write, which is half a window at most.
 ///
-/// Lives on the thread of its store.
+/// Runs on the thread of its store.
 class UsageService {
  public:
   struct Options {
     std::string instance;
     Incarnation incarnation;
-    std::string entries_prefix;  ///< Of entries' records, with the slash.
-    std::string fixed_key;       ///< Of the settled reports.
+    std::string entries_prefix;  ///< Of entries' records, with the final slash.
+    std::string fixed_key;       ///< Key of the settled reports.
     UsageMeter::Options meter;
     UsageReporter::Options reporter;
-    /// A request that is counted when its answer comes has begun by so much
-    /// earlier: counts are whole up to that long ago.
+    /// A request is counted when its answer arrives and began up to this much
+    /// earlier, so counts are complete only up to this long ago.
     Duration answer_time = std::chrono::milliseconds(300);
-    /// Entries spread their writes over this time after a window's end.
+    /// Time after a window's end over which entries spread their writes.
     Duration write_spread = std::chrono::seconds(1);
     Duration retry_interval = std::chrono::seconds(1);
-    /// A record that ends so long ago holds nothing that is still reported.
+    /// Age of a record's end after which none of it is still reported.
     Duration delete_after = std::chrono::minutes(15);
     Duration call_deadline = std::chrono::milliseconds(1500);
     std::size_t max_answer_bytes = 64U << 10;
   };
   struct Hooks {
-    /// Returns the number to act under, as of now.
+    /// Returns the fencing number to act under now, if there is authority.
     std::function<std::optional<FencingNumber>()> authority;
-    /// Returns a draw from [0, 1), which spreads the writes of many entries.
+    /// Returns a random number in [0, 1), which spreads the writes of many
+    /// entries.
     std::function<double()> jitter;
   };
 
@@ -76,12 +78,12 @@
   /// Counts a request of `account` that began to run at `at`.
   void Count(const std::string& account, TimePoint at);
 
-  /// Drives the timers; call several times a second.
+  /// Drives the timers; must be called several times a second.
   void Tick();
 
-  /// Writes what is left, as the last that this process counts.
+  /// Writes the remaining counts as this process's last record.
   void Close();
-  /// Returns true once that stands in the store, or could not be written.
+  /// Returns true once that write has succeeded or failed.
   bool closed() const { return closed_; }
 
  private:
@@ -115,7 +117,7 @@
   UsageMeter meter_;
   UsageReporter reporter_;
   OwnObject record_;
-  Duration write_delay_;  ///< This entry's draw, after a window's end.
+  Duration write_delay_;  ///< Random delay of writes after a window's end.
   WallMicros started_at_ = 0;
   std::optional<WallMicros> written_until_;
   TimePoint write_again_at_{};
@@ -124,7 +126,7 @@
   bool closed_ = false;
   std::uint64_t lost_told_ = 0;
   std::unique_ptr<TargetClient::Call> call_;
-  /// Destroyed outside its own callback.
+  /// Kept so that it is destroyed outside its own callback.
   std::unique_ptr<TargetClient::Call> ended_call_;
   Counter& counted_;
   Counter& reported_;
@@ -133,7 +135,7 @@
   Counter& incomplete_;
   Counter& given_up_;
   Counter& lost_;
-  /// Callbacks of the store may come after this object is gone.
+  /// False once this object is destroyed; store callbacks may run after that.
   std::shared_ptr<bool> alive_;
 };
 
--- a/src/entry/watch_relay.cc
+++ b/src/entry/watch_relay.cc
@@ -102,24 +102,26 @@
                           const std::string& prefix, std::uint64_t from,
                           PolledWatch::PollDone done) {
   const std::uint64_t number = ++next_number_;
-  // A question of this prefix that is still open has been given up.
+  // Replaces a query of this prefix that is still open; its caller has given it
+  // up.
   asked_[prefix] = {number, relay.name, std::move(done)};
   if (hooks_.ask(relay.address, number, prefix, from)) {
     return true;
   }
   asked_.erase(prefix);
   OnFailed(relay.name, {ErrorCode::kOverloaded, "relay.ask", relay.name,
-                        "the question could not be sent"});
+                        "the query could not be sent"});
   return false;
 }
 
 void WatchRelay::OnFailed(const std::string& relay, const Error& error) {
   if (relay.empty()) {
-    return;  // Nobody was asked yet.
+    return;  // The query still waits for the list of entries.
   }
   log_(kRelayFailed, {{"relay", relay}, {"error", ToString(error)}});
   failed_.Add();
-  // Changes that are not kept any more are no fault of the relay.
+  // `kNotFound` means that the changes are no longer kept, which is not a
+  // failure of the relay.
   if (error.code != ErrorCode::kNotFound) {
     choice_.OnFailed(relay, clock_());
   }
@@ -155,7 +157,7 @@
       asked_.begin(), asked_.end(),
       [number](const auto& asked) { return asked.second.number == number; });
   if (it == asked_.end()) {
-    return;  // Late: given up, and asked anew.
+    return;  // Late: the query was given up and sent again.
   }
   const Asked asked = std::move(asked_.extract(it).mapped());
   NoteAnswer(asked.relay, answer);
--- a/src/entry/watch_relay.h
+++ b/src/entry/watch_relay.h
@@ -18,36 +18,37 @@
 
 namespace indigolead {
 
-/// Both ends of relaying the store's changes between the entries of a failure
-/// domain: asks the entry that relays, and relays if this entry is asked.
+/// Relays the store's changes between the entries of a failure domain: asks the
+/// entry that relays, and answers the entries that ask this one.
 ///
-/// Whoever is asked reads the store itself, so entries that disagree on who
-/// relays make more calls for a while and no circle.
+/// The entry that is asked reads the store itself. Entries that disagree on the
+/// relay therefore make more store calls for a while, but form no cycle.
 ///
-/// Runs on one thread. Memory: the changes that its feeds keep.
+/// Runs on one thread. Memory is bounded by the changes that its feeds keep.
 class WatchRelay {
  public:
   struct Options {
     RelayChoice::Options choice;
     WatchFeed::Options feed;
-    std::vector<std::string> prefixes;  ///< All that may be asked for.
+    std::vector<std::string> prefixes;  ///< The prefixes that may be relayed.
   };
   struct Hooks {
-    /// Makes one call of the store that waits for changes below `prefix`.
+    /// Makes one store call that waits for changes below `prefix`.
     std::function<void(const std::string& prefix, std::uint64_t from,
                        Duration wait, PolledWatch::PollDone done)>
         call;
-    /// Reads all objects below `prefix`, not stale.
+    /// Reads all objects below `prefix`; the result must not be stale.
     std::function<void(const std::string& prefix,
                        ObjectStore::Callback<ObjectStore::Listing> done)>
         list;
     /// Returns what this entry knows of the objects below `prefix`.
     std::function<ObjectStore::Listing(const std::string& prefix)> known;
-    /// Sends a question to the entry at `address`; false if it cannot be.
+    /// Sends a query to the entry at `address`. Returns false if it cannot be
+    /// sent.
     std::function<bool(const std::string& address, std::uint64_t number,
                        const std::string& prefix, std::uint64_t from)>
         ask;
-    /// Sends the answer to a question of another entry.
+    /// Sends the answer to another entry's query.
     std::function<void(const std::string& asker, std::uint64_t number,
                        const Result<WatchBatch>& answer)>
         answer;
@@ -59,41 +60,41 @@
   WatchRelay(const WatchRelay&) = delete;
   WatchRelay& operator=(const WatchRelay&) = delete;
 
-  /// Takes the list of entries that are alive.
+  /// Takes the list of live entries.
   void OnEntries(const std::vector<RelayCandidate>& entries);
 
   /// Asks the entry that relays, which may be this one, for the changes below
   /// `prefix` after `from`. Returns its name, or nothing if there is none.
-  /// Until the first list of entries nobody is known to ask, and the question
-  /// waits for it: the name is empty then.
+  /// Before the first list of entries the relay is unknown: the query waits for
+  /// the list, and the returned name is empty.
   std::optional<std::string> Ask(const std::string& prefix, std::uint64_t from,
                                  PolledWatch::PollDone done);
 
-  /// `relay` did not answer, or could not.
+  /// Records that `relay` did not answer or answered with an error.
   void OnFailed(const std::string& relay, const Error& error);
 
-  /// A question of another entry came.
+  /// Handles a query of another entry.
   void OnQuestion(const std::string& asker, std::uint64_t number,
                   const std::string& prefix, std::uint64_t from);
 
-  /// The answer to a question of this entry came.
+  /// Handles the answer to a query of this entry.
   void OnAnswer(std::uint64_t number, const Result<WatchBatch>& answer);
 
-  /// Returns true if some entry of the failure domain is to relay.
+  /// Returns true if an entry of the failure domain can relay.
   bool has_relay() const { return choice_.SelectRelay(clock_()).has_value(); }
 
-  /// Takes no more questions of others: a planned stop has begun.
+  /// Refuses further queries of other entries, for a planned stop.
   void Stop() { stopped_ = true; }
 
  private:
-  /// The question to another entry that is open, of one prefix.
+  /// The open query of one prefix to another entry.
   struct Asked {
     std::uint64_t number = 0;
     std::string relay;
     PolledWatch::PollDone done;
   };
 
-  /// A question that waits for the first list of entries.
+  /// A query that waits for the first list of entries.
   struct Early {
     std::uint64_t from = 0;
     PolledWatch::PollDone done;
@@ -116,7 +117,8 @@
   std::map<std::string, Early> early_;                       ///< By prefix.
   bool listed_ = false;
   std::uint64_t next_number_ = 0;
-  std::string relay_;  ///< The one asked last; empty: the store.
+  /// The relay asked last; empty if the store is read without a relay.
+  std::string relay_;
   bool stopped_ = false;
   Counter& relayed_;
   Counter& failed_;
--- a/tests/shell/control_service_test.cc
+++ b/tests/shell/control_service_test.cc
@@ -20,7 +20,7 @@
 
 constexpr LinkId kLink{1};
 
-/// One entry's control service on a platform in memory; time is the test's.
+/// One entry's control service on an in-memory platform with a manual clock.
 class Fixture {
  public:
   Fixture() {
@@ -119,7 +119,7 @@
     REQUIRE(f.sent.size() >= 2);
     CHECK(f.sent[0].fencing().fencing_number() == order->fencing_number());
   }
-  SECTION("the status shows wanted and seen, each with its age") {
+  SECTION("the status shows desired and observed state, each with its age") {
     wire::Envelope report;
     report.mutable_order_status()->set_target("engine-1");
     report.mutable_order_status()->set_generation(order->generation());
@@ -131,14 +131,14 @@
     CHECK(target["models"]["value"] == Json{"small@1"});
     CHECK(target["order_phase"] == "applying");
   }
-  SECTION("a target whose link is down is unknown since then") {
+  SECTION("a target is unknown from when its link goes down") {
     f.service->OnLinkDown(kLink);
     f.Run(seconds(5));
     const Json target = Json::parse(f.service->StatusJson())["targets"][0];
     CHECK_FALSE(target["role"].contains("value"));
     CHECK(target["role"]["unknown_for_s"].get<double>() == Approx(5).margin(1));
   }
-  SECTION("the store's absence shows, and the status still answers") {
+  SECTION("an unreachable store is shown, and the status still answers") {
     f.platform.SetDown(true);
     f.Run(seconds(20));
     const Json status = Json::parse(f.service->StatusJson());
@@ -147,7 +147,7 @@
     CHECK_FALSE(status["controller_here"].get<bool>());
     CHECK(status["deployments"][0]["revision"] == 4);
   }
-  SECTION("lease move and order are in the audit trail, once each") {
+  SECTION("the lease change and the order are in the audit trail, once each") {
     const auto object = f.platform.Peek("audit/entry-a-0");
     REQUIRE(object);
     const auto records = ReadAuditSegment(object->value, 0).records;
@@ -157,21 +157,21 @@
     CHECK(records[1].after == "mixed small@2");
     CHECK(records[1].fencing_number == order->fencing_number());
   }
-  SECTION("what is applied is written, and not again while nothing changes") {
+  SECTION("the applied state is written, and not again while unchanged") {
     const auto object = f.platform.Peek("applied/entry-a");
     REQUIRE(object);
     CHECK(Json::parse(object->value)["revisions"]["brief-llm"] == 4);
     f.Run(seconds(20));
     CHECK(f.platform.Peek("applied/entry-a")->version == object->version);
   }
-  SECTION("a drain goes to the side, and the engine gets no further order") {
+  SECTION("a drain is sent to the side, and the engine gets no further order") {
     f.service->OnDrains({{"engine-1", "replaced"}});
     CHECK(f.sent.back().drain().drain());
     CHECK(f.sent.back().drain().cause() == "replaced");
     f.service->OnDrains({});
     CHECK_FALSE(f.sent.back().drain().drain());
   }
-  SECTION("a stopped entry gives the lease up") {
+  SECTION("a stopped entry releases the lease") {
     f.service->Stop();
     f.Run(seconds(1));
     const auto lease = f.platform.Peek("control/lease");
--- a/tests/shell/entry_process_test.cc
+++ b/tests/shell/entry_process_test.cc
@@ -50,7 +50,7 @@
   EngineServer& engine() { return engine_; }
   EntryProcess& entry() { return *entry_; }
 
-  /// Repeats a request until the path is up; returns the answer.
+  /// Repeats a request until the fleet serves it; returns the answer.
   std::string AskUntilAnswered() {
     for (int i = 0; i < 100; ++i) {
       RawClient client(entry_->http_address());
@@ -91,7 +91,7 @@
   SmallFleet fleet(Engine());
   CHECK_THAT(fleet.AskUntilAnswered(), Contains("X-Request-Id: "));
 
-  SECTION("and a stream comes back to its end") {
+  SECTION("a stream is delivered completely") {
     RawClient client(fleet.entry().http_address());
     client.Write(SmallFleet::Post(kStream));
     const std::string& answer = client.ReadToEnd();
@@ -100,9 +100,9 @@
   }
 }
 
-// The operator names a certificate that this build cannot use. Serving without
-// it would show callers' keys on the network, so the entry does not start.
-TEST_CASE("An entry that is asked for TLS does not start without it") {
+// Guards against serving plaintext when a certificate is configured that this
+// build cannot use, which would expose callers' keys on the network.
+TEST_CASE("An entry with TLS configured does not start without TLS") {
   Settings settings;
   settings.entry.tls_certificate_file = "entry.pem";
   EntryProcess entry(settings, MakeNullEventLog());
@@ -111,9 +111,9 @@
   CHECK(ErrorOf(status).code == ErrorCode::kInvalidInput);
 }
 
-// The engine dies while a stream is running. The caller has got a part of the
-// answer, so nothing else can be put in its place: it sees an error event that
-// says "unknown", and no clean end.
+// The engine dies during a stream. The caller already has a part of the answer,
+// so it cannot be replaced: the stream must end with an error event of outcome
+// "unknown", not normally.
 TEST_CASE("A stream whose engine dies ends with an error event") {
   EngineOptions options = Engine();
   options.decode_tokens_per_s = 20;
@@ -130,8 +130,8 @@
   CHECK_THAT(answer, !Contains("[DONE]"));
 }
 
-// The operator stops the entry while a stream is running. The stream goes on to
-// its end, new connections are refused, and only then does the process end.
+// The operator stops the entry during a stream. The stream must run to its end
+// and new connections must be refused before the process ends.
 TEST_CASE("A planned stop of the entry lets a stream end") {
   EngineOptions options = Engine();
   options.decode_tokens_per_s = 40;
--- a/tests/shell/order_forwarder_test.cc
+++ b/tests/shell/order_forwarder_test.cc
@@ -51,18 +51,18 @@
   }
 };
 
-// A side that has just started knows nothing. An entry that is cut off from the
-// store, or whose watch is silent, may hold an order that was replaced long
-// ago; the side would obey it. So nothing is sent before a read that began
-// after the side connected.
-TEST_CASE("OrderForwarder and a side that has just connected") {
+// Guards against an outdated order reaching a side that has just started and
+// knows no fencing number. An entry that is cut off from the store, or whose
+// watch is silent, may hold an order that was replaced long ago. So nothing is
+// sent before a read that began after the side connected.
+TEST_CASE("OrderForwarder sends nothing to a new side before a fresh read") {
   Fixture f;
   f.forwarder.OnState(StateOf(10, 10, 10, 1, 12), At(0));
   f.forwarder.OnSideUp(kLink, "engine-1", At(1));
   f.forwarder.Tick(At(1));
   REQUIRE(f.reads == 1);
 
-  SECTION("is told nothing while the store does not answer") {
+  SECTION("nothing is sent while the store does not answer") {
     f.forwarder.OnStateRead(
         Error{ErrorCode::kTimeout, "store.list", "store", ""}, At(2));
     f.forwarder.OnState(StateOf(10, 10, 10, 1, 12), At(2));
@@ -70,17 +70,17 @@
     f.forwarder.Tick(At(3));
     CHECK(f.reads == 2);
   }
-  SECTION("is told nothing after a stale read") {
+  SECTION("nothing is sent after a stale read") {
     f.forwarder.OnStateRead(StateOf(5, 5, 5, 1, 6), At(2));
     CHECK(f.sent.empty());
   }
-  SECTION("is told the number and then the order after a read") {
+  SECTION("the fencing number and then the order are sent after a read") {
     f.forwarder.OnStateRead(StateOf(10, 10, 10, 1, 12), At(2));
     REQUIRE(f.sent.size() == 2);
     CHECK(f.sent[0].fencing().fencing_number() == 10);
     CHECK(f.sent[1].order().generation() == 1);
   }
-  SECTION("another one that connected after the read began has to wait") {
+  SECTION("a side that connected after the read began has to wait") {
     f.forwarder.OnSideUp(LinkId{2}, "engine-2", At(2));
     f.forwarder.OnStateRead(StateOf(10, 10, 10, 1, 12), At(2));
     CHECK(f.orders() == 1);
@@ -90,14 +90,14 @@
   }
 }
 
-TEST_CASE("OrderForwarder passes orders on") {
+TEST_CASE("OrderForwarder forwards orders") {
   Fixture f;
   f.forwarder.OnSideUp(kLink, "engine-1", At(0));
   f.forwarder.Tick(At(0));
   f.forwarder.OnStateRead(StateOf(10, 10, 10, 1, 12), At(0));
   REQUIRE(f.orders() == 1);
 
-  SECTION("repeats one until it is answered") {
+  SECTION("repeats an order until it is answered") {
     f.forwarder.Tick(At(1));
     CHECK(f.orders() == 1);
     f.forwarder.Tick(At(2));
@@ -106,25 +106,25 @@
     f.forwarder.Tick(At(10));
     CHECK(f.orders() == 2);
   }
-  SECTION("passes the next generation on at once") {
+  SECTION("forwards the next generation at once") {
     f.forwarder.OnState(StateOf(10, 10, 10, 2, 13), At(1));
     CHECK(f.orders() == 2);
     CHECK(f.sent.back().order().generation() == 2);
   }
-  SECTION("tells the new number when the lease moves, and a sealed order") {
+  SECTION("sends the new number when the lease moves, and the order under it") {
     f.forwarder.OnState(StateOf(20, 20, 10, 1, 12), At(1));
     CHECK(f.sent.back().fencing().fencing_number() == 20);
     f.forwarder.OnState(StateOf(20, 20, 20, 1, 21), At(1));
     CHECK(f.sent.back().order().fencing_number() == 20);
   }
-  // The holder slept between its decision and its write, and the write landed
+  // The holder was suspended between its decision and its write, and wrote
   // after another entry had won the lease.
-  SECTION("keeps back an order that was written after its number ended") {
+  SECTION("does not forward an order written after its number ended") {
     f.forwarder.OnState(StateOf(20, 20, 10, 2, 21), At(1));
     f.forwarder.Tick(At(30));
     CHECK(f.orders() == 1);
   }
-  SECTION("an older state takes nothing back") {
+  SECTION("an older state reverts nothing") {
     f.forwarder.OnState(StateOf(10, 10, 10, 2, 13), At(1));
     f.forwarder.OnState(StateOf(10, 10, 10, 1, 12), At(2));
     f.forwarder.Tick(At(5));
--- a/tests/shell/relay_registration_test.cc
+++ b/tests/shell/relay_registration_test.cc
@@ -7,7 +7,7 @@
 
 const RelayCandidate kRelay{"front-1", "bilbao-a", "10.1.0.38:7380", 0.09};
 
-TEST_CASE("What a registration says of relaying is read as it was written") {
+TEST_CASE("The relay lines of a registration are decoded as encoded") {
   CHECK(DecodeRelay("front-1", EncodeRelay(kRelay)) == kRelay);
   CHECK(DecodeRelay("front-1", "incarnation=1\nrenewals=7\n" +
                                    EncodeRelay(kRelay)) == kRelay);
--- a/tests/shell/relay_test.cc
+++ b/tests/shell/relay_test.cc
@@ -15,7 +15,7 @@
 using testing::HttpCall;
 using testing::WaitUntil;
 
-TEST_CASE("The relay passes connections on until told otherwise") {
+TEST_CASE("The relay forwards connections until a fault is set") {
   ServiceServer service;
   RelayServer relay(0, service.address());
   const auto status = [&](milliseconds at_most = milliseconds(20000)) {
@@ -23,10 +23,10 @@
   };
   CHECK(status() == 200);
 
-  SECTION("open connections go silent for good, new ones work") {
-    // The caller's request has reached the service when the path loses track
-    // of the connection. The answer never comes and the connection stays
-    // open, so only the caller's own deadline ends the wait.
+  SECTION("open connections stay silent, new ones work") {
+    // The path loses the state of the connection after the request has reached
+    // the service. The answer never arrives and the connection stays open, so
+    // only the caller's own deadline ends the wait.
     service.SetHold(true);
     int stuck = -1;
     std::thread caller([&] { stuck = status(milliseconds(1500)); });
@@ -39,7 +39,7 @@
     CHECK(stuck == 0);
   }
 
-  SECTION("a partition takes new connections too, and heals") {
+  SECTION("a partition also affects new connections, and heals") {
     relay.SetPartitioned(true);
     CHECK(status(milliseconds(200)) == 0);
     relay.SetPartitioned(false);
@@ -57,7 +57,7 @@
     CHECK(relay.open_connections() == 0);
   }
 
-  SECTION("a delay holds each way back") {
+  SECTION("a delay applies to each direction") {
     relay.SetDelay(milliseconds(50));
     const auto started = std::chrono::steady_clock::now();
     CHECK(status() == 200);
--- a/tests/shell/roster_keeper_test.cc
+++ b/tests/shell/roster_keeper_test.cc
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Entries that register in one store, on a clock that the test turns.
+/// Entries that register in one store, with a manual clock.
 class Scene {
  public:
   struct Entry {
@@ -80,29 +80,29 @@
   std::vector<std::unique_ptr<Entry>> entries;
 };
 
-TEST_CASE("Entries find out how many they are") {
+TEST_CASE("Entries count each other") {
   Scene scene;
   Scene::Entry& first = scene.Add("front-1");
   scene.Add("front-2");
   scene.Run(seconds(5));
   CHECK(first.counts == std::vector<std::size_t>{2});
 
-  SECTION("and how each is asked for the store's changes") {
+  SECTION("they learn how to ask each other for the store's changes") {
     CHECK(first.relays == std::vector<RelayCandidate>{
                               {"front-1", "bilbao", "10.0.0.1:7380", 0.5},
                               {"front-2", "bilbao", "10.0.0.1:7380", 0.5}});
   }
-  SECTION("one that comes later is counted within the list's interval") {
+  SECTION("an entry that starts later is counted within the list interval") {
     scene.Add("front-3");
     scene.Run(seconds(25));
     CHECK(first.counts.back() == 3);
   }
-  SECTION("one that stops is gone from the next list on") {
+  SECTION("an entry that stops is gone from the next list on") {
     scene.entries[1]->keeper.Stop();
     scene.Run(seconds(25));
     CHECK(first.counts.back() == 1);
   }
-  SECTION("one that was killed expires, and its registration is deleted") {
+  SECTION("a killed entry expires, and its registration is deleted") {
     scene.entries.pop_back();
     scene.Run(seconds(100));
     CHECK(first.counts.back() == 2);
@@ -110,14 +110,14 @@
     CHECK(first.counts.back() == 1);
     CHECK_FALSE(scene.platform.Peek("entries/front-2"));
   }
-  SECTION("a process of the same name takes the registration over") {
+  SECTION("a process of the same name takes over the registration") {
     scene.entries.pop_back();
     scene.Add("front-2");
     scene.Run(seconds(400));
     CHECK(first.counts.back() == 2);
     CHECK(scene.platform.Peek("entries/front-2"));
   }
-  SECTION("calls stay few") {
+  SECTION("the number of calls is bounded") {
     const auto puts = scene.Calls("put");
     const auto lists = scene.Calls("list");
     scene.Run(seconds(600));
@@ -126,9 +126,9 @@
   }
 }
 
-/// Guards against renewals that grow with the fleet: each is a write.
+/// Guards against renewals that grow with the fleet; each renewal is a write.
 TEST_CASE("A large fleet renews no more often than one of 200 entries") {
-  // The rate of 200 entries: a renewal in half of the interval to all of it.
+  // The rate of 200 entries, each renewed after half to all of the interval.
   constexpr double kMostWrites = 200 / 30.0;
   for (const std::size_t entries : {30, 100, 200, 300}) {
     INFO(entries << " entries");
@@ -149,9 +149,9 @@
   }
 }
 
-/// Guards against entries that count too few others, since those renew at the
-/// pace of the larger fleet that they belonged to.
-TEST_CASE("A fleet that shrinks loses nobody who is alive") {
+/// Guards against entries that count too few others, because the others still
+/// renew at the slower rate of the larger fleet.
+TEST_CASE("A shrinking fleet still counts every live entry") {
   Scene scene;
   for (int n = 0; n < 400; ++n) {
     scene.Add("front-" + std::to_string(n));
@@ -172,8 +172,8 @@
   CHECK(least == 10);
 }
 
-/// Guards against a list of all entries each second at each of them, for as
-/// long as a start lasts.
+/// Guards against every entry listing all entries each second for as long as a
+/// start lasts.
 TEST_CASE("Entries that start together list each other a few times") {
   constexpr std::size_t kEntries = 100;
   Scene scene;
@@ -183,7 +183,7 @@
   scene.Run(seconds(10));
   CHECK(scene.Calls("list") <= 4 * kEntries);
 
-  SECTION("and find one that comes a little later") {
+  SECTION("they find an entry that starts a little later") {
     scene.Add("front-late");
     scene.Run(seconds(20));
     for (const auto& it : scene.entries) {
@@ -192,9 +192,10 @@
   }
 }
 
-// The store does a renewal and its answer is lost, or it is away for a while.
-// The entry goes on renewing, and no other takes it for gone.
-TEST_CASE("A registration outlasts lost answers and a store that is away") {
+// The store performs a renewal but its answer is lost, or the store is
+// unreachable for a while. The entry must keep renewing, and no other may treat
+// it as gone.
+TEST_CASE("A registration survives lost answers and a store outage") {
   Scene scene;
   Scene::Entry& first = scene.Add("front-1");
   scene.Add("front-2");
@@ -207,7 +208,7 @@
     scene.Run(seconds(400));
     CHECK(first.counts == std::vector<std::size_t>{2});
   }
-  SECTION("away for longer than a registration lasts") {
+  SECTION("an outage longer than a registration's lifetime") {
     scene.platform.SetDown(true);
     scene.Run(seconds(300));
     scene.platform.SetDown(false);
@@ -218,30 +219,30 @@
   }
 }
 
-TEST_CASE("What is parted among entries follows their list closely") {
+TEST_CASE("Frequent listing keeps the list of entries current") {
   Scene scene;
   Scene::Entry& first = scene.Add("front-1");
   scene.Run(seconds(30));
   CHECK(first.view.names == std::vector<std::string>{"front-1"});
   CHECK(first.view.registered_at);
 
-  SECTION("a newcomer is on it within two seconds and a call") {
+  SECTION("a new entry is listed within two seconds and a call") {
     first.keeper.ListClosely(true);
     scene.Add("front-2");
     scene.Run(milliseconds(2600));
     CHECK(first.view.names.size() == 2);
   }
-  SECTION("it is asked for at once when that begins") {
+  SECTION("the first list is read at once") {
     const TimePoint before = scene.now;
     first.keeper.ListClosely(true);
     scene.Run(milliseconds(600));
     CHECK(first.view.listed_at >= before);
   }
-  SECTION("a planned stop gives the entry's part up") {
+  SECTION("a planned stop withdraws the entry") {
     first.keeper.Stop();
     CHECK_FALSE(first.view.registered_at);
   }
-  SECTION("without it calls stay few") {
+  SECTION("the number of calls is bounded once frequent listing ends") {
     first.keeper.ListClosely(true);
     scene.Run(seconds(10));
     first.keeper.ListClosely(false);
@@ -252,8 +253,8 @@
   }
 }
 
-/// Guards against an entry that goes on using its part of what entries divide
-/// after the others have taken it for gone.
+/// Guards against an entry that keeps using its share of a divided resource
+/// after the others treat it as gone.
 TEST_CASE(
     "An entry whose registration is not renewed leaves before it expires") {
   Scene scene;
@@ -267,7 +268,7 @@
   scene.Run(RosterPace().ExpireAfter(1));
   CHECK_FALSE(entry.view.registered_at);
 
-  SECTION("and joins anew once it is renewed") {
+  SECTION("it rejoins once it is renewed") {
     scene.platform.SetFaults({});
     scene.Run(seconds(10));
     REQUIRE(entry.view.registered_at);
--- a/tests/shell/stage_service_test.cc
+++ b/tests/shell/stage_service_test.cc
@@ -20,7 +20,7 @@
 using std::chrono::seconds;
 using Kind = TargetChange::Kind;
 
-/// Client of an engine that answers reports, and orders unless told not to.
+/// Client of an engine that answers reports and, unless disabled, orders.
 class EngineClient : public TargetClient {
  public:
   EngineClient(boost::asio::io_context* io, int* orders, const bool* silent)
@@ -77,7 +77,7 @@
   return words;
 }
 
-/// One entry that gives orders to engines of a service.
+/// One entry that sends orders to engines of a service.
 class Scene {
  public:
   Scene()
@@ -94,7 +94,7 @@
     carrier_.OnTarget({kind, target});
     service_.OnEngine({kind, target});
   }
-  /// Registers `n` engines, of which the first `answering` make answers.
+  /// Registers `n` engines, of which the first `answering` decode.
   void AddEngines(int n, int answering, const std::string& suffix = "") {
     for (int it = 0; it < n; ++it) {
       TargetRecord target;
@@ -121,7 +121,7 @@
       io_.restart();
     }
   }
-  /// Another entry held the lease before and is gone.
+  /// Stores a lease that another entry held before it was lost.
   void LeaveLease() {
     LeaseRecord record;
     record.holder = "front-9";
@@ -184,20 +184,21 @@
 
 constexpr RoleLoad kHalfAnswers{1, 1};
 
-// An order gets no answer, and nothing may follow it for 13 s. The engine
-// starts again in that time: the new run has nothing of the order, and would
-// make answers where it should read until the time is over.
-TEST_CASE("An unanswered order does not bind the engine's next run") {
+// An unanswered order blocks further orders to the engine for 13 s. If the
+// engine restarts in that time, the new run does not know the order and would
+// decode instead of prefill until the time is over.
+TEST_CASE(
+    "An unanswered order does not block orders to the engine's next run") {
   Scene scene;
   scene.silent = true;
   scene.AddEngines(5, 4);
   scene.RunFor(seconds(8), kHalfAnswers);
-  REQUIRE(scene.orders == 1);  // Three of five answer; none may repeat it.
-  SECTION("without a restart it does") {
+  REQUIRE(scene.orders == 1);  // Three of five decode; none may repeat it.
+  SECTION("without a restart no further order is sent") {
     scene.RunFor(seconds(3), kHalfAnswers);
     CHECK(scene.orders == 1);
   }
-  SECTION("after one it is given anew") {
+  SECTION("after a restart the order is sent again") {
     for (std::size_t n = 0; n < 5; ++n) {
       scene.Restart(n);
     }
@@ -206,12 +207,12 @@
   }
 }
 
-// The holder of the lease dies. The entry that takes over has seen less of the
-// traffic; if it began with its own guess, engines would change roles, and back
-// once it has seen as much.
-TEST_CASE("A holder that follows another begins with the roles it finds") {
+// The lease holder dies. The entry that takes over has seen less of the
+// traffic; if it began with its own estimate, engines would change roles, and
+// change back once it has seen as much.
+TEST_CASE("A new holder keeps the roles that it finds") {
   Scene scene;
-  SECTION("after another one") {
+  SECTION("after another holder") {
     scene.LeaveLease();
     scene.AddEngines(18, 9);
     scene.RunFor(seconds(2), RoleLoad{4, 1});
@@ -220,20 +221,20 @@
       scene.RunFor(milliseconds(200), RoleLoad{4, 1});
       ++orders_in_first_seconds;
     }
-    // The roles found are held for as long as a load must last.
+    // The roles are kept for as long as a load must last.
     CHECK(scene.orders > 0);
     CHECK(scene.orders <= 2);
   }
-  SECTION("the first of all orders as the load asks, all at once") {
+  SECTION("the very first holder orders what the load requires, all at once") {
     scene.AddEngines(18, 9);
     scene.RunFor(seconds(4), RoleLoad{4, 1});
     CHECK(scene.orders > 2);
   }
 }
 
-/// Guards against a lease that stays with an entry which has stopped: nobody
-/// gives orders or reports usage until it lapses.
-TEST_CASE("A planned stop gives the lease up, a renewal in flight or not") {
+/// Guards against a lease that stays with a stopped entry: until it expires, no
+/// entry sends orders or reports usage.
+TEST_CASE("A planned stop releases the lease, also during a renewal") {
   Scene scene;
   scene.AddEngines(4, 2);
   scene.RunFor(seconds(6), kHalfAnswers);
@@ -243,11 +244,12 @@
   CHECK(scene.Holder().empty());
 }
 
-// A thousand engines register within a second. An entry that passed the whole
-// list on for each of them would serve no caller meanwhile: a thin one has a
-// tenth of a core. Copies of an engine's record are counted by what they
-// allocate: 1,000 for each engine before, a few now.
-TEST_CASE("Many engines that come at once are passed on once") {
+// Guards against passing the whole list on for each of a thousand engines that
+// register within a second: a small entry, with a tenth of a core, would serve
+// no caller meanwhile. The test counts copies of engine records by their
+// allocations, which were 1,000 for each engine before the fix and are a few
+// now.
+TEST_CASE("Many engines that register at once are passed on once") {
   constexpr int kEngines = 1000;
   Scene scene;
   const std::uint64_t before = AllocationsOfThisThread();
--- a/tests/shell/usage_service_test.cc
+++ b/tests/shell/usage_service_test.cc
@@ -18,7 +18,7 @@
 constexpr UsageWindow kWindow = 353'445'120;
 constexpr char kFixedKey[] = "control/usage";
 
-/// Takes reports at once, or keeps them waiting.
+/// Answers reports at once, or withholds the answers.
 class Receiver : public TargetClient {
  public:
   std::unique_ptr<Call> Start(TargetRequest request, Hooks hooks) override {
@@ -71,7 +71,7 @@
   return dialect;
 }
 
-/// Entries with one store and one receiver, on a clock that the test turns.
+/// Entries with one store and one receiver, with a manual clock.
 class Scene {
  public:
   struct Entry {
@@ -109,7 +109,7 @@
     return *entries.back();
   }
 
-  /// Ends the entry without a word, as a kill does.
+  /// Destroys the entry without a planned stop, as a kill does.
   void Kill(const Entry& entry) {
     std::erase_if(entries, [&](const auto& it) { return it.get() == &entry; });
   }
@@ -134,7 +134,7 @@
 
   static constexpr TimePoint kBegin{seconds(1000)};
   TimePoint now = kBegin;
-  WallMicros step = 0;  ///< By which every machine's time of day is off.
+  WallMicros step = 0;  ///< Added to the time of day of every machine.
   std::uint64_t runs = 0;
   boost::asio::io_context io;
   FakePlatform platform{&io};
@@ -160,21 +160,21 @@
   CHECK(scene.receiver.bodies ==
         Bodies{"window 0: owner=1 salon=2 by front-1 under 7"});
 
-  SECTION("once for each window, also if nothing was asked in it") {
+  SECTION("once for each window, also without requests") {
     scene.Run(seconds(10));
     CHECK(scene.receiver.bodies ==
           Bodies{"window 0: owner=1 salon=2 by front-1 under 7",
                  "window 1: by front-1 under 7",
                  "window 2: by front-1 under 7"});
   }
-  SECTION("a step of the time of day moves no request") {
+  SECTION("a step of the time of day moves no request to another window") {
     scene.step = 20 * kSecond;
     second.service.Count("salon", scene.now);
     scene.Run(seconds(6));
     CHECK(scene.receiver.bodies.back() ==
           "window 1: salon=1 by front-1 under 7");
   }
-  SECTION("nobody else reports") {
+  SECTION("only the holder reports") {
     CHECK(scene.platform.calls().at("put") > 0);
     for (const std::string& it : scene.receiver.bodies) {
       CHECK(it.find("front-2") == std::string::npos);
@@ -182,9 +182,9 @@
   }
 }
 
-// A fleet starts long before its traffic, and some entries never get any.
+// A fleet may start long before its traffic, and some entries never get any.
 TEST_CASE(
-    "An entry that has counted nothing writes once, and holds nothing up") {
+    "An entry that has counted nothing writes once and delays no report") {
   Scene scene;
   Scene::Entry& first = scene.Start("front-1");
   Scene::Entry& second = scene.Start("front-2");
@@ -196,7 +196,7 @@
   CHECK(scene.receiver.bodies ==
         Bodies{"window 4: salon=1 by front-1 under 7"});
 
-  SECTION("until it counts") {
+  SECTION("its first request is reported") {
     second.service.Count("owner", scene.now);
     scene.Run(seconds(5));
     CHECK(scene.receiver.bodies.back() ==
@@ -204,8 +204,9 @@
   }
 }
 
-// An entry is killed in the middle of a window. Its callers' requests before
-// its last write stay counted; the holder waits for it no longer than it may.
+// An entry is killed in the middle of a window. The requests before its last
+// write must stay counted, and the holder must not wait for it beyond its
+// limit.
 TEST_CASE("What a killed entry had written is reported") {
   Scene scene;
   Scene::Entry& first = scene.Start("front-1");
@@ -217,7 +218,7 @@
   second.service.Count("salon", scene.now);
   scene.Kill(second);
 
-  SECTION("all but what came after it") {
+  SECTION("without the requests after its last write") {
     scene.Run(seconds(10));
     CHECK(scene.receiver.bodies ==
           Bodies{"window 0: salon=1 by front-1 under 7"});
@@ -231,7 +232,7 @@
   }
 }
 
-TEST_CASE("A planned stop leaves nothing uncounted") {
+TEST_CASE("A planned stop leaves no request uncounted") {
   Scene scene;
   Scene::Entry& first = scene.Start("front-1");
   Scene::Entry& second = scene.Start("front-2");
@@ -248,9 +249,9 @@
         Bodies{"window 0: salon=1 by front-1 under 7"});
 }
 
-// The holder has settled a report and sent it, but no answer came; then it is
-// killed. Another entry takes over, which has counted more meanwhile.
-TEST_CASE("A new holder repeats what the one before settled") {
+// The holder has settled and sent a report, but is killed before an answer
+// arrives. Another entry takes over, which has counted more meanwhile.
+TEST_CASE("A new holder repeats the report that the previous one settled") {
   Scene scene;
   Scene::Entry& first = scene.Start("front-1");
   Scene::Entry& second = scene.Start("front-2");
@@ -282,8 +283,8 @@
   CHECK(scene.receiver.bodies.empty());
 }
 
-// The store is down for longer than a window: nobody can settle a report. What
-// was counted is kept and told afterwards, in order.
+// The store is down for longer than a window, so no report can be settled. The
+// counts must be kept and reported afterwards, in order.
 TEST_CASE("Reports catch up after an outage of the store") {
   Scene scene;
   Scene::Entry& only = scene.Start("front-1");
