--- a/src/entry/control_records.cc
+++ b/src/entry/control_records.cc
@@ -220,9 +220,9 @@
   status.deployment = peer.target.deployment();
   status.failure_domain = peer.failure_domain;
   const auto aged = [&peer](auto value, TimePoint at) {
-    auto figure = Timestamped<decltype(value)>::Seen(std::move(value), at);
-    figure.unknown_since = peer.down_since;
-    return figure;
+    auto aged_value = Timestamped<decltype(value)>::Seen(std::move(value), at);
+    aged_value.unknown_since = peer.down_since;
+    return aged_value;
   };
   status.health = aged(HealthName(peer.target.health()), peer.target_at);
   status.role = aged(peer.target.role(), peer.target_at);
--- a/src/entry/control_duty.cc
+++ b/src/entry/control_runner.cc
@@ -1,4 +1,4 @@
-#include "entry/control_duty.h"
+#include "entry/control_runner.h"
 
 #include <map>
 
@@ -8,11 +8,11 @@
 namespace indigolead {
 namespace {
 
-constexpr std::size_t kRingPlaces = 4096;
+constexpr std::size_t kRingCapacity = 4096;
 constexpr std::chrono::milliseconds kTickInterval{100};
 constexpr std::chrono::milliseconds kSnapshotInterval{500};
 
-double RandomShare() {
+double RandomFraction() {
   constexpr double kRange = 18446744073709551616.0;
   return static_cast<double>(RandomId().lo) / kRange;
 }
@@ -35,18 +35,19 @@
 
 }  // namespace
 
-ControlDuty::ControlDuty(boost::asio::io_context* platform_io,
-                         boost::asio::io_context* dispatch_io,
-                         ObjectStore* store, const RevisionTable* book,
-                         const Settings& settings,
-                         const Incarnation& incarnation, Hooks hooks,
-                         EventLog log)
+ControlRunner::ControlRunner(boost::asio::io_context* platform_io,
+                             boost::asio::io_context* dispatch_io,
+                             ObjectStore* store, const RevisionTable* book,
+                             const Settings& settings,
+                             const Incarnation& incarnation, Hooks hooks,
+                             EventLog log)
     : book_(book),
       hooks_(std::move(hooks)),
       log_(std::move(log)),
-      to_platform_(platform_io, kRingPlaces,
-                   [this](ToPlatform&& it) { OnToPlatform(std::move(it)); }),
-      to_send_(dispatch_io, kRingPlaces,
+      to_platform_(
+          platform_io, kRingCapacity,
+          [this](ToPlatform&& it) { OnPlatformMessage(std::move(it)); }),
+      to_send_(dispatch_io, kRingCapacity,
                [this](ToSend&& it) { hooks_.send(it.link, it.message); }),
       platform_outbox_(&to_platform_),
       send_outbox_(&to_send_),
@@ -55,15 +56,15 @@
                log_),
       tick_timer_(*platform_io) {}
 
-ControlService::Hooks ControlDuty::ServiceHooks() {
+ControlService::Hooks ControlRunner::ServiceHooks() {
   return {[this](LinkId link, const wire::Envelope& message) {
             send_outbox_.Push(ToSend{link, message});
             return true;
           },
-          hooks_.role_plan, RandomShare};
+          hooks_.role_plan, RandomFraction};
 }
 
-EntryService ControlDuty::Service() {
+EntryService ControlRunner::Service() {
   EntryService service;
   service.handle_message = [this](LinkId link, const wire::Envelope& message) {
     return OnMessage(link, message);
@@ -78,27 +79,27 @@
   return service;
 }
 
-void ControlDuty::OnRevision(const Revision& revision) {
+void ControlRunner::OnRevision(const Revision& revision) {
   platform_outbox_.Push(std::make_shared<const Revision>(revision));
 }
 
-void ControlDuty::Start() {
+void ControlRunner::Start() {
   service_.Start();
   ArmTick();
 }
 
-void ControlDuty::Stop() {
+void ControlRunner::Stop() {
   stopped_ = true;
   tick_timer_.cancel();
   service_.Stop();
 }
 
-bool ControlDuty::Stopped() {
+bool ControlRunner::Stopped() {
   service_.Stop();
   return !service_.named_in_lease();
 }
 
-void ControlDuty::OnPlatformEvent(const PlatformEvent& event) {
+void ControlRunner::OnPlatformEvent(const PlatformEvent& event) {
   if (const auto* drains = std::get_if<DrainListRead>(&event)) {
     std::map<std::string, std::string> causes;
     for (const std::string& instance : drains->instances) {
@@ -110,12 +111,12 @@
   }
 }
 
-std::string ControlDuty::StatusJson() const {
+std::string ControlRunner::StatusJson() const {
   const std::lock_guard<std::mutex> lock(status_mutex_);
   return status_;
 }
 
-void ControlDuty::PublishStatus(TimePoint now) {
+void ControlRunner::PublishStatus(TimePoint now) {
   if (now < next_status_) {
     return;
   }
@@ -125,7 +126,7 @@
   status_ = std::move(status);
 }
 
-bool ControlDuty::OnMessage(LinkId link, const wire::Envelope& message) {
+bool ControlRunner::OnMessage(LinkId link, const wire::Envelope& message) {
   // A heartbeat is dropped while earlier messages wait for room in the ring;
   // the next one carries the same data.
   const bool room = platform_outbox_.waiting() == 0;
@@ -135,7 +136,7 @@
   return message.has_order_status();
 }
 
-void ControlDuty::OnToPlatform(ToPlatform&& event) {
+void ControlRunner::OnPlatformMessage(ToPlatform&& event) {
   if (stopped_) {
     return;
   }
@@ -153,7 +154,7 @@
   }
 }
 
-void ControlDuty::DispatchTick(TimePoint now) {
+void ControlRunner::DispatchTick(TimePoint now) {
   platform_outbox_.Flush();
   if (now < next_snapshot_ || platform_outbox_.waiting() > 0) {
     return;
@@ -169,7 +170,7 @@
   platform_outbox_.Push(std::move(snapshot));
 }
 
-void ControlDuty::ArmTick() {
+void ControlRunner::ArmTick() {
   tick_timer_.expires_after(kTickInterval);
   tick_timer_.async_wait([this](const boost::system::error_code& ec) {
     if (ec || stopped_) {
--- a/src/entry/control_duty.h
+++ b/src/entry/control_runner.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_ENTRY_CONTROL_DUTY_H_
-#define INDIGOLEAD_ENTRY_CONTROL_DUTY_H_
+#ifndef INDIGOLEAD_ENTRY_CONTROL_RUNNER_H_
+#define INDIGOLEAD_ENTRY_CONTROL_RUNNER_H_
 
 #include <utility>
 // Asio of Boost 1.74 needs <utility> before it.
@@ -25,7 +25,7 @@
 /// Runs a `ControlService` across an entry's threads: links and revisions
 /// belong to the dispatch thread, everything that waits for the store runs on
 /// the platform thread, and bounded rings pass messages between the two.
-class ControlDuty {
+class ControlRunner {
  public:
   struct Hooks {
     /// Sends on a link. Called on the dispatch thread.
@@ -35,12 +35,12 @@
 
   /// The io_contexts, `store` and `book` must outlive this object; `book` is
   /// read on the dispatch thread.
-  ControlDuty(boost::asio::io_context* platform_io,
-              boost::asio::io_context* dispatch_io, ObjectStore* store,
-              const RevisionTable* book, const Settings& settings,
-              const Incarnation& incarnation, Hooks hooks, EventLog log);
-  ControlDuty(const ControlDuty&) = delete;
-  ControlDuty& operator=(const ControlDuty&) = delete;
+  ControlRunner(boost::asio::io_context* platform_io,
+                boost::asio::io_context* dispatch_io, ObjectStore* store,
+                const RevisionTable* book, const Settings& settings,
+                const Incarnation& incarnation, Hooks hooks, EventLog log);
+  ControlRunner(const ControlRunner&) = delete;
+  ControlRunner& operator=(const ControlRunner&) = delete;
 
   /// Returns the part that runs on the dispatch thread.
   EntryService Service();
@@ -59,8 +59,8 @@
 
   /// Returns the fencing number while this entry holds the control lease. Must
   /// be called on the platform thread.
-  std::optional<FencingNumber> HeldNumber() const {
-    return service_.HeldNumber();
+  std::optional<FencingNumber> HeldFencingNumber() const {
+    return service_.HeldFencingNumber();
   }
 
   /// Handles an event of the platform. Called on the platform thread.
@@ -93,7 +93,7 @@
                    std::shared_ptr<const Revision>, ConfigSnapshot>;
 
   ControlService::Hooks ServiceHooks();
-  void OnToPlatform(ToPlatform&& event);
+  void OnPlatformMessage(ToPlatform&& event);
   bool OnMessage(LinkId link, const wire::Envelope& message);
   void DispatchTick(TimePoint now);
   void PublishStatus(TimePoint now);
@@ -117,4 +117,4 @@
 
 }  // namespace indigolead
 
-#endif  // INDIGOLEAD_ENTRY_CONTROL_DUTY_H_
+#endif  // INDIGOLEAD_ENTRY_CONTROL_RUNNER_H_
--- a/src/entry/control_service.cc
+++ b/src/entry/control_service.cc
@@ -311,10 +311,12 @@
          record->incarnation == options_.incarnation;
 }
 
-std::optional<FencingNumber> ControlService::HeldNumber() const {
+std::optional<FencingNumber> ControlService::HeldFencingNumber() const {
   return controller_.lease().Authority(clock_());
 }
 
-bool ControlService::holds_lease() const { return HeldNumber().has_value(); }
+bool ControlService::holds_lease() const {
+  return HeldFencingNumber().has_value();
+}
 
 }  // namespace indigolead
--- a/src/entry/control_service.h
+++ b/src/entry/control_service.h
@@ -13,7 +13,7 @@
 #include "core/control/status.h"
 #include "entry/controller.h"
 #include "entry/order_forwarder.h"
-#include "entry/own_object.h"
+#include "entry/single_writer_object.h"
 #include "observe/event_log.h"
 #include "store/list_watcher.h"
 #include "store/object_store.h"
@@ -98,7 +98,7 @@
 
   /// Returns the fencing number under which this entry acts, if it has
   /// authority.
-  std::optional<FencingNumber> HeldNumber() const;
+  std::optional<FencingNumber> HeldFencingNumber() const;
   /// Returns true while this entry acts as the controller.
   bool holds_lease() const;
   /// Returns true while the newest lease seen names this entry, whether or not
@@ -147,8 +147,8 @@
   OrderForwarder forwarder_;
   AuditTrail audit_;
   ListWatcher watcher_;
-  OwnObject applied_object_;
-  std::map<std::string, OwnObject> audit_objects_;
+  SingleWriterObject applied_object_;
+  std::map<std::string, SingleWriterObject> audit_objects_;
 
   std::map<std::string, Peer> peers_;
   std::map<LinkId, std::string> links_;
--- a/src/entry/controller.cc
+++ b/src/entry/controller.cc
@@ -35,7 +35,7 @@
     return;
   }
   lease_.Tick();
-  Carry(reconciler_.Tick(lease_.Authority(), clock_()));
+  ExecuteActions(reconciler_.Tick(lease_.Authority(), clock_()));
 }
 
 void Controller::Resign() { lease_.Resign(); }
@@ -47,18 +47,18 @@
 LeaseKeeper::Hooks Controller::LeaseHooks() {
   LeaseKeeper::Hooks hooks;
   hooks.on_gained = [this](FencingNumber number) {
-    NoteMove("lease won", number, "", options_.lease.holder);
+    RecordLeaseChange("lease won", number, "", options_.lease.holder);
   };
   hooks.on_lost = [this](FencingNumber number, LeaseLoss reason) {
-    NoteMove("lease " + std::string(LeaseLossName(reason)), number,
-             options_.lease.holder, "");
+    RecordLeaseChange("lease " + std::string(LeaseLossName(reason)), number,
+                      options_.lease.holder, "");
   };
   hooks.jitter = hooks_.jitter;
   return hooks;
 }
 
-void Controller::NoteMove(std::string cause, FencingNumber number,
-                          std::string before, std::string after) {
+void Controller::RecordLeaseChange(std::string cause, FencingNumber number,
+                                   std::string before, std::string after) {
   AuditRecord record;
   record.kind = AuditKind::kLease;
   record.subject = kLeaseKey;
@@ -70,7 +70,7 @@
   hooks_.audit(std::move(record));
 }
 
-void Controller::Carry(const Reconciler::Actions& actions) {
+void Controller::ExecuteActions(const Reconciler::Actions& actions) {
   for (const Reconciler::Action& action : actions) {
     if (std::holds_alternative<Reconciler::ReadOrders>(action)) {
       ReadOrders();
--- a/src/entry/controller.h
+++ b/src/entry/controller.h
@@ -63,9 +63,9 @@
  private:
   LeaseKeeper::Options LeaseOptions() const;
   LeaseKeeper::Hooks LeaseHooks();
-  void NoteMove(std::string cause, FencingNumber number, std::string before,
-                std::string after);
-  void Carry(const Reconciler::Actions& actions);
+  void RecordLeaseChange(std::string cause, FencingNumber number,
+                         std::string before, std::string after);
+  void ExecuteActions(const Reconciler::Actions& actions);
   void ReadOrders();
   void ReadOrder(const std::string& target);
   void WriteOrder(const Reconciler::WriteOrder& write);
--- a/src/entry/crash_service.h
+++ b/src/entry/crash_service.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "core/request/crash_ledger.h"
-#include "entry/own_object.h"
+#include "entry/single_writer_object.h"
 #include "observe/event_log.h"
 #include "observe/metrics.h"
 #include "store/list_watcher.h"
@@ -73,7 +73,7 @@
   RunAfter run_after_;
   EventLog log_;
   CrashLedger ledger_;
-  OwnObject own_object_;
+  SingleWriterObject own_object_;
   bool listed_ = false;
   bool unpublished_ = false;             ///< The stored object is out of date.
   std::optional<TimePoint> publish_at_;  ///< Due time of non-urgent changes.
--- a/src/entry/entry_process.cc
+++ b/src/entry/entry_process.cc
@@ -13,30 +13,30 @@
 #include <thread>
 
 #include "entry/callers_server.h"
-#include "entry/control_duty.h"
+#include "entry/control_runner.h"
 #include "entry/dispatcher.h"
 #include "entry/events.h"
 #include "entry/guard_runtime.h"
 #include "entry/load_control.h"
-#include "entry/platform_duty.h"
+#include "entry/platform_watcher.h"
 #include "runtime/clock.h"
 #include "runtime/outbox.h"
 
 namespace indigolead {
 namespace {
 
-constexpr std::size_t kRingPlaces = 16384;
-constexpr std::size_t kPlatformRingPlaces = 1024;
+constexpr std::size_t kRingCapacity = 16384;
+constexpr std::size_t kPlatformRingCapacity = 1024;
 constexpr std::chrono::milliseconds kDrainPoll{20};
-constexpr std::chrono::milliseconds kResignWait{500};
+constexpr std::chrono::milliseconds kResignTimeout{500};
 
 /// A named thread and the io_context that it runs.
-class DutyThread {
+class IoThread {
  public:
   /// `name` is shown by system tools; at most 15 characters.
-  explicit DutyThread(const char* name)
+  explicit IoThread(const char* name)
       : name_(name), work_(boost::asio::make_work_guard(io_)) {}
-  ~DutyThread() { Join(); }
+  ~IoThread() { Join(); }
 
   boost::asio::io_context* io() { return &io_; }
   void Start() {
@@ -122,12 +122,12 @@
         log_(std::move(log)),
         stop_fd_(eventfd(0, EFD_CLOEXEC)),
         to_callers_(
-            callers_thread_.io(), kRingPlaces,
+            callers_thread_.io(), kRingCapacity,
             [this](ToCallers&& it) { callers_.OnMessage(std::move(it)); }),
         to_dispatch_(
-            dispatch_thread_.io(), kRingPlaces,
+            dispatch_thread_.io(), kRingCapacity,
             [this](ToDispatch&& it) { dispatcher_.OnMessage(std::move(it)); }),
-        from_platform_(dispatch_thread_.io(), kPlatformRingPlaces,
+        from_platform_(dispatch_thread_.io(), kPlatformRingCapacity,
                        [this](PlatformEvent&& it) {
                          dispatcher_.OnMessage(std::move(it));
                        }),
@@ -267,8 +267,8 @@
     return hooks;
   }
 
-  ControlDuty::Hooks ControlHooks() {
-    ControlDuty::Hooks hooks;
+  ControlRunner::Hooks ControlHooks() {
+    ControlRunner::Hooks hooks;
     hooks.send = [this](LinkId link, const wire::Envelope& message) {
       return dispatcher_.links().Send(link, message);
     };
@@ -282,7 +282,7 @@
     };
     hooks.flow = [this]() -> RequestFlow& { return dispatcher_.flow(); };
     hooks.flush = [this] { dispatcher_.Flush(); };
-    hooks.fencing_number = [this] { return control_.HeldNumber(); };
+    hooks.fencing_number = [this] { return control_.HeldFencingNumber(); };
     return hooks;
   }
 
@@ -346,7 +346,7 @@
       control_.Stop();
       guards_.Stop();
     });
-    const TimePoint limit = BootTimeNow() + kResignWait;
+    const TimePoint limit = BootTimeNow() + kResignTimeout;
     for (bool stopped = false; !stopped && BootTimeNow() < limit;) {
       platform_thread_.Call([&] { stopped = control_.Stopped(); });
       std::this_thread::sleep_for(stopped ? Duration{} : Duration(kDrainPoll));
@@ -375,9 +375,9 @@
   bool started_ = false;
   std::string http_address_;
   std::string link_address_;
-  DutyThread callers_thread_{"entry-callers"};
-  DutyThread dispatch_thread_{"entry-dispatch"};
-  DutyThread platform_thread_{"entry-platform"};
+  IoThread callers_thread_{"entry-callers"};
+  IoThread dispatch_thread_{"entry-dispatch"};
+  IoThread platform_thread_{"entry-platform"};
   Mailbox<ToCallers> to_callers_;
   Mailbox<ToDispatch> to_dispatch_;
   Mailbox<PlatformEvent> from_platform_;
@@ -386,11 +386,11 @@
   Outbox<PlatformEvent> platform_outbox_;
   const Incarnation incarnation_{RandomId()};
   LoadControl load_control_;
-  PlatformDuty platform_;
+  PlatformWatcher platform_;
   GuardRuntime guards_;
   Dispatcher dispatcher_;
   CallersServer callers_;
-  ControlDuty control_;
+  ControlRunner control_;
 };
 
 EntryProcess::EntryProcess(Settings settings, EventLog log)
--- a/src/entry/lease_keeper.cc
+++ b/src/entry/lease_keeper.cc
@@ -21,18 +21,18 @@
 LeaseKeeper::~LeaseKeeper() { *alive_ = false; }
 
 void LeaseKeeper::OnWatched(const LeaseView& view) {
-  Carry(lease_.OnWatched(view, clock_()));
+  ExecuteActions(lease_.OnWatched(view, clock_()));
 }
 
-void LeaseKeeper::Tick() { Carry(lease_.Tick(clock_())); }
+void LeaseKeeper::Tick() { ExecuteActions(lease_.Tick(clock_())); }
 
-void LeaseKeeper::Resign() { Carry(lease_.Resign(clock_())); }
+void LeaseKeeper::Resign() { ExecuteActions(lease_.Resign(clock_())); }
 
 std::optional<FencingNumber> LeaseKeeper::Authority() const {
   return lease_.Authority(clock_());
 }
 
-void LeaseKeeper::Carry(const Lease::Actions& actions) {
+void LeaseKeeper::ExecuteActions(const Lease::Actions& actions) {
   for (const Lease::Action& action : actions) {
     if (std::holds_alternative<Lease::Read>(action)) {
       Read();
@@ -64,7 +64,7 @@
                 } else {
                   view = ErrorOf(result);
                 }
-                Carry(lease_.OnRead(view, clock_()));
+                ExecuteActions(lease_.OnRead(view, clock_()));
               });
 }
 
@@ -74,7 +74,7 @@
               [this, alive = alive_, nonce = write.record.nonce](
                   const Result<std::uint64_t>& result) {
                 if (*alive) {
-                  Carry(lease_.OnWritten(nonce, result, clock_()));
+                  ExecuteActions(lease_.OnWritten(nonce, result, clock_()));
                 }
               });
 }
--- a/src/entry/lease_keeper.h
+++ b/src/entry/lease_keeper.h
@@ -50,7 +50,7 @@
   const Lease& lease() const { return lease_; }
 
  private:
-  void Carry(const Lease::Actions& actions);
+  void ExecuteActions(const Lease::Actions& actions);
   void Read();
   void Write(const Lease::Write& write);
 
--- a/src/entry/order_forwarder.cc
+++ b/src/entry/order_forwarder.cc
@@ -39,7 +39,7 @@
   }
   Merge(ValueOf(answer));
   for (auto& [link, side] : sides_) {
-    side.trusted = side.trusted || side.up_at <= *sent_at;
+    side.read_confirmed = side.read_confirmed || side.up_at <= *sent_at;
     Update(link, &side, now);
   }
 }
@@ -66,9 +66,9 @@
 }
 
 void OrderForwarder::Tick(TimePoint now) {
-  const bool waiting =
-      std::any_of(sides_.begin(), sides_.end(),
-                  [](const auto& entry) { return !entry.second.trusted; });
+  const bool waiting = std::any_of(
+      sides_.begin(), sides_.end(),
+      [](const auto& entry) { return !entry.second.read_confirmed; });
   const bool due = !last_read_ || now - *last_read_ >= options_.read_interval;
   // One read serves every side that connected before it. An unanswered read is
   // repeated, so that a lost answer does not leave a side waiting.
@@ -83,15 +83,15 @@
 }
 
 void OrderForwarder::Update(LinkId link, Side* side, TimePoint now) {
-  if (!side->trusted || !state_.lease.record) {
+  if (!side->read_confirmed || !state_.lease.record) {
     return;
   }
   const LeaseRecord& lease = *state_.lease.record;
-  if (side->notified < lease.fencing_number) {
+  if (side->notified_number < lease.fencing_number) {
     wire::Envelope message;
     message.mutable_fencing()->set_fencing_number(lease.fencing_number);
     if (hooks_.send(link, message)) {
-      side->notified = lease.fencing_number;
+      side->notified_number = lease.fencing_number;
     }
   }
   const auto it = state_.orders.find(side->instance);
@@ -102,7 +102,7 @@
   const bool fresh = side->sent_generation != order.generation ||
                      side->sent_number != order.fencing_number;
   const bool due = now - side->sent_at >= options_.repeat_interval;
-  if (!Answered(*side, order) && (fresh || due)) {
+  if (!IsAnswered(*side, order) && (fresh || due)) {
     SendOrder(link, side, order, now);
   }
 }
@@ -134,7 +134,7 @@
   }
 }
 
-bool OrderForwarder::Answered(const Side& side, const TargetOrder& order) {
+bool OrderForwarder::IsAnswered(const Side& side, const TargetOrder& order) {
   return side.report && side.report->generation == order.generation &&
          side.report->fencing_number >= order.fencing_number &&
          side.report->phase != OrderPhase::kRefusedStale;
--- a/src/entry/order_forwarder.h
+++ b/src/entry/order_forwarder.h
@@ -65,19 +65,19 @@
     TimePoint up_at;
     /// Whether a read of the store that began after the side connected has
     /// returned.
-    bool trusted = false;
+    bool read_confirmed = false;
     std::optional<OrderReport> report;
     TimePoint sent_at;
     FencingNumber sent_number = 0;
     std::uint64_t sent_generation = 0;
-    FencingNumber notified = 0;
+    FencingNumber notified_number = 0;
   };
 
   void Merge(const ControlState& state);
   void Update(LinkId link, Side* side, TimePoint now);
   void SendOrder(LinkId link, Side* side, const TargetOrder& order,
                  TimePoint now);
-  static bool Answered(const Side& side, const TargetOrder& order);
+  static bool IsAnswered(const Side& side, const TargetOrder& order);
 
   Options options_;
   Hooks hooks_;
--- a/src/entry/platform_duty.cc
+++ b/src/entry/platform_watcher.cc
@@ -1,4 +1,4 @@
-#include "entry/platform_duty.h"
+#include "entry/platform_watcher.h"
 
 #include "runtime/clock.h"
 
@@ -16,22 +16,24 @@
 
 }  // namespace
 
-PlatformDuty::PlatformDuty(boost::asio::io_context* io,
-                           const StoreSettings& settings, Emit emit,
-                           const Clock& clock, EventLog log,
-                           MetricsRegistry* metrics)
+PlatformWatcher::PlatformWatcher(boost::asio::io_context* io,
+                                 const StoreSettings& settings, Emit emit,
+                                 const Clock& clock, EventLog log,
+                                 MetricsRegistry* metrics)
     : settings_(settings),
       emit_(std::move(emit)),
       log_(std::move(log)),
       run_after_(MakeRunAfter(io)),
       store_(io, HttpObjectStore::OptionsFrom(settings), clock, metrics),
-      deployments_(&store_, WatchOf(kDeployments),
-                   HooksFor(&PlatformDuty::OnDeployments), clock, run_after_,
-                   log_),
-      drains_(&store_, WatchOf(kDrains), HooksFor(&PlatformDuty::OnDrains),
-              clock, run_after_, log_) {}
+      deployments_(&store_, WatchOptions(kDeployments),
+                   WatchHooks(&PlatformWatcher::OnDeployments), clock,
+                   run_after_, log_),
+      drains_(&store_, WatchOptions(kDrains),
+              WatchHooks(&PlatformWatcher::OnDrains), clock, run_after_, log_) {
+}
 
-ListWatcher::Options PlatformDuty::WatchOf(const std::string& prefix) const {
+ListWatcher::Options PlatformWatcher::WatchOptions(
+    const std::string& prefix) const {
   ListWatcher::Options options;
   options.prefix = prefix;
   options.list.priority = CallPriority::kConfig;
@@ -39,8 +41,8 @@
   return options;
 }
 
-ListWatcher::Hooks PlatformDuty::HooksFor(
-    void (PlatformDuty::*on_state)(const ListWatcher::State&)) {
+ListWatcher::Hooks PlatformWatcher::WatchHooks(
+    void (PlatformWatcher::*on_state)(const ListWatcher::State&)) {
   ListWatcher::Hooks hooks;
   hooks.on_state = [this, on_state](const ListWatcher::State& state,
                                     std::uint64_t) {
@@ -51,7 +53,7 @@
   return hooks;
 }
 
-void PlatformDuty::Start() {
+void PlatformWatcher::Start() {
   if (settings_.address.empty()) {
     return;
   }
@@ -60,11 +62,11 @@
   PollInstances();
 }
 
-void PlatformDuty::OnDeployments(const ListWatcher::State& state) {
+void PlatformWatcher::OnDeployments(const ListWatcher::State& state) {
   // A deployment whose object has disappeared keeps its last revision: removing
   // it would fail its callers, and no command deletes a deployment.
   for (const auto& [key, object] : state) {
-    std::uint64_t& emitted = emitted_[key];
+    std::uint64_t& emitted = emitted_versions_[key];
     if (object.version > emitted) {
       emitted = object.version;
       emit_(RevisionRead{object.value});
@@ -72,7 +74,7 @@
   }
 }
 
-void PlatformDuty::OnDrains(const ListWatcher::State& state) {
+void PlatformWatcher::OnDrains(const ListWatcher::State& state) {
   DrainListRead seen;
   for (const auto& [key, object] : state) {
     seen.instances.push_back(key.substr(std::string(kDrains).size()));
@@ -80,7 +82,7 @@
   emit_(std::move(seen));
 }
 
-void PlatformDuty::PollInstances() {
+void PlatformWatcher::PollInstances() {
   CallOptions options;
   options.priority = CallPriority::kConfig;
   options.deadline = settings_.call_deadline;
--- a/src/entry/platform_duty.h
+++ b/src/entry/platform_watcher.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_ENTRY_PLATFORM_DUTY_H_
-#define INDIGOLEAD_ENTRY_PLATFORM_DUTY_H_
+#ifndef INDIGOLEAD_ENTRY_PLATFORM_WATCHER_H_
+#define INDIGOLEAD_ENTRY_PLATFORM_WATCHER_H_
 
 #include <utility>
 // Asio of Boost 1.74 needs <utility> before it.
@@ -25,17 +25,17 @@
 ///
 /// Runs on the platform thread, so that a slow or failed store never delays a
 /// request. While the store is unreachable, the last state stays in force.
-class PlatformDuty {
+class PlatformWatcher {
  public:
   using Emit = std::function<void(PlatformEvent&&)>;
 
   /// `io` and `metrics` must outlive this object; `emit` is called on the
   /// thread of `io`.
-  PlatformDuty(boost::asio::io_context* io, const StoreSettings& settings,
-               Emit emit, const Clock& clock, EventLog log,
-               MetricsRegistry* metrics);
-  PlatformDuty(const PlatformDuty&) = delete;
-  PlatformDuty& operator=(const PlatformDuty&) = delete;
+  PlatformWatcher(boost::asio::io_context* io, const StoreSettings& settings,
+                  Emit emit, const Clock& clock, EventLog log,
+                  MetricsRegistry* metrics);
+  PlatformWatcher(const PlatformWatcher&) = delete;
+  PlatformWatcher& operator=(const PlatformWatcher&) = delete;
 
   /// Starts the watches; does nothing without a store address.
   void Start();
@@ -44,9 +44,9 @@
   HttpObjectStore* store() { return &store_; }
 
  private:
-  ListWatcher::Options WatchOf(const std::string& prefix) const;
-  ListWatcher::Hooks HooksFor(
-      void (PlatformDuty::*on_state)(const ListWatcher::State&));
+  ListWatcher::Options WatchOptions(const std::string& prefix) const;
+  ListWatcher::Hooks WatchHooks(
+      void (PlatformWatcher::*on_state)(const ListWatcher::State&));
   void OnDeployments(const ListWatcher::State& state);
   void OnDrains(const ListWatcher::State& state);
   void PollInstances();
@@ -59,9 +59,9 @@
   ListWatcher deployments_;
   ListWatcher drains_;
   /// The version last emitted of each deployment, by key.
-  std::map<std::string, std::uint64_t> emitted_;
+  std::map<std::string, std::uint64_t> emitted_versions_;
 };
 
 }  // namespace indigolead
 
-#endif  // INDIGOLEAD_ENTRY_PLATFORM_DUTY_H_
+#endif  // INDIGOLEAD_ENTRY_PLATFORM_WATCHER_H_
--- a/src/entry/roster_keeper.cc
+++ b/src/entry/roster_keeper.cc
@@ -19,15 +19,15 @@
       log_(std::move(log)),
       roster_(options_.roster),
       retry_at_(clock_()),
-      list_at_(Later(options_.first_interval)),
-      settled_interval_(options_.first_interval),
+      list_at_(RandomDeadline(options_.initial_list_interval)),
+      list_interval_(options_.initial_list_interval),
       alive_(std::make_shared<bool>(true)) {}
 
 RosterKeeper::~RosterKeeper() { *alive_ = false; }
 
-TimePoint RosterKeeper::Later(Duration interval) const {
+TimePoint RosterKeeper::RandomDeadline(Duration interval) const {
   return clock_() +
-         std::chrono::duration_cast<Duration>(interval * DrawShare());
+         std::chrono::duration_cast<Duration>(interval * RandomFraction());
 }
 
 // Uses the current size of the fleet: if it has shrunk since the last renewal,
@@ -36,9 +36,9 @@
   if (!renewed_at_) {
     return now >= retry_at_;
   }
-  const auto rest = std::chrono::duration_cast<Duration>(
-      roster_.RenewInterval() * renew_share_);
-  return now >= *renewed_at_ + rest;
+  const auto renew_delay = std::chrono::duration_cast<Duration>(
+      roster_.RenewInterval() * renew_fraction_);
+  return now >= *renewed_at_ + renew_delay;
 }
 
 void RosterKeeper::Tick() {
@@ -50,7 +50,7 @@
   if (!listing_ && !stopped_ && now >= list_at_) {
     List();
   }
-  Tell();
+  ReportCount();
 }
 
 void RosterKeeper::Renew() {
@@ -76,7 +76,7 @@
   if (registered_at_ && now - confirmed_at_ >= roster_.LeaveAfter()) {
     log_(kRosterLeft, {{"renewed_ms_ago", Milliseconds(now - confirmed_at_)}});
     registered_at_.reset();
-    TellView();
+    ReportView();
   }
 }
 
@@ -87,19 +87,19 @@
     confirmed_at_ = renewal_sent_at_;
     if (!registered_at_ && !stopped_) {
       registered_at_ = clock_();
-      TellView();
+      ReportView();
     }
     if (!roster_.listed()) {
       list_at_ = clock_();
     }
     renewed_at_ = clock_();
-    renew_share_ = DrawShare();
+    renew_fraction_ = RandomFraction();
     return;
   }
   const Error& error = ErrorOf(result);
   log_(kRosterCallFailed, {{"error", ToString(error)}});
   renewed_at_.reset();
-  retry_at_ = Later(options_.retry_interval);
+  retry_at_ = RandomDeadline(options_.retry_interval);
   if (error.code != ErrorCode::kConflict) {
     return;  // If the write took effect after all, the next one conflicts.
   }
@@ -112,18 +112,18 @@
 
 // A list without this entry's own registration is older than the registration
 // and does not show the entries that started at the same time.
-void RosterKeeper::Settle() {
+void RosterKeeper::LengthenListInterval() {
   const bool shows_start = own_version_ != 0 && roster_.own_version() != 0;
   if (shows_start && roster_.unchanged()) {
-    settled_interval_ = std::min(2 * settled_interval_, options_.list_interval);
+    list_interval_ = std::min(2 * list_interval_, options_.list_interval);
   }
 }
 
-void RosterKeeper::ListClosely(bool closely) {
-  if (closely && !closely_) {
+void RosterKeeper::SetFrequentListing(bool frequently) {
+  if (frequently && !list_frequently_) {
     list_at_ = std::min(list_at_, clock_());
   }
-  closely_ = closely;
+  list_frequently_ = frequently;
 }
 
 void RosterKeeper::List() {
@@ -143,7 +143,7 @@
           OnListed(ValueOf(result));
         } else {
           log_(kRosterCallFailed, {{"error", ToString(ErrorOf(result))}});
-          list_at_ = Later(options_.retry_interval);
+          list_at_ = RandomDeadline(options_.retry_interval);
         }
       });
 }
@@ -156,14 +156,15 @@
     records.push_back({name, it.version, DecodeRelay(name, it.value)});
   }
   roster_.OnListed(records, clock_());
-  Settle();
-  list_at_ =
-      Later(closely_ ? std::min(settled_interval_, options_.close_interval)
-                     : settled_interval_);
+  LengthenListInterval();
+  list_at_ = RandomDeadline(
+      list_frequently_
+          ? std::min(list_interval_, options_.frequent_list_interval)
+          : list_interval_);
   DeleteExpired();
-  Tell();
-  TellView();
-  TellRelays();
+  ReportCount();
+  ReportView();
+  ReportRelays();
 }
 
 void RosterKeeper::DeleteExpired() {
@@ -182,25 +183,25 @@
   }
 }
 
-void RosterKeeper::Tell() {
+void RosterKeeper::ReportCount() {
   const std::size_t n = roster_.live(clock_());
-  if (!roster_.listed() || told_ == n) {
+  if (!roster_.listed() || reported_count_ == n) {
     return;
   }
   log_(kRosterCount, {{"entries", std::to_string(n)},
-                      {"before", std::to_string(told_.value_or(0))}});
-  told_ = n;
+                      {"before", std::to_string(reported_count_.value_or(0))}});
+  reported_count_ = n;
   hooks_.on_count(n);
 }
 
-void RosterKeeper::TellView() {
+void RosterKeeper::ReportView() {
   if (hooks_.on_view) {
     hooks_.on_view({options_.roster.own_name, roster_.LiveNames(clock_()),
                     listed_at_, registered_at_});
   }
 }
 
-void RosterKeeper::TellRelays() {
+void RosterKeeper::ReportRelays() {
   if (hooks_.on_relays) {
     hooks_.on_relays(roster_.LiveRelays(clock_()));
   }
@@ -209,7 +210,7 @@
 void RosterKeeper::Stop() {
   stopped_ = true;
   registered_at_.reset();
-  TellView();
+  ReportView();
   if (own_version_ == 0) {
     return;
   }
--- a/src/entry/roster_keeper.h
+++ b/src/entry/roster_keeper.h
@@ -29,11 +29,11 @@
     /// roster. Without an address it does not relay.
     RelayCandidate relay;
     Duration list_interval = std::chrono::seconds(20);
-    /// Interval while `ListClosely(true)` is in effect.
-    Duration close_interval = std::chrono::seconds(2);
+    /// Interval while `SetFrequentListing(true)` is in effect.
+    Duration frequent_list_interval = std::chrono::seconds(2);
     /// The first interval after a start, when many entries may start at once.
     /// Each list without a new entry doubles it.
-    Duration first_interval = std::chrono::seconds(2);
+    Duration initial_list_interval = std::chrono::seconds(2);
     Duration retry_interval = std::chrono::seconds(2);
     Duration call_deadline = std::chrono::milliseconds(1500);
   };
@@ -60,9 +60,10 @@
 
   /// Drives the timers; must be called several times a second.
   void Tick();
-  /// Lists the entries every `close_interval` while `closely`, starting at
-  /// once. Used while the entries divide a resource by the current list.
-  void ListClosely(bool closely);
+  /// Lists the entries every `frequent_list_interval` while `frequently`,
+  /// starting at once. Used while the entries divide a resource by the current
+  /// list.
+  void SetFrequentListing(bool frequently);
   /// Withdraws the registration, so that the others need not wait until it
   /// expires.
   void Stop();
@@ -75,15 +76,15 @@
   /// Treats this entry as gone shortly before the others do.
   void LeaveIfNotRenewed(TimePoint now);
   void DeleteExpired();
-  void Tell();
-  void TellRelays();
-  void TellView();
+  void ReportCount();
+  void ReportRelays();
+  void ReportView();
   bool RenewalIsDue(TimePoint now) const;
-  void Settle();
-  TimePoint Later(Duration interval) const;
+  void LengthenListInterval();
+  TimePoint RandomDeadline(Duration interval) const;
   /// Returns a random number in [0.5, 1), so that the calls of entries that
   /// started together drift apart.
-  double DrawShare() const { return 0.5 + 0.5 * hooks_.jitter(); }
+  double RandomFraction() const { return 0.5 + 0.5 * hooks_.jitter(); }
 
   ObjectStore* store_;
   Options options_;
@@ -95,21 +96,21 @@
   /// after a failure.
   std::optional<TimePoint> renewed_at_;
   /// Random part of the renewal interval; drawn anew for each renewal.
-  double renew_share_ = 1;
+  double renew_fraction_ = 1;
   TimePoint retry_at_;  ///< When a failed write is retried.
   TimePoint list_at_;
-  Duration settled_interval_;  ///< At most `Options::list_interval`.
+  Duration list_interval_;  ///< At most `Options::list_interval`.
   bool renewing_ = false;
   bool listing_ = false;
   bool stopped_ = false;
-  bool closely_ = false;
+  bool list_frequently_ = false;
   std::optional<TimePoint> listed_at_;
   std::optional<TimePoint> registered_at_;
   TimePoint renewal_sent_at_;  ///< When the last renewal was sent.
   TimePoint confirmed_at_;  ///< When the last renewal that succeeded was sent.
   std::uint64_t renewals_ = 0;
   std::uint64_t own_version_ = 0;  ///< Zero if not known to be registered.
-  std::optional<std::size_t> told_;
+  std::optional<std::size_t> reported_count_;
   /// False once this object is destroyed; store callbacks may run after that.
   std::shared_ptr<bool> alive_;
 };
--- a/src/entry/own_object.cc
+++ b/src/entry/single_writer_object.cc
@@ -1,11 +1,12 @@
-#include "entry/own_object.h"
+#include "entry/single_writer_object.h"
 
 #include <utility>
 
 namespace indigolead {
 
-// Shared with the callbacks, which may run after the `OwnObject` is destroyed.
-struct OwnObject::State {
+// Shared with the callbacks, which may run after the `SingleWriterObject` is
+// destroyed.
+struct SingleWriterObject::State {
   std::optional<std::uint64_t> version;  ///< Unset: must be read first.
 
   static void Put(const std::shared_ptr<State>& state, ObjectStore* store,
@@ -23,8 +24,9 @@
   }
 };
 
-OwnObject::OwnObject(ObjectStore* store, std::string key, CallOptions options,
-                     std::optional<std::uint64_t> version)
+SingleWriterObject::SingleWriterObject(ObjectStore* store, std::string key,
+                                       CallOptions options,
+                                       std::optional<std::uint64_t> version)
     : store_(store),
       key_(std::move(key)),
       options_(options),
@@ -32,7 +34,8 @@
   state_->version = version;
 }
 
-void OwnObject::Write(std::string value, std::function<void(bool)> done) {
+void SingleWriterObject::Write(std::string value,
+                               std::function<void(bool)> done) {
   if (state_->version) {
     State::Put(state_, store_, key_, options_, value, done);
     return;
--- a/src/entry/own_object.h
+++ b/src/entry/single_writer_object.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_ENTRY_OWN_OBJECT_H_
-#define INDIGOLEAD_ENTRY_OWN_OBJECT_H_
+#ifndef INDIGOLEAD_ENTRY_SINGLE_WRITER_OBJECT_H_
+#define INDIGOLEAD_ENTRY_SINGLE_WRITER_OBJECT_H_
 
 #include <cstdint>
 #include <functional>
@@ -15,13 +15,13 @@
 ///
 /// The last value wins, so after a write with a lost answer the next write
 /// reads the object's version and replaces it.
-class OwnObject {
+class SingleWriterObject {
  public:
   /// `store` must outlive this object. `version` is the object's version if
   /// known; 0 means that it does not exist, as for a key that no other process
   /// has used.
-  OwnObject(ObjectStore* store, std::string key, CallOptions options,
-            std::optional<std::uint64_t> version = std::nullopt);
+  SingleWriterObject(ObjectStore* store, std::string key, CallOptions options,
+                     std::optional<std::uint64_t> version = std::nullopt);
 
   /// Writes `value`, then calls `done` with true if the store confirmed it.
   /// At most one write may be in flight.
@@ -39,4 +39,4 @@
 
 }  // namespace indigolead
 
-#endif  // INDIGOLEAD_ENTRY_OWN_OBJECT_H_
+#endif  // INDIGOLEAD_ENTRY_SINGLE_WRITER_OBJECT_H_
--- a/src/entry/stage_service.cc
+++ b/src/entry/stage_service.cc
@@ -36,13 +36,13 @@
       log_(log),
       lease_(store, options_.lease, LeaseHooks(jitter), clock, std::move(ids),
              log),
-      standby_draw_(jitter()),
+      standby_random_(jitter()),
       standby_(IsStandby(options_.assumed_entries)) {
   lease_.SetReserve(!standby_);
 }
 
 bool StageService::IsStandby(std::size_t entries) const {
-  return standby_draw_ * static_cast<double>(entries) < options_.standbys;
+  return standby_random_ * static_cast<double>(entries) < options_.standbys;
 }
 
 LeaseKeeper::Hooks StageService::LeaseHooks(Lease::Jitter jitter) {
@@ -52,18 +52,22 @@
     // resigned the lease. There is no such holder if this lease is the first of
     // all, or if the previous one was this entry's own.
     const auto& record = lease_.lease().newest().record;
-    const bool alone = record && (record->earlier.empty() ||
-                                  record->earlier.back() == last_number_);
-    orders_from_ = clock_() + (alone ? Duration{0} : options_.separation);
-    if (!alone) {
+    const bool no_other_holder =
+        record &&
+        (record->earlier.empty() || record->earlier.back() == last_number_);
+    orders_allowed_from_ =
+        clock_() + (no_other_holder ? Duration{0} : options_.separation);
+    if (!no_other_holder) {
       for (auto& [name, service] : services_) {
-        TellEngines(&service);
+        UpdateEngines(&service);
         service.control.AdoptRoles();
       }
     }
     last_number_ = number;
   };
-  hooks.on_lost = [this](FencingNumber, LeaseLoss) { orders_from_.reset(); };
+  hooks.on_lost = [this](FencingNumber, LeaseLoss) {
+    orders_allowed_from_.reset();
+  };
   hooks.jitter = std::move(jitter);
   return hooks;
 }
@@ -90,7 +94,7 @@
 // change. When thousands of engines register or change within a second, passing
 // the whole list each time keeps a small entry from serving requests for
 // seconds (3,000 engines took 7 s of a whole core).
-void StageService::TellEngines(Service* service) {
+void StageService::UpdateEngines(Service* service) {
   if (!std::exchange(service->engines_changed, false)) {
     return;
   }
@@ -107,7 +111,7 @@
   if (it == services_.end()) {
     return;
   }
-  TellEngines(&it->second);
+  UpdateEngines(&it->second);
   if (const auto share = it->second.control.OnLoad(load, clock_())) {
     log_(kRolesPlanned, {{"service", service},
                          {"answering_share", std::to_string(*share)},
@@ -126,21 +130,21 @@
 }
 
 std::optional<FencingNumber> StageService::Authority() const {
-  if (stopped_ || !orders_from_ || clock_() < *orders_from_) {
+  if (stopped_ || !orders_allowed_from_ || clock_() < *orders_allowed_from_) {
     return std::nullopt;
   }
   return lease_.Authority();
 }
 
 void StageService::Tick() {
-  ended_.clear();
+  finished_calls_.clear();
   if (stopped_) {
     // Repeated on each tick, because a renewal in flight must finish first.
     lease_.Resign();
     return;
   }
   for (auto& [name, service] : services_) {
-    TellEngines(&service);
+    UpdateEngines(&service);
   }
   lease_.Tick();
   const auto number = Authority();
@@ -174,7 +178,7 @@
 
 void StageService::OnReport(const std::string& service, const StageOrder& order,
                             const Result<TargetAnswer>& answer) {
-  ended_.push_back(std::move(calls_[order.instance]));
+  finished_calls_.push_back(std::move(calls_[order.instance]));
   const TargetRecord* target = carrier_->FindTarget(order.instance);
   TargetClient* client = carrier_->ClientForExtraCall(order.instance);
   if (!IsOk(answer) || !target || !client) {
@@ -205,7 +209,7 @@
 void StageService::OnOrderAnswer(const std::string& service,
                                  const StageOrder& order,
                                  const Result<TargetAnswer>& answer) {
-  ended_.push_back(std::move(calls_[order.instance]));
+  finished_calls_.push_back(std::move(calls_[order.instance]));
   if (IsOk(answer)) {
     Finish(service, order, dialect_.read_outcome(ValueOf(answer)),
            "status " + std::to_string(ValueOf(answer).status));
--- a/src/entry/stage_service.h
+++ b/src/entry/stage_service.h
@@ -92,7 +92,7 @@
 
   LeaseKeeper::Hooks LeaseHooks(Lease::Jitter jitter);
   bool IsStandby(std::size_t entries) const;
-  void TellEngines(Service* service);
+  void UpdateEngines(Service* service);
   void Send(const std::string& service, const StageOrder& order);
   void OnReport(const std::string& service, const StageOrder& order,
                 const Result<TargetAnswer>& answer);
@@ -108,14 +108,14 @@
   EventLog log_;
   LeaseKeeper lease_;
   /// This entry's random number in [0, 1); entries with low ones are standbys.
-  double standby_draw_;
+  double standby_random_;
   bool standby_;
-  std::optional<TimePoint> orders_from_;
+  std::optional<TimePoint> orders_allowed_from_;
   FencingNumber last_number_ = 0;  ///< Of this entry's latest lease.
   std::map<std::string, Service> services_;
   std::map<std::string, Call> calls_;  ///< In flight, by engine.
   /// Kept so that they are destroyed outside their own callbacks.
-  std::vector<Call> ended_;
+  std::vector<Call> finished_calls_;
   bool stopped_ = false;
 };
 
--- a/src/entry/usage_service.cc
+++ b/src/entry/usage_service.cc
@@ -75,19 +75,19 @@
 void UsageService::Tick() {
   const TimePoint now = clock_();
   calendar_.Observe(now, wall_clock_());
-  ended_call_.reset();
+  finished_call_.reset();
   const WallMicros calendar = *calendar_.At(now);
   if (!writing_ && !closing_ && WriteIsDue(calendar, now)) {
     Write(calendar, /*ended=*/false);
   }
   if (!closing_) {
-    Drive(calendar);
+    RunReporter(calendar);
   }
-  TellProgress();
+  ReportProgress();
 }
 
 bool UsageService::WriteIsDue(WallMicros calendar, TimePoint now) const {
-  if (now < write_again_at_) {
+  if (now < retry_write_at_) {
     return false;
   }
   if (!written_until_) {
@@ -99,15 +99,16 @@
   }
   const Duration window = options_.meter.window;
   const WallMicros delay = ToMicros(write_delay_);
-  const WallMicros told = calendar - ToMicros(options_.answer_time) - delay;
-  const WallMicros begin = StartOf(WindowAt(told, window), window);
+  const WallMicros complete_until =
+      calendar - ToMicros(options_.answer_time) - delay;
+  const WallMicros begin = StartOf(WindowAt(complete_until, window), window);
   const WallMicros middle = begin + ToMicros(window) / 2;
   if (*written_until_ < begin) {
     return true;
   }
   // Nothing waits for the write in the middle of a window; it limits what is
   // lost when the process is killed.
-  return told >= middle && *written_until_ < middle &&
+  return complete_until >= middle && *written_until_ < middle &&
          meter_.has_unwritten_counts();
 }
 
@@ -133,7 +134,7 @@
   closed_ = closed_ || ended;
   if (!done) {
     log_(kUsageCallFailed, {{"step", "write"}, {"key", record_.key()}});
-    write_again_at_ = clock_() + options_.retry_interval;
+    retry_write_at_ = clock_() + options_.retry_interval;
   } else {
     written_until_ = std::max(written_until_.value_or(0), counted_until);
     meter_.OnWritten(request_count, counted_until, clock_());
@@ -155,15 +156,15 @@
   }
 }
 
-void UsageService::Drive(WallMicros calendar) {
+void UsageService::RunReporter(WallMicros calendar) {
   // A step whose answer arrives at once is followed by the next at once.
   if (const auto step =
           reporter_.Tick(hooks_.authority(), calendar, clock_())) {
-    Act(*step);
+    ExecuteStep(*step);
   }
 }
 
-void UsageService::Act(const UsageReporter::Step& step) {
+void UsageService::ExecuteStep(const UsageReporter::Step& step) {
   if (std::holds_alternative<UsageReporter::ReadFinalized>(step.action)) {
     ReadFinalized(step.ticket);
   } else if (std::holds_alternative<UsageReporter::ListEntries>(step.action)) {
@@ -201,7 +202,7 @@
                                           {"error", ToString(ErrorOf(view))}});
                 }
                 reporter_.OnFinalizedRead(ticket, view, clock_());
-                Drive(*calendar_.At(clock_()));
+                RunReporter(*calendar_.At(clock_()));
               });
 }
 
@@ -220,7 +221,7 @@
                                   {"error", ToString(ErrorOf(result))}});
           reporter_.OnEntriesListed(ticket, ErrorOf(result), clock_());
         }
-        Drive(*calendar_.At(clock_()));
+        RunReporter(*calendar_.At(clock_()));
       });
 }
 
@@ -274,7 +275,7 @@
                                   {"error", ToString(ErrorOf(result))}});
         }
         reporter_.OnFinalizedWritten(ticket, result, clock_());
-        Drive(*calendar_.At(clock_()));
+        RunReporter(*calendar_.At(clock_()));
       });
 }
 
@@ -294,7 +295,7 @@
 
 void UsageService::OnSent(std::uint64_t ticket, const UsageReporter::Send& send,
                           const Result<TargetAnswer>& answer) {
-  ended_call_ = std::move(call_);
+  finished_call_ = std::move(call_);
   const ReportOutcome outcome = IsOk(answer)
                                     ? dialect_.read_outcome(ValueOf(answer))
                                     : ReportOutcome::kUnknown;
@@ -318,7 +319,7 @@
   reporter_.OnReported(ticket, outcome, clock_());
 }
 
-void UsageService::TellProgress() {
+void UsageService::ReportProgress() {
   if (const auto settled = reporter_.TakeFinalizedReport()) {
     incomplete_.Add(settled->complete ? 0 : 1);
     log_(kUsageSettled, {{"window", std::to_string(settled->window)},
@@ -332,10 +333,10 @@
     lost_.Add(late);
     log_(kUsageLate, {{"requests", std::to_string(late)}});
   }
-  if (const std::uint64_t lost = meter_.lost(); lost > lost_told_) {
-    lost_.Add(lost - lost_told_);
-    log_(kUsageLost, {{"requests", std::to_string(lost - lost_told_)}});
-    lost_told_ = lost;
+  if (const std::uint64_t lost = meter_.lost(); lost > lost_reported_) {
+    lost_.Add(lost - lost_reported_);
+    log_(kUsageLost, {{"requests", std::to_string(lost - lost_reported_)}});
+    lost_reported_ = lost;
   }
 }
 
--- a/src/entry/usage_service.h
+++ b/src/entry/usage_service.h
@@ -11,7 +11,7 @@
 #include "core/usage/steady_calendar.h"
 #include "core/usage/usage_meter.h"
 #include "core/usage/usage_reporter.h"
-#include "entry/own_object.h"
+#include "entry/single_writer_object.h"
 #include "observe/event_log.h"
 #include "observe/metrics.h"
 #include "store/object_store.h"
@@ -91,8 +91,8 @@
   void Write(WallMicros calendar, bool ended);
   void OnWritten(std::uint64_t request_count, WallMicros counted_until,
                  bool ended, bool done);
-  void Drive(WallMicros calendar);
-  void Act(const UsageReporter::Step& step);
+  void RunReporter(WallMicros calendar);
+  void ExecuteStep(const UsageReporter::Step& step);
   void ReadFinalized(std::uint64_t ticket);
   void ListEntries(std::uint64_t ticket);
   std::vector<EntryUsage> Decode(const ObjectStore::Listing& listing);
@@ -102,7 +102,7 @@
   void Send(std::uint64_t ticket, const UsageReporter::Send& send);
   void OnSent(std::uint64_t ticket, const UsageReporter::Send& send,
               const Result<TargetAnswer>& answer);
-  void TellProgress();
+  void ReportProgress();
   CallOptions Call() const;
 
   ObjectStore* store_;
@@ -116,18 +116,18 @@
   SteadyCalendar calendar_;
   UsageMeter meter_;
   UsageReporter reporter_;
-  OwnObject record_;
+  SingleWriterObject record_;
   Duration write_delay_;  ///< Random delay of writes after a window's end.
   WallMicros started_at_ = 0;
   std::optional<WallMicros> written_until_;
-  TimePoint write_again_at_{};
+  TimePoint retry_write_at_{};
   bool writing_ = false;
   bool closing_ = false;
   bool closed_ = false;
-  std::uint64_t lost_told_ = 0;
+  std::uint64_t lost_reported_ = 0;
   std::unique_ptr<TargetClient::Call> call_;
   /// Kept so that it is destroyed outside its own callback.
-  std::unique_ptr<TargetClient::Call> ended_call_;
+  std::unique_ptr<TargetClient::Call> finished_call_;
   Counter& counted_;
   Counter& reported_;
   Counter& late_;
--- a/src/entry/watch_relay.cc
+++ b/src/entry/watch_relay.cc
@@ -47,14 +47,14 @@
 void WatchRelay::OnEntries(const std::vector<RelayCandidate>& entries) {
   choice_.OnEntries(entries);
   if (!std::exchange(listed_, true)) {
-    AskEarly();
+    SendDeferredQueries();
   }
 }
 
-void WatchRelay::AskEarly() {
-  std::map<std::string, Early> early;
-  early.swap(early_);
-  for (auto& [prefix, it] : early) {
+void WatchRelay::SendDeferredQueries() {
+  std::map<std::string, DeferredQuery> deferred;
+  deferred.swap(deferred_queries_);
+  for (auto& [prefix, it] : deferred) {
     if (!Ask(prefix, it.from, it.done)) {
       it.done(Error{ErrorCode::kNotFound, "relay.ask", "",
                     "no entry of the failure domain relays"});
@@ -62,7 +62,7 @@
   }
 }
 
-void WatchRelay::NoteRelay(const std::string& name) {
+void WatchRelay::UpdateRelay(const std::string& name) {
   if (name != relay_) {
     log_(kRelayChanged, {{"relay", name.empty() ? "none" : name},
                          {"before", relay_.empty() ? "none" : relay_}});
@@ -74,41 +74,41 @@
                                            std::uint64_t from,
                                            PolledWatch::PollDone done) {
   if (!listed_) {
-    early_[prefix] = {from, std::move(done)};
+    deferred_queries_[prefix] = {from, std::move(done)};
     return std::string();
   }
   const auto relay = choice_.SelectRelay(clock_());
   const auto feed = feeds_.find(prefix);
   if (!relay || feed == feeds_.end()) {
-    NoteRelay("");
+    UpdateRelay("");
     return std::nullopt;
   }
-  NoteRelay(relay->name);
+  UpdateRelay(relay->name);
   if (relay->name == options_.choice.own_name) {
     feed->second->Ask(from, [this, name = relay->name, done = std::move(done)](
                                 const Result<WatchBatch>& answer) {
-      NoteAnswer(name, answer);
+      RecordAnswer(name, answer);
       done(answer);
     });
     return relay->name;
   }
-  if (!AskOther(*relay, prefix, from, std::move(done))) {
+  if (!QueryRelay(*relay, prefix, from, std::move(done))) {
     return std::nullopt;
   }
   return relay->name;
 }
 
-bool WatchRelay::AskOther(const RelayCandidate& relay,
-                          const std::string& prefix, std::uint64_t from,
-                          PolledWatch::PollDone done) {
+bool WatchRelay::QueryRelay(const RelayCandidate& relay,
+                            const std::string& prefix, std::uint64_t from,
+                            PolledWatch::PollDone done) {
   const std::uint64_t number = ++next_number_;
   // Replaces a query of this prefix that is still open; its caller has given it
   // up.
-  asked_[prefix] = {number, relay.name, std::move(done)};
+  pending_queries_[prefix] = {number, relay.name, std::move(done)};
   if (hooks_.ask(relay.address, number, prefix, from)) {
     return true;
   }
-  asked_.erase(prefix);
+  pending_queries_.erase(prefix);
   OnFailed(relay.name, {ErrorCode::kOverloaded, "relay.ask", relay.name,
                         "the query could not be sent"});
   return false;
@@ -127,15 +127,15 @@
   }
 }
 
-void WatchRelay::NoteAnswer(const std::string& relay,
-                            const Result<WatchBatch>& answer) {
+void WatchRelay::RecordAnswer(const std::string& relay,
+                              const Result<WatchBatch>& answer) {
   if (IsOk(answer)) {
     choice_.OnAnswered(relay);
   }
 }
 
-void WatchRelay::OnQuestion(const std::string& asker, std::uint64_t number,
-                            const std::string& prefix, std::uint64_t from) {
+void WatchRelay::OnQuery(const std::string& asker, std::uint64_t number,
+                         const std::string& prefix, std::uint64_t from) {
   const auto feed = feeds_.find(prefix);
   if (stopped_ || feed == feeds_.end()) {
     hooks_.answer(asker, number,
@@ -153,15 +153,17 @@
 
 void WatchRelay::OnAnswer(std::uint64_t number,
                           const Result<WatchBatch>& answer) {
-  const auto it = std::find_if(
-      asked_.begin(), asked_.end(),
-      [number](const auto& asked) { return asked.second.number == number; });
-  if (it == asked_.end()) {
+  const auto it = std::find_if(pending_queries_.begin(), pending_queries_.end(),
+                               [number](const auto& open_query) {
+                                 return open_query.second.number == number;
+                               });
+  if (it == pending_queries_.end()) {
     return;  // Late: the query was given up and sent again.
   }
-  const Asked asked = std::move(asked_.extract(it).mapped());
-  NoteAnswer(asked.relay, answer);
-  asked.done(answer);
+  const PendingQuery open_query =
+      std::move(pending_queries_.extract(it).mapped());
+  RecordAnswer(open_query.relay, answer);
+  open_query.done(answer);
 }
 
 }  // namespace indigolead
--- a/src/entry/watch_relay.h
+++ b/src/entry/watch_relay.h
@@ -74,8 +74,8 @@
   void OnFailed(const std::string& relay, const Error& error);
 
   /// Handles a query of another entry.
-  void OnQuestion(const std::string& asker, std::uint64_t number,
-                  const std::string& prefix, std::uint64_t from);
+  void OnQuery(const std::string& asker, std::uint64_t number,
+               const std::string& prefix, std::uint64_t from);
 
   /// Handles the answer to a query of this entry.
   void OnAnswer(std::uint64_t number, const Result<WatchBatch>& answer);
@@ -88,24 +88,24 @@
 
  private:
   /// The open query of one prefix to another entry.
-  struct Asked {
+  struct PendingQuery {
     std::uint64_t number = 0;
     std::string relay;
     PolledWatch::PollDone done;
   };
 
   /// A query that waits for the first list of entries.
-  struct Early {
+  struct DeferredQuery {
     std::uint64_t from = 0;
     PolledWatch::PollDone done;
   };
 
   WatchFeed::Hooks FeedHooks(const std::string& prefix);
-  void AskEarly();
-  bool AskOther(const RelayCandidate& relay, const std::string& prefix,
-                std::uint64_t from, PolledWatch::PollDone done);
-  void NoteRelay(const std::string& name);
-  void NoteAnswer(const std::string& relay, const Result<WatchBatch>& answer);
+  void SendDeferredQueries();
+  bool QueryRelay(const RelayCandidate& relay, const std::string& prefix,
+                  std::uint64_t from, PolledWatch::PollDone done);
+  void UpdateRelay(const std::string& name);
+  void RecordAnswer(const std::string& relay, const Result<WatchBatch>& answer);
 
   Options options_;
   Hooks hooks_;
@@ -113,8 +113,8 @@
   EventLog log_;
   RelayChoice choice_;
   std::map<std::string, std::unique_ptr<WatchFeed>> feeds_;  ///< By prefix.
-  std::map<std::string, Asked> asked_;                       ///< By prefix.
-  std::map<std::string, Early> early_;                       ///< By prefix.
+  std::map<std::string, PendingQuery> pending_queries_;      ///< By prefix.
+  std::map<std::string, DeferredQuery> deferred_queries_;    ///< By prefix.
   bool listed_ = false;
   std::uint64_t next_number_ = 0;
   /// The relay asked last; empty if the store is read without a relay.
--- a/tests/shell/roster_keeper_test.cc
+++ b/tests/shell/roster_keeper_test.cc
@@ -16,14 +16,14 @@
 using std::chrono::seconds;
 
 /// Entries that register in one store, with a manual clock.
-class Scene {
+class Fixture {
  public:
   struct Entry {
-    Entry(Scene* scene, const std::string& name)
-        : store(&scene->io, &scene->platform, seconds(3)),
+    Entry(Fixture* fixture, const std::string& name)
+        : store(&fixture->io, &fixture->platform, seconds(3)),
           keeper(
-              &store, Options(name), Hooks(), [scene] { return scene->now; },
-              MakeNullEventLog()) {}
+              &store, Options(name), Hooks(),
+              [fixture] { return fixture->now; }, MakeNullEventLog()) {}
 
     static RosterKeeper::Options Options(const std::string& name) {
       RosterKeeper::Options options;
@@ -81,10 +81,10 @@
 };
 
 TEST_CASE("Entries count each other") {
-  Scene scene;
-  Scene::Entry& first = scene.Add("front-1");
-  scene.Add("front-2");
-  scene.Run(seconds(5));
+  Fixture fixture;
+  Fixture::Entry& first = fixture.Add("front-1");
+  fixture.Add("front-2");
+  fixture.Run(seconds(5));
   CHECK(first.counts == std::vector<std::size_t>{2});
 
   SECTION("they learn how to ask each other for the store's changes") {
@@ -93,36 +93,36 @@
                               {"front-2", "bilbao", "10.0.0.1:7380", 0.5}});
   }
   SECTION("an entry that starts later is counted within the list interval") {
-    scene.Add("front-3");
-    scene.Run(seconds(25));
+    fixture.Add("front-3");
+    fixture.Run(seconds(25));
     CHECK(first.counts.back() == 3);
   }
   SECTION("an entry that stops is gone from the next list on") {
-    scene.entries[1]->keeper.Stop();
-    scene.Run(seconds(25));
+    fixture.entries[1]->keeper.Stop();
+    fixture.Run(seconds(25));
     CHECK(first.counts.back() == 1);
   }
   SECTION("a killed entry expires, and its registration is deleted") {
-    scene.entries.pop_back();
-    scene.Run(seconds(100));
+    fixture.entries.pop_back();
+    fixture.Run(seconds(100));
     CHECK(first.counts.back() == 2);
-    scene.Run(seconds(100));
+    fixture.Run(seconds(100));
     CHECK(first.counts.back() == 1);
-    CHECK_FALSE(scene.platform.Peek("entries/front-2"));
+    CHECK_FALSE(fixture.platform.Peek("entries/front-2"));
   }
   SECTION("a process of the same name takes over the registration") {
-    scene.entries.pop_back();
-    scene.Add("front-2");
-    scene.Run(seconds(400));
+    fixture.entries.pop_back();
+    fixture.Add("front-2");
+    fixture.Run(seconds(400));
     CHECK(first.counts.back() == 2);
-    CHECK(scene.platform.Peek("entries/front-2"));
+    CHECK(fixture.platform.Peek("entries/front-2"));
   }
   SECTION("the number of calls is bounded") {
-    const auto puts = scene.Calls("put");
-    const auto lists = scene.Calls("list");
-    scene.Run(seconds(600));
-    CHECK(scene.Calls("put") - puts <= 2 * 600 / 30);
-    CHECK(scene.Calls("list") - lists <= 2 * 600 / 10);
+    const auto puts = fixture.Calls("put");
+    const auto lists = fixture.Calls("list");
+    fixture.Run(seconds(600));
+    CHECK(fixture.Calls("put") - puts <= 2 * 600 / 30);
+    CHECK(fixture.Calls("list") - lists <= 2 * 600 / 10);
   }
 }
 
@@ -132,18 +132,19 @@
   constexpr double kMostWrites = 200 / 30.0;
   for (const std::size_t entries : {30, 100, 200, 300}) {
     INFO(entries << " entries");
-    Scene scene;
+    Fixture fixture;
     for (std::size_t n = 0; n < entries; ++n) {
-      scene.Add("front-" + std::to_string(n));
+      fixture.Add("front-" + std::to_string(n));
     }
-    scene.Run(seconds(20));
-    const auto puts = scene.Calls("put");
-    const auto lists = scene.Calls("list");
-    scene.Run(seconds(240));
+    fixture.Run(seconds(20));
+    const auto puts = fixture.Calls("put");
+    const auto lists = fixture.Calls("list");
+    fixture.Run(seconds(240));
     const auto n = static_cast<double>(entries);
-    CHECK(static_cast<double>(scene.Calls("put") - puts) <= 240 * kMostWrites);
-    CHECK(static_cast<double>(scene.Calls("list") - lists) <= n * 240 / 10);
-    for (const auto& it : scene.entries) {
+    CHECK(static_cast<double>(fixture.Calls("put") - puts) <=
+          240 * kMostWrites);
+    CHECK(static_cast<double>(fixture.Calls("list") - lists) <= n * 240 / 10);
+    for (const auto& it : fixture.entries) {
       CHECK(it->counts == std::vector<std::size_t>{entries});
     }
   }
@@ -152,20 +153,20 @@
 /// Guards against entries that count too few others, because the others still
 /// renew at the slower rate of the larger fleet.
 TEST_CASE("A shrinking fleet still counts every live entry") {
-  Scene scene;
+  Fixture fixture;
   for (int n = 0; n < 400; ++n) {
-    scene.Add("front-" + std::to_string(n));
+    fixture.Add("front-" + std::to_string(n));
   }
-  scene.Run(seconds(130));
-  while (scene.entries.size() > 10) {
-    scene.entries.back()->keeper.Stop();
-    scene.Run(milliseconds(200));
-    scene.entries.pop_back();
+  fixture.Run(seconds(130));
+  while (fixture.entries.size() > 10) {
+    fixture.entries.back()->keeper.Stop();
+    fixture.Run(milliseconds(200));
+    fixture.entries.pop_back();
   }
   std::size_t least = 400;
   for (int n = 0; n < 600; ++n) {
-    scene.Run(seconds(1));
-    for (const auto& it : scene.entries) {
+    fixture.Run(seconds(1));
+    for (const auto& it : fixture.entries) {
       least = std::min(least, it->counts.back());
     }
   }
@@ -176,17 +177,17 @@
 /// start lasts.
 TEST_CASE("Entries that start together list each other a few times") {
   constexpr std::size_t kEntries = 100;
-  Scene scene;
+  Fixture fixture;
   for (std::size_t n = 0; n < kEntries; ++n) {
-    scene.Add("front-" + std::to_string(n));
+    fixture.Add("front-" + std::to_string(n));
   }
-  scene.Run(seconds(10));
-  CHECK(scene.Calls("list") <= 4 * kEntries);
+  fixture.Run(seconds(10));
+  CHECK(fixture.Calls("list") <= 4 * kEntries);
 
   SECTION("they find an entry that starts a little later") {
-    scene.Add("front-late");
-    scene.Run(seconds(20));
-    for (const auto& it : scene.entries) {
+    fixture.Add("front-late");
+    fixture.Run(seconds(20));
+    for (const auto& it : fixture.entries) {
       CHECK(it->counts.back() == kEntries + 1);
     }
   }
@@ -196,46 +197,46 @@
 // unreachable for a while. The entry must keep renewing, and no other may treat
 // it as gone.
 TEST_CASE("A registration survives lost answers and a store outage") {
-  Scene scene;
-  Scene::Entry& first = scene.Add("front-1");
-  scene.Add("front-2");
-  scene.Run(seconds(5));
+  Fixture fixture;
+  Fixture::Entry& first = fixture.Add("front-1");
+  fixture.Add("front-2");
+  fixture.Run(seconds(5));
   standins::PlatformFaults faults;
 
   SECTION("answers lost") {
     faults.lose_answers = 3;
-    scene.platform.SetFaults(faults);
-    scene.Run(seconds(400));
+    fixture.platform.SetFaults(faults);
+    fixture.Run(seconds(400));
     CHECK(first.counts == std::vector<std::size_t>{2});
   }
   SECTION("an outage longer than a registration's lifetime") {
-    scene.platform.SetDown(true);
-    scene.Run(seconds(300));
-    scene.platform.SetDown(false);
-    scene.Run(seconds(60));
+    fixture.platform.SetDown(true);
+    fixture.Run(seconds(300));
+    fixture.platform.SetDown(false);
+    fixture.Run(seconds(60));
     CHECK(first.counts.back() == 2);
-    CHECK(scene.platform.Peek("entries/front-1"));
-    CHECK(scene.platform.Peek("entries/front-2"));
+    CHECK(fixture.platform.Peek("entries/front-1"));
+    CHECK(fixture.platform.Peek("entries/front-2"));
   }
 }
 
 TEST_CASE("Frequent listing keeps the list of entries current") {
-  Scene scene;
-  Scene::Entry& first = scene.Add("front-1");
-  scene.Run(seconds(30));
+  Fixture fixture;
+  Fixture::Entry& first = fixture.Add("front-1");
+  fixture.Run(seconds(30));
   CHECK(first.view.names == std::vector<std::string>{"front-1"});
   CHECK(first.view.registered_at);
 
   SECTION("a new entry is listed within two seconds and a call") {
-    first.keeper.ListClosely(true);
-    scene.Add("front-2");
-    scene.Run(milliseconds(2600));
+    first.keeper.SetFrequentListing(true);
+    fixture.Add("front-2");
+    fixture.Run(milliseconds(2600));
     CHECK(first.view.names.size() == 2);
   }
   SECTION("the first list is read at once") {
-    const TimePoint before = scene.now;
-    first.keeper.ListClosely(true);
-    scene.Run(milliseconds(600));
+    const TimePoint before = fixture.now;
+    first.keeper.SetFrequentListing(true);
+    fixture.Run(milliseconds(600));
     CHECK(first.view.listed_at >= before);
   }
   SECTION("a planned stop withdraws the entry") {
@@ -243,13 +244,13 @@
     CHECK_FALSE(first.view.registered_at);
   }
   SECTION("the number of calls is bounded once frequent listing ends") {
-    first.keeper.ListClosely(true);
-    scene.Run(seconds(10));
-    first.keeper.ListClosely(false);
-    scene.Run(seconds(20));
-    const auto lists = scene.Calls("list");
-    scene.Run(seconds(600));
-    CHECK(scene.Calls("list") - lists <= 600 / 10);
+    first.keeper.SetFrequentListing(true);
+    fixture.Run(seconds(10));
+    first.keeper.SetFrequentListing(false);
+    fixture.Run(seconds(20));
+    const auto lists = fixture.Calls("list");
+    fixture.Run(seconds(600));
+    CHECK(fixture.Calls("list") - lists <= 600 / 10);
   }
 }
 
@@ -257,20 +258,20 @@
 /// after the others treat it as gone.
 TEST_CASE(
     "An entry whose registration is not renewed leaves before it expires") {
-  Scene scene;
-  Scene::Entry& entry = scene.Add("a");
-  scene.Run(seconds(90));
+  Fixture fixture;
+  Fixture::Entry& entry = fixture.Add("a");
+  fixture.Run(seconds(90));
   const auto registered_at = entry.view.registered_at;
   REQUIRE(registered_at);
   standins::PlatformFaults faults;
   faults.refuse = true;
-  scene.platform.SetFaults(faults);
-  scene.Run(RosterPace().ExpireAfter(1));
+  fixture.platform.SetFaults(faults);
+  fixture.Run(RosterPace().ExpireAfter(1));
   CHECK_FALSE(entry.view.registered_at);
 
   SECTION("it rejoins once it is renewed") {
-    scene.platform.SetFaults({});
-    scene.Run(seconds(10));
+    fixture.platform.SetFaults({});
+    fixture.Run(seconds(10));
     REQUIRE(entry.view.registered_at);
     CHECK(*entry.view.registered_at > *registered_at);
   }
--- a/tests/shell/stage_service_test.cc
+++ b/tests/shell/stage_service_test.cc
@@ -55,62 +55,62 @@
   const bool* silent_;
 };
 
-OrderDialect Words() {
-  OrderDialect words;
-  words.report = [](const TargetRecord&) {
+OrderDialect TestDialect() {
+  OrderDialect dialect;
+  dialect.report = [](const TargetRecord&) {
     TargetRequest call;
     call.path = "/report";
     return call;
   };
-  words.read_order_count = [](const TargetRecord&, const TargetAnswer&) {
+  dialect.read_order_count = [](const TargetRecord&, const TargetAnswer&) {
     return Result<std::uint64_t>(std::uint64_t{0});
   };
-  words.order = [](const TargetRecord&, const StageOrder&, const std::string&,
-                   std::uint64_t) {
+  dialect.order = [](const TargetRecord&, const StageOrder&, const std::string&,
+                     std::uint64_t) {
     TargetRequest call;
     call.path = "/order";
     return call;
   };
-  words.read_outcome = [](const TargetAnswer&) {
+  dialect.read_outcome = [](const TargetAnswer&) {
     return StageOrderOutcome::kAccepted;
   };
-  return words;
+  return dialect;
 }
 
 /// One entry that sends orders to engines of a service.
-class Scene {
+class Fixture {
  public:
-  Scene()
+  Fixture()
       : flow_({}, {}, MakeRandomIdSource()),
         carrier_(&io_, &flow_, CarrierOptions(), {}, {}, Now(),
                  MakeNullEventLog()),
         service_(
-            &store_, &carrier_, Options(), Words(), [] { return 0.5; }, Now(),
-            MakeRandomIdSource(), MakeNullEventLog()) {
+            &store_, &carrier_, Options(), TestDialect(), [] { return 0.5; },
+            Now(), MakeRandomIdSource(), MakeNullEventLog()) {
     service_.OnEntries(1);
   }
 
-  void Tell(Kind kind, const TargetRecord& target) {
+  void ApplyChange(Kind kind, const TargetRecord& target) {
     carrier_.OnTarget({kind, target});
     service_.OnEngine({kind, target});
   }
-  /// Registers `n` engines, of which the first `answering` decode.
-  void AddEngines(int n, int answering, const std::string& suffix = "") {
+  /// Registers `n` engines, of which the first `decoding` decode.
+  void AddEngines(int n, int decoding, const std::string& suffix = "") {
     for (int it = 0; it < n; ++it) {
       TargetRecord target;
       target.id = "e" + std::to_string(it) + suffix;
       target.service = "llm";
       target.address = "127.0.0.1:1";
       target.failure_domain = "a";
-      target.role = it < answering ? EngineRole::kDecode : EngineRole::kPrefill;
+      target.role = it < decoding ? EngineRole::kDecode : EngineRole::kPrefill;
       target.run = TargetRun{1};
       engines_.push_back(target);
-      Tell(Kind::kAdded, target);
+      ApplyChange(Kind::kAdded, target);
     }
   }
   void Restart(std::size_t n) {
     engines_[n].run->started_ms += 1;
-    Tell(Kind::kRestarted, engines_[n]);
+    ApplyChange(Kind::kRestarted, engines_[n]);
   }
   void RunFor(Duration length, const RoleLoad& load) {
     for (const TimePoint end = now_ + length; now_ < end;
@@ -122,7 +122,7 @@
     }
   }
   /// Stores a lease that another entry held before it was lost.
-  void LeaveLease() {
+  void StoreForeignLease() {
     LeaseRecord record;
     record.holder = "front-9";
     record.incarnation = Incarnation{{9, 9}};
@@ -131,7 +131,7 @@
   }
 
   /// Stops the entry while the store has not yet answered a renewal.
-  void StopAmidRenewal() {
+  void StopDuringRenewal() {
     const auto puts = [this] { return platform_.calls().at("put"); };
     const std::uint64_t before = puts();
     while (puts() == before) {
@@ -182,28 +182,28 @@
   std::vector<TargetRecord> engines_;
 };
 
-constexpr RoleLoad kHalfAnswers{1, 1};
+constexpr RoleLoad kEqualLoads{1, 1};
 
 // An unanswered order blocks further orders to the engine for 13 s. If the
 // engine restarts in that time, the new run does not know the order and would
 // decode instead of prefill until the time is over.
 TEST_CASE(
     "An unanswered order does not block orders to the engine's next run") {
-  Scene scene;
-  scene.silent = true;
-  scene.AddEngines(5, 4);
-  scene.RunFor(seconds(8), kHalfAnswers);
-  REQUIRE(scene.orders == 1);  // Three of five decode; none may repeat it.
+  Fixture fixture;
+  fixture.silent = true;
+  fixture.AddEngines(5, 4);
+  fixture.RunFor(seconds(8), kEqualLoads);
+  REQUIRE(fixture.orders == 1);  // Three of five decode; none may repeat it.
   SECTION("without a restart no further order is sent") {
-    scene.RunFor(seconds(3), kHalfAnswers);
-    CHECK(scene.orders == 1);
+    fixture.RunFor(seconds(3), kEqualLoads);
+    CHECK(fixture.orders == 1);
   }
   SECTION("after a restart the order is sent again") {
     for (std::size_t n = 0; n < 5; ++n) {
-      scene.Restart(n);
+      fixture.Restart(n);
     }
-    scene.RunFor(seconds(1), kHalfAnswers);
-    CHECK(scene.orders == 2);
+    fixture.RunFor(seconds(1), kEqualLoads);
+    CHECK(fixture.orders == 2);
   }
 }
 
@@ -211,37 +211,37 @@
 // traffic; if it began with its own estimate, engines would change roles, and
 // change back once it has seen as much.
 TEST_CASE("A new holder keeps the roles that it finds") {
-  Scene scene;
+  Fixture fixture;
   SECTION("after another holder") {
-    scene.LeaveLease();
-    scene.AddEngines(18, 9);
-    scene.RunFor(seconds(2), RoleLoad{4, 1});
+    fixture.StoreForeignLease();
+    fixture.AddEngines(18, 9);
+    fixture.RunFor(seconds(2), RoleLoad{4, 1});
     int orders_in_first_seconds = 0;
-    for (int n = 0; n < 40 && scene.orders == 0; ++n) {
-      scene.RunFor(milliseconds(200), RoleLoad{4, 1});
+    for (int n = 0; n < 40 && fixture.orders == 0; ++n) {
+      fixture.RunFor(milliseconds(200), RoleLoad{4, 1});
       ++orders_in_first_seconds;
     }
     // The roles are kept for as long as a load must last.
-    CHECK(scene.orders > 0);
-    CHECK(scene.orders <= 2);
+    CHECK(fixture.orders > 0);
+    CHECK(fixture.orders <= 2);
   }
   SECTION("the very first holder orders what the load requires, all at once") {
-    scene.AddEngines(18, 9);
-    scene.RunFor(seconds(4), RoleLoad{4, 1});
-    CHECK(scene.orders > 2);
+    fixture.AddEngines(18, 9);
+    fixture.RunFor(seconds(4), RoleLoad{4, 1});
+    CHECK(fixture.orders > 2);
   }
 }
 
 /// Guards against a lease that stays with a stopped entry: until it expires, no
 /// entry sends orders or reports usage.
 TEST_CASE("A planned stop releases the lease, also during a renewal") {
-  Scene scene;
-  scene.AddEngines(4, 2);
-  scene.RunFor(seconds(6), kHalfAnswers);
-  REQUIRE(scene.Holder() == "front-1");
-  scene.StopAmidRenewal();
-  scene.RunFor(milliseconds(600), kHalfAnswers);
-  CHECK(scene.Holder().empty());
+  Fixture fixture;
+  fixture.AddEngines(4, 2);
+  fixture.RunFor(seconds(6), kEqualLoads);
+  REQUIRE(fixture.Holder() == "front-1");
+  fixture.StopDuringRenewal();
+  fixture.RunFor(milliseconds(600), kEqualLoads);
+  CHECK(fixture.Holder().empty());
 }
 
 // Guards against passing the whole list on for each of a thousand engines that
@@ -251,11 +251,11 @@
 // now.
 TEST_CASE("Many engines that register at once are passed on once") {
   constexpr int kEngines = 1000;
-  Scene scene;
+  Fixture fixture;
   const std::uint64_t before = AllocationsOfThisThread();
-  scene.AddEngines(kEngines, 200,
-                   "-with-a-name-that-does-not-fit-into-a-string");
-  scene.RunFor(milliseconds(200), {});
+  fixture.AddEngines(kEngines, 200,
+                     "-with-a-name-that-does-not-fit-into-a-string");
+  fixture.RunFor(milliseconds(200), {});
   const std::uint64_t each = (AllocationsOfThisThread() - before) / kEngines;
   CHECK(each < 100);
 }
--- a/tests/shell/usage_service_test.cc
+++ b/tests/shell/usage_service_test.cc
@@ -72,17 +72,17 @@
 }
 
 /// Entries with one store and one receiver, with a manual clock.
-class Scene {
+class Fixture {
  public:
   struct Entry {
-    Entry(Scene* scene, const std::string& name, std::uint64_t run)
-        : store(&scene->io, &scene->platform),
+    Entry(Fixture* fixture, const std::string& name, std::uint64_t run)
+        : store(&fixture->io, &fixture->platform),
           service(
-              &store, &scene->receiver, Options(name, run), Dialect(),
+              &store, &fixture->receiver, Options(name, run), Dialect(),
               {[this] { return number; }, [] { return 0.5; }},
-              [scene] { return scene->now; },
-              [scene] { return scene->Calendar() + scene->step; },
-              MakeNullEventLog(), &scene->metrics) {}
+              [fixture] { return fixture->now; },
+              [fixture] { return fixture->Calendar() + fixture->step; },
+              MakeNullEventLog(), &fixture->metrics) {}
 
     static UsageService::Options Options(const std::string& name,
                                          std::uint64_t run) {
@@ -146,37 +146,37 @@
 using Bodies = std::vector<std::string>;
 
 TEST_CASE("The holder reports what all entries counted") {
-  Scene scene;
-  Scene::Entry& first = scene.Start("front-1");
-  Scene::Entry& second = scene.Start("front-2");
+  Fixture fixture;
+  Fixture::Entry& first = fixture.Start("front-1");
+  Fixture::Entry& second = fixture.Start("front-2");
   first.number = 7;
-  scene.Run(seconds(1));
-  first.service.Count("salon", scene.now);
-  second.service.Count("salon", scene.now);
-  second.service.Count("owner", scene.now);
-  scene.Run(seconds(3));
-  CHECK(scene.receiver.bodies.empty());
-  scene.Run(seconds(5));
-  CHECK(scene.receiver.bodies ==
+  fixture.Run(seconds(1));
+  first.service.Count("salon", fixture.now);
+  second.service.Count("salon", fixture.now);
+  second.service.Count("owner", fixture.now);
+  fixture.Run(seconds(3));
+  CHECK(fixture.receiver.bodies.empty());
+  fixture.Run(seconds(5));
+  CHECK(fixture.receiver.bodies ==
         Bodies{"window 0: owner=1 salon=2 by front-1 under 7"});
 
   SECTION("once for each window, also without requests") {
-    scene.Run(seconds(10));
-    CHECK(scene.receiver.bodies ==
+    fixture.Run(seconds(10));
+    CHECK(fixture.receiver.bodies ==
           Bodies{"window 0: owner=1 salon=2 by front-1 under 7",
                  "window 1: by front-1 under 7",
                  "window 2: by front-1 under 7"});
   }
   SECTION("a step of the time of day moves no request to another window") {
-    scene.step = 20 * kSecond;
-    second.service.Count("salon", scene.now);
-    scene.Run(seconds(6));
-    CHECK(scene.receiver.bodies.back() ==
+    fixture.step = 20 * kSecond;
+    second.service.Count("salon", fixture.now);
+    fixture.Run(seconds(6));
+    CHECK(fixture.receiver.bodies.back() ==
           "window 1: salon=1 by front-1 under 7");
   }
   SECTION("only the holder reports") {
-    CHECK(scene.platform.calls().at("put") > 0);
-    for (const std::string& it : scene.receiver.bodies) {
+    CHECK(fixture.platform.calls().at("put") > 0);
+    for (const std::string& it : fixture.receiver.bodies) {
       CHECK(it.find("front-2") == std::string::npos);
     }
   }
@@ -185,21 +185,21 @@
 // A fleet may start long before its traffic, and some entries never get any.
 TEST_CASE(
     "An entry that has counted nothing writes once and delays no report") {
-  Scene scene;
-  Scene::Entry& first = scene.Start("front-1");
-  Scene::Entry& second = scene.Start("front-2");
+  Fixture fixture;
+  Fixture::Entry& first = fixture.Start("front-1");
+  Fixture::Entry& second = fixture.Start("front-2");
   first.number = 7;
-  scene.Run(seconds(20));
-  CHECK(scene.platform.calls().at("put") == 2);
-  first.service.Count("salon", scene.now);
-  scene.Run(seconds(8));
-  CHECK(scene.receiver.bodies ==
+  fixture.Run(seconds(20));
+  CHECK(fixture.platform.calls().at("put") == 2);
+  first.service.Count("salon", fixture.now);
+  fixture.Run(seconds(8));
+  CHECK(fixture.receiver.bodies ==
         Bodies{"window 4: salon=1 by front-1 under 7"});
 
   SECTION("its first request is reported") {
-    second.service.Count("owner", scene.now);
-    scene.Run(seconds(5));
-    CHECK(scene.receiver.bodies.back() ==
+    second.service.Count("owner", fixture.now);
+    fixture.Run(seconds(5));
+    CHECK(fixture.receiver.bodies.back() ==
           "window 5: owner=1 by front-1 under 7");
   }
 }
@@ -208,99 +208,101 @@
 // write must stay counted, and the holder must not wait for it beyond its
 // limit.
 TEST_CASE("What a killed entry had written is reported") {
-  Scene scene;
-  Scene::Entry& first = scene.Start("front-1");
-  Scene::Entry& second = scene.Start("front-2");
+  Fixture fixture;
+  Fixture::Entry& first = fixture.Start("front-1");
+  Fixture::Entry& second = fixture.Start("front-2");
   first.number = 7;
-  scene.Run(milliseconds(1000));
-  second.service.Count("salon", scene.now);
-  scene.Run(milliseconds(3000));
-  second.service.Count("salon", scene.now);
-  scene.Kill(second);
+  fixture.Run(milliseconds(1000));
+  second.service.Count("salon", fixture.now);
+  fixture.Run(milliseconds(3000));
+  second.service.Count("salon", fixture.now);
+  fixture.Kill(second);
 
   SECTION("without the requests after its last write") {
-    scene.Run(seconds(10));
-    CHECK(scene.receiver.bodies ==
+    fixture.Run(seconds(10));
+    CHECK(fixture.receiver.bodies ==
           Bodies{"window 0: salon=1 by front-1 under 7"});
   }
   SECTION("its successor adds to it and does not wait") {
-    Scene::Entry& again = scene.Start("front-2");
-    again.service.Count("salon", scene.now);
-    scene.Run(seconds(5));
-    CHECK(scene.receiver.bodies ==
+    Fixture::Entry& again = fixture.Start("front-2");
+    again.service.Count("salon", fixture.now);
+    fixture.Run(seconds(5));
+    CHECK(fixture.receiver.bodies ==
           Bodies{"window 0: salon=2 by front-1 under 7"});
   }
 }
 
 TEST_CASE("A planned stop leaves no request uncounted") {
-  Scene scene;
-  Scene::Entry& first = scene.Start("front-1");
-  Scene::Entry& second = scene.Start("front-2");
+  Fixture fixture;
+  Fixture::Entry& first = fixture.Start("front-1");
+  Fixture::Entry& second = fixture.Start("front-2");
   first.number = 7;
-  scene.Run(seconds(4));
-  second.service.Count("salon", scene.now);
+  fixture.Run(seconds(4));
+  second.service.Count("salon", fixture.now);
   second.service.Close();
-  scene.io.restart();
-  scene.io.poll();
+  fixture.io.restart();
+  fixture.io.poll();
   CHECK(second.service.closed());
-  scene.Kill(second);
-  scene.Run(seconds(4));
-  CHECK(scene.receiver.bodies ==
+  fixture.Kill(second);
+  fixture.Run(seconds(4));
+  CHECK(fixture.receiver.bodies ==
         Bodies{"window 0: salon=1 by front-1 under 7"});
 }
 
 // The holder has settled and sent a report, but is killed before an answer
 // arrives. Another entry takes over, which has counted more meanwhile.
 TEST_CASE("A new holder repeats the report that the previous one settled") {
-  Scene scene;
-  Scene::Entry& first = scene.Start("front-1");
-  Scene::Entry& second = scene.Start("front-2");
+  Fixture fixture;
+  Fixture::Entry& first = fixture.Start("front-1");
+  Fixture::Entry& second = fixture.Start("front-2");
   first.number = 7;
-  scene.receiver.silent = true;
-  scene.Run(seconds(1));
-  first.service.Count("salon", scene.now);
-  scene.Run(seconds(7));
-  REQUIRE(scene.receiver.bodies ==
+  fixture.receiver.silent = true;
+  fixture.Run(seconds(1));
+  first.service.Count("salon", fixture.now);
+  fixture.Run(seconds(7));
+  REQUIRE(fixture.receiver.bodies ==
           Bodies{"window 0: salon=1 by front-1 under 7"});
-  second.service.Count("owner", Scene::kBegin + seconds(2));
-  scene.Kill(first);
-  scene.receiver.silent = false;
+  second.service.Count("owner", Fixture::kBegin + seconds(2));
+  fixture.Kill(first);
+  fixture.receiver.silent = false;
   second.number = 9;
-  scene.Run(seconds(1));
-  REQUIRE(scene.receiver.bodies.size() == 2);
-  CHECK(scene.receiver.bodies.back() == "window 0: salon=1 by front-2 under 9");
+  fixture.Run(seconds(1));
+  REQUIRE(fixture.receiver.bodies.size() == 2);
+  CHECK(fixture.receiver.bodies.back() ==
+        "window 0: salon=1 by front-2 under 9");
 }
 
 TEST_CASE("A report is not written under an authority that has ended") {
-  Scene scene;
-  Scene::Entry& only = scene.Start("front-1");
+  Fixture fixture;
+  Fixture::Entry& only = fixture.Start("front-1");
   only.number = 7;
-  scene.Run(seconds(1));
-  only.service.Count("salon", scene.now);
-  scene.Run(seconds(4));
+  fixture.Run(seconds(1));
+  only.service.Count("salon", fixture.now);
+  fixture.Run(seconds(4));
   only.number.reset();
-  scene.Run(seconds(10));
-  CHECK(scene.receiver.bodies.empty());
+  fixture.Run(seconds(10));
+  CHECK(fixture.receiver.bodies.empty());
 }
 
 // The store is down for longer than a window, so no report can be settled. The
 // counts must be kept and reported afterwards, in order.
 TEST_CASE("Reports catch up after an outage of the store") {
-  Scene scene;
-  Scene::Entry& only = scene.Start("front-1");
+  Fixture fixture;
+  Fixture::Entry& only = fixture.Start("front-1");
   only.number = 7;
-  scene.Run(seconds(1));
-  only.service.Count("salon", scene.now);
-  scene.platform.SetDown(true);
-  scene.Run(seconds(8));
-  only.service.Count("owner", scene.now);
-  scene.Run(seconds(4));
-  CHECK(scene.receiver.bodies.empty());
-  scene.platform.SetDown(false);
-  scene.Run(seconds(7));
-  CHECK(scene.receiver.bodies == Bodies{"window 0: salon=1 by front-1 under 7",
-                                        "window 1: owner=1 by front-1 under 7",
-                                        "window 2: by front-1 under 7"});
+  fixture.Run(seconds(1));
+  only.service.Count("salon", fixture.now);
+  fixture.platform.SetDown(true);
+  fixture.Run(seconds(8));
+  only.service.Count("owner", fixture.now);
+  fixture.Run(seconds(4));
+  CHECK(fixture.receiver.bodies.empty());
+  fixture.platform.SetDown(false);
+  fixture.Run(seconds(7));
+  CHECK(fixture.receiver.bodies ==
+        Bodies{"window 0: salon=1 by front-1 under 7",
+               "window 1: owner=1 by front-1 under 7",
+               "window 2: by front-1 under 7"});
 }
 
 }  // namespace
--- a/tests/shell/watch_relay_fleet_test.cc
+++ b/tests/shell/watch_relay_fleet_test.cc
@@ -233,8 +233,8 @@
       nodes_[entry]->asked = to;
       timeline.After(kMessageTime, [this, entry, to, number, prefix, from] {
         if (Heard(entry, to)) {
-          nodes_[to]->relay->OnQuestion(std::to_string(entry), number, prefix,
-                                        from);
+          nodes_[to]->relay->OnQuery(std::to_string(entry), number, prefix,
+                                     from);
         }
       });
       return true;
