--- a/src/target/http_target_client.cc
+++ b/src/target/http_target_client.cc
@@ -41,7 +41,7 @@
 };
 
 /// Returns the idle timeout in a `Keep-Alive` header, if present and valid.
-std::optional<std::chrono::seconds> StatedIdleTime(beast::string_view field) {
+std::optional<std::chrono::seconds> KeepAliveTimeout(beast::string_view field) {
   constexpr beast::string_view kParameter = "timeout=";
   const auto at = field.find(kParameter);
   if (at == beast::string_view::npos) {
@@ -58,7 +58,7 @@
 }
 
 /// Limits how long sent bytes may stay unacknowledged.
-void BoundUnacknowledged(Tcp::socket* socket, Duration limit) {
+void SetUnacknowledgedTimeout(Tcp::socket* socket, Duration limit) {
   if (limit <= Duration{0}) {
     return;
   }
@@ -71,7 +71,7 @@
 
 /// Returns true if an idle connection can still carry a request. It is readable
 /// if the target closed it or sent unsolicited bytes.
-bool IsQuiet(Connection* connection) {
+bool IsReusable(Connection* connection) {
   char byte = 0;
   const auto n = recv(connection->stream.socket().native_handle(), &byte, 1,
                       MSG_PEEK | MSG_DONTWAIT);
@@ -110,19 +110,19 @@
         options_(std::move(options)),
         endpoint_(EndpointOf(options_.address)) {}
 
-  std::unique_ptr<Connection> Take() {
+  std::unique_ptr<Connection> Acquire() {
     while (!idle_.empty()) {
       auto connection = std::move(idle_.back());
       idle_.pop_back();
       if (SteadyClock::now() < connection->usable_until &&
-          IsQuiet(connection.get())) {
+          IsReusable(connection.get())) {
         return connection;
       }
     }
     return nullptr;
   }
 
-  void Give(std::unique_ptr<Connection> connection) {
+  void Release(std::unique_ptr<Connection> connection) {
     if (connection->buffer.size() > 0) {
       return;  // Extra bytes after the response are not ours.
     }
@@ -171,7 +171,7 @@
              "expected an address of the form IP:port");
       return;
     }
-    connection_ = pool_->Take();
+    connection_ = pool_->Acquire();
     if (connection_) {
       Write();
       return;
@@ -191,8 +191,8 @@
     // The read may end the call, and `on_end` may destroy the owner.
     const auto self = this->shared_from_this();
     paused_ = pause;
-    if (!pause && waiting_) {
-      waiting_ = false;
+    if (!pause && read_deferred_) {
+      read_deferred_ = false;
       ReadBody();
     }
   }
@@ -238,8 +238,8 @@
     }
     boost::system::error_code ignored;
     connection_->stream.socket().set_option(Tcp::no_delay(true), ignored);
-    BoundUnacknowledged(&connection_->stream.socket(),
-                        pool_->options().unacknowledged_timeout);
+    SetUnacknowledgedTimeout(&connection_->stream.socket(),
+                             pool_->options().unacknowledged_timeout);
     Write();
   }
 
@@ -247,7 +247,7 @@
     const auto self = this->shared_from_this();
     if (hooks_.on_before_write && !hooks_.on_before_write()) {
       if (!stopped_) {
-        pool_->Give(std::move(connection_));
+        pool_->Release(std::move(connection_));
         Finish(ErrorCode::kUnavailable,
                "stopped before the first byte was written");
       }
@@ -293,7 +293,7 @@
       return;
     }
     if (ec) {
-      Broken("head", ec);
+      FailRead("head", ec);
       return;
     }
     if (parser_->get().result_int() / 100 == 1) {
@@ -301,8 +301,8 @@
       ReadHead();
       return;
     }
-    dropping_ = IsOfAnotherRequest();
-    if (!dropping_) {
+    skipping_answer_ = IsOfAnotherRequest();
+    if (!skipping_answer_) {
       WatchEvents();
       hooks_.on_head(static_cast<int>(parser_->get().result_int()),
                      ResponseHeaders());
@@ -348,7 +348,7 @@
       return;
     }
     if (paused_) {
-      waiting_ = true;
+      read_deferred_ = true;
       return;
     }
     parser_->get().body().data = buffer_.data();
@@ -368,7 +368,7 @@
     }
     DrainParsed(&ec);
     const auto n = buffer_.size() - parser_->get().body().size;
-    if (n > 0 && !dropping_) {
+    if (n > 0 && !skipping_answer_) {
       const std::string_view data(buffer_.data(), n);
       body_bytes_ += n;
       if (events_) {
@@ -380,7 +380,7 @@
       return;
     }
     if (ec) {
-      Broken("body", ec);
+      FailRead("body", ec);
       return;
     }
     ReadBody();
@@ -407,7 +407,7 @@
   }
 
   void Complete() {
-    if (dropping_) {
+    if (skipping_answer_) {
       ReadNextAnswer();
       return;
     }
@@ -460,13 +460,13 @@
   void KeepConnection() {
     const auto& head = parser_->get();
     connection_->usable_until = SteadyClock::time_point::max();
-    if (const auto idle = StatedIdleTime(head[http::field::keep_alive])) {
+    if (const auto idle = KeepAliveTimeout(head[http::field::keep_alive])) {
       connection_->usable_until = SteadyClock::now() + *idle - kCloseMargin;
     }
-    pool_->Give(std::move(connection_));
+    pool_->Release(std::move(connection_));
   }
 
-  void Broken(const char* part, const boost::system::error_code& ec) {
+  void FailRead(const char* part, const boost::system::error_code& ec) {
     const auto code = ec == beast::error::timeout ? ErrorCode::kTimeout
                                                   : ErrorCode::kUnknownEffect;
     Finish(code, std::string(part) + ": " + ec.message());
@@ -495,10 +495,10 @@
   bool written_ = false;
   bool write_done_ = false;
   bool write_failed_ = false;
-  bool dropping_ = false;  ///< Reads another request's response.
+  bool skipping_answer_ = false;  ///< Reads another request's response.
   bool stopped_ = false;
   bool paused_ = false;
-  bool waiting_ = false;  ///< The next read is deferred.
+  bool read_deferred_ = false;  ///< The next read is deferred.
 };
 
 template <typename Pool>
@@ -534,6 +534,6 @@
   return std::make_unique<HttpCall<Pool>>(std::move(exchange));
 }
 
-void HttpTargetClient::CloseIdle() { pool_->Clear(); }
+void HttpTargetClient::CloseIdleConnections() { pool_->Clear(); }
 
 }  // namespace indigolead
--- a/src/target/http_target_client.h
+++ b/src/target/http_target_client.h
@@ -44,7 +44,7 @@
   std::unique_ptr<Call> Start(TargetRequest request, Hooks hooks) override;
 
   /// Closes all idle connections.
-  void CloseIdle();
+  void CloseIdleConnections();
 
  private:
   class Pool;
--- a/tests/platform/caller_words_test.cc
+++ b/tests/platform/caller_protocol_test.cc
@@ -1,4 +1,4 @@
-#include "platform/caller_words.h"
+#include "platform/caller_protocol.h"
 
 #include <catch2/catch.hpp>
 
@@ -30,8 +30,9 @@
 }
 
 CallerInterface Callers(std::shared_ptr<const RouteTable> routes) {
-  return MakePlatformCallers([routes] { return routes; }, [] { return kNow; },
-                             MakeSeededRandom(1), MakeNullEventLog());
+  return MakePlatformCallerInterface([routes] { return routes; },
+                                     [] { return kNow; }, MakeSeededRandom(1),
+                                     MakeNullEventLog());
 }
 
 IncomingRequest Incoming(std::vector<HeaderField> more = {}) {
--- a/tests/platform/change_waits_test.cc
+++ b/tests/platform/change_waits_test.cc
@@ -12,8 +12,8 @@
 platform::PlatformSettings SettingsOf(Duration leaving, Duration contact) {
   platform::PlatformSettings settings;
   settings.store_address = "127.0.0.1:1";
-  settings.leaving_bound = leaving;
-  settings.configuration_bound = leaving;
+  settings.drain_deadline = leaving;
+  settings.configuration_deadline = leaving;
   settings.contact_time = contact;
   return settings;
 }
--- a/tests/platform/client_accounts_test.cc
+++ b/tests/platform/client_accounts_test.cc
@@ -10,9 +10,9 @@
 
 #include "core/request/header_fields.h"
 #include "entry/direct_dispatcher.h"
-#include "platform/caller_words.h"
+#include "platform/caller_protocol.h"
 #include "platform/documents.h"
-#include "platform/target_words.h"
+#include "platform/target_protocol.h"
 #include "runtime/clock.h"
 
 namespace indigolead::platform {
@@ -55,7 +55,7 @@
 }
 
 /// The caller interface of an entry, with the routes set last.
-class Callers {
+class CallerFixture {
  public:
   void OnDocument(const Json& document) {
     auto decoded = DecodeConfiguration(document.dump());
@@ -90,7 +90,7 @@
 
  private:
   std::shared_ptr<const RouteTable> routes_;
-  CallerInterface interface_ = MakePlatformCallers(
+  CallerInterface interface_ = MakePlatformCallerInterface(
       [this] { return routes_; }, BootTimeNow, MakeSeededRandom(1),
       [this](const EventInfo& event, const EventFields& fields) {
         std::string line(event.name);
@@ -117,7 +117,7 @@
 
 TEST_CASE(
     "A key identifies the caller and the target receives the account's name") {
-  Callers callers;
+  CallerFixture callers;
   SECTION("before the first configuration no key can be checked") {
     CHECK(callers.StatusOf("/audit/1", {Bearer(kKey)}) == 503);
     CHECK(callers.StatusOf("/audit/1", {}) == 503);
@@ -172,7 +172,7 @@
 }
 
 TEST_CASE("Without listed accounts the key is forwarded to the target") {
-  Callers callers;
+  CallerFixture callers;
   callers.OnDocument(DocumentWithoutAccounts(1));
   const CallerRequest request =
       callers.Forwarded("/audit/1", {Bearer(kKey), {"X-Tenant", "salon"}});
@@ -183,7 +183,7 @@
 }
 
 TEST_CASE("An account's priority overrides its route's") {
-  Callers callers;
+  CallerFixture callers;
   Json first = Account("salon", {kKey});
   first["priority"] = 0;
   callers.OnDocument(Document(1, {first, Account("owner", {kOtherKey})}));
@@ -195,7 +195,7 @@
 // Each request must be checked against the configuration in force when it is
 // read.
 TEST_CASE("Each request is checked against the keys in force when it arrives") {
-  Callers callers;
+  CallerFixture callers;
   callers.OnDocument(
       Document(1, {Account("salon", {kKey}), Account("owner", {kOtherKey})}));
   CHECK(callers.Forwarded("/audit/1", {Bearer(kKey)}).client_account ==
--- a/tests/platform/direct_prompt_test.cc
+++ b/tests/platform/direct_prompt_test.cc
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "entry/direct_dispatcher.h"
-#include "platform/target_words.h"
+#include "platform/target_protocol.h"
 #include "runtime/clock.h"
 #include "tests/platform/support/scripted_answers.h"
 #include "tests/support/scripted_server.h"
--- a/tests/platform/direct_transport_test.cc
+++ b/tests/platform/direct_transport_test.cc
@@ -7,7 +7,7 @@
 
 #include "entry/direct_dispatcher.h"
 #include "entry/events.h"
-#include "platform/target_words.h"
+#include "platform/target_protocol.h"
 #include "runtime/clock.h"
 #include "tests/platform/support/scripted_answers.h"
 #include "tests/support/scripted_server.h"
--- a/tests/platform/platform_fuzz_test.cc
+++ b/tests/platform/platform_fuzz_test.cc
@@ -1,9 +1,9 @@
 #include <catch2/catch.hpp>
 
-#include "platform/caller_words.h"
+#include "platform/caller_protocol.h"
 #include "platform/documents.h"
 #include "platform/settings.h"
-#include "platform/target_words.h"
+#include "platform/target_protocol.h"
 #include "tests/support/fuzz.h"
 
 namespace indigolead::platform {
--- a/tests/platform/registration_list_test.cc
+++ b/tests/platform/registration_list_test.cc
@@ -28,31 +28,31 @@
     return metrics.ToPrometheusText().find(
                "indigolead_registrations_unreadable 1") != std::string::npos;
   };
-  REQUIRE(list.Take(Listed(kGood, 5)).size() == 1);
+  REQUIRE(list.Update(Listed(kGood, 5)).size() == 1);
   CHECK(list.targets()[0].id == "i-1");
   CHECK(list.targets()[0].service == "salon-app");
   CHECK_FALSE(list.targets()[0].leaving);
 
   SECTION("a newer version replaces it") {
-    REQUIRE(list.Take(Listed(kLeaving, 6)).size() == 1);
+    REQUIRE(list.Update(Listed(kLeaving, 6)).size() == 1);
     CHECK(list.targets()[0].leaving);
     CHECK(logged == 0);
   }
   SECTION("an invalid one takes the target out of use and is logged once") {
-    list.Take(Listed("{\"service\":", 6));
-    REQUIRE(list.Take(Listed("{\"service\":", 7)).size() == 1);
+    list.Update(Listed("{\"service\":", 6));
+    REQUIRE(list.Update(Listed("{\"service\":", 7)).size() == 1);
     CHECK(list.targets()[0].address == "10.1.64.9:8080");
     CHECK(list.targets()[0].leaving);
     CHECK(unreadable());
     CHECK(logged == 1);
     SECTION("until it is valid again") {
-      REQUIRE(list.Take(Listed(kGood, 8)).size() == 1);
+      REQUIRE(list.Update(Listed(kGood, 8)).size() == 1);
       CHECK_FALSE(list.targets()[0].leaving);
       CHECK_FALSE(unreadable());
     }
     SECTION("and a later invalid one is logged again") {
-      list.Take(Listed(kGood, 8));
-      list.Take(Listed("[]", 9));
+      list.Update(Listed(kGood, 8));
+      list.Update(Listed("[]", 9));
       CHECK(list.targets()[0].leaving);
       CHECK(logged == 2);
     }
@@ -60,13 +60,13 @@
   SECTION("one that was never valid gives no target, and the others stay") {
     auto state = Listed(kGood, 5);
     state["servers/x"] = {"servers/x", "\xff\xfe", 6};
-    REQUIRE(list.Take(state).size() == 1);
+    REQUIRE(list.Update(state).size() == 1);
     CHECK(list.targets()[0].id == "i-1");
     CHECK_FALSE(list.targets()[0].leaving);
     CHECK(unreadable());
   }
   SECTION("a removed one is removed from the list") {
-    CHECK(list.Take({}).empty());
+    CHECK(list.Update({}).empty());
   }
 }
 
--- a/tests/platform/settings_test.cc
+++ b/tests/platform/settings_test.cc
@@ -33,8 +33,8 @@
   CHECK(settings->max_descriptors == 4100);
   CHECK(settings->stop_grace == std::chrono::seconds(8));
   CHECK(settings->lease_separation == std::chrono::seconds(3));
-  CHECK(settings->leaving_bound == std::chrono::seconds(4));
-  CHECK(settings->configuration_bound == std::chrono::milliseconds(3500));
+  CHECK(settings->drain_deadline == std::chrono::seconds(4));
+  CHECK(settings->configuration_deadline == std::chrono::milliseconds(3500));
   CHECK(settings->retry_ratio == Approx(0.2));
   CHECK(settings->retry_window == std::chrono::seconds(12));
   CHECK(settings->retry_slack == Approx(54));
@@ -88,7 +88,7 @@
         settings_of(asked + "cloud.duties=autoscale, usage_report\n");
     CHECK(settings.usage_address == "10.200.0.179:8228");
     CHECK(settings.usage_window == std::chrono::seconds(5));
-    CHECK(settings.usage_due == std::chrono::seconds(10));
+    CHECK(settings.usage_report_deadline == std::chrono::seconds(10));
   }
   SECTION("not otherwise") {
     CHECK(settings_of(asked).usage_address.empty());
--- a/tests/platform/stale_lists_test.cc
+++ b/tests/platform/stale_lists_test.cc
@@ -136,8 +136,8 @@
   platform::PlatformObjectStore::Options OptionsFor(
       const std::string& store_address) {
     settings_.store_address = store_address;
-    settings_.leaving_bound = kBound;
-    settings_.configuration_bound = kBound;
+    settings_.drain_deadline = kBound;
+    settings_.configuration_deadline = kBound;
     settings_.contact_time = std::chrono::seconds(3);
     return platform::StoreOptions(settings_);
   }
--- a/tests/platform/store_return_test.cc
+++ b/tests/platform/store_return_test.cc
@@ -25,8 +25,8 @@
 platform::PlatformSettings SettingsWith(const Bounds& bounds) {
   platform::PlatformSettings settings;
   settings.store_address = "127.0.0.1:1";
-  settings.leaving_bound = bounds.leaving;
-  settings.configuration_bound = bounds.leaving;
+  settings.drain_deadline = bounds.leaving;
+  settings.configuration_deadline = bounds.leaving;
   settings.contact_time = bounds.contact;
   return settings;
 }
--- a/tests/platform/target_notices_test.cc
+++ b/tests/platform/target_notices_test.cc
@@ -10,7 +10,7 @@
 
 #include "entry/direct_dispatcher.h"
 #include "entry/events.h"
-#include "platform/target_words.h"
+#include "platform/target_protocol.h"
 
 namespace indigolead {
 namespace {
--- a/tests/platform/target_words_test.cc
+++ b/tests/platform/target_protocol_test.cc
@@ -1,4 +1,4 @@
-#include "platform/target_words.h"
+#include "platform/target_protocol.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
--- a/tests/shell/http_target_client_test.cc
+++ b/tests/shell/http_target_client_test.cc
@@ -17,7 +17,7 @@
 using Scripts = std::vector<std::vector<ScriptStep>>;
 
 /// Results recorded from one call's hooks.
-struct Seen {
+struct CallResult {
   bool before_write = false;
   int status = 0;
   std::string body;
@@ -34,7 +34,8 @@
   explicit ClientFixture(const std::string& address)
       : client_(&io_, {.address = address}) {}
 
-  std::unique_ptr<TargetClient::Call> Start(Seen* seen, TargetRequest request) {
+  std::unique_ptr<TargetClient::Call> Start(CallResult* seen,
+                                            TargetRequest request) {
     TargetClient::Hooks hooks;
     hooks.on_before_write = [this, seen] {
       seen->before_write = true;
@@ -49,8 +50,8 @@
   }
 
   /// Runs one call to completion.
-  Seen Call(TargetRequest request = MakeRequest()) {
-    Seen seen;
+  CallResult Call(TargetRequest request = MakeRequest()) {
+    CallResult seen;
     const auto call = Start(&seen, std::move(request));
     RunUntil([&seen] { return seen.end.has_value(); });
     if (!IsOk(*seen.end)) {
@@ -84,16 +85,17 @@
   bool may_write_ = true;
 };
 
-const char kWhole[] = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmenu";
+const char kCompleteAnswer[] =
+    "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmenu";
 const char kStreamHead[] =
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 TEST_CASE("HttpTargetClient returns complete responses") {
   SECTION("with a Content-Length, over one keep-alive connection") {
-    ScriptedServer server(Scripts{{{Kind::kSend, kWhole}}});
+    ScriptedServer server(Scripts{{{Kind::kSend, kCompleteAnswer}}});
     ClientFixture f(server.address());
     for (int i = 0; i < 3; ++i) {
-      const Seen seen = f.Call();
+      const CallResult seen = f.Call();
       CHECK(seen.status == 200);
       CHECK(seen.body == "menu");
       CHECK(seen.end == Status(Unit{}));
@@ -116,7 +118,7 @@
         Scripts{{{Kind::kSend, "HTTP/1.0 200 OK\r\n\r\nall of it"},
                  {Kind::kClose, ""}}});
     ClientFixture f(server.address());
-    const Seen seen = f.Call();
+    const CallResult seen = f.Call();
     CHECK(seen.body == "all of it");
     CHECK(seen.end == Status(Unit{}));
   }
@@ -124,7 +126,7 @@
   SECTION("after an interim response") {
     ScriptedServer server(
         Scripts{{{Kind::kSend, "HTTP/1.1 103 Early Hints\r\n\r\n"},
-                 {Kind::kSend, kWhole}}});
+                 {Kind::kSend, kCompleteAnswer}}});
     ClientFixture f(server.address());
     CHECK(f.Call().status == 200);
   }
@@ -141,7 +143,7 @@
 }
 
 TEST_CASE("HttpTargetClient sends a request unchanged") {
-  ScriptedServer server(Scripts{{{Kind::kSend, kWhole}}});
+  ScriptedServer server(Scripts{{{Kind::kSend, kCompleteAnswer}}});
   ClientFixture f(server.address());
   auto request = ClientFixture::MakeRequest();
   request.headers = {{"X-Salon", "oviedo-3"},
@@ -205,7 +207,7 @@
       if (it.expected == ErrorCode::kTimeout) {
         request.deadline = std::chrono::milliseconds(200);
       }
-      const Seen seen = f.Call(request);
+      const CallResult seen = f.Call(request);
       CHECK(seen.before_write);
       CHECK(seen.error() == it.expected);
       CHECK(server.requests().size() == 1);
@@ -224,7 +226,7 @@
 }
 
 /// Calls a target that sends `answer` and then closes the connection properly.
-Seen CallClosing(const std::string& answer, const std::string& method) {
+CallResult CallAndClose(const std::string& answer, const std::string& method) {
   ScriptedServer server(Scripts{{{Kind::kSend, answer}, {Kind::kClose, ""}}});
   ClientFixture f(server.address());
   TargetRequest request = ClientFixture::MakeRequest();
@@ -244,13 +246,14 @@
     // The last LF only completes the line ending that CR already is.
     const bool between =
         n == first || n == events.size() || n == events.size() - 1;
-    const Seen closed = CallClosing(kEventsHead + ("\r\n" + part), "POST");
+    const CallResult closed =
+        CallAndClose(kEventsHead + ("\r\n" + part), "POST");
     CHECK(closed.status == 200);
     CHECK(closed.body == part);
     CHECK(closed.error() ==
           (between ? std::nullopt : std::optional(ErrorCode::kUnknownEffect)));
     const std::string chunks = n > 0 ? Chunk(part) : "";
-    const Seen chunked = CallClosing(
+    const CallResult chunked = CallAndClose(
         kEventsHead +
             ("Transfer-Encoding: chunked\r\n\r\n" + chunks + "0\r\n\r\n"),
         "POST");
@@ -264,29 +267,29 @@
 
 TEST_CASE("HttpTargetClient judges other responses by their framing only") {
   SECTION("a body that is not an event stream") {
-    CHECK(CallClosing("HTTP/1.1 200 OK\r\n\r\nid:", "POST").end ==
+    CHECK(CallAndClose("HTTP/1.1 200 OK\r\n\r\nid:", "POST").end ==
           Status(Unit{}));
   }
   SECTION("an event stream with a content encoding") {
-    CHECK(CallClosing(
+    CHECK(CallAndClose(
               kEventsHead + std::string("Content-Encoding: gzip\r\n\r\nid:"),
               "POST")
               .end == Status(Unit{}));
   }
   SECTION("a response to HEAD") {
-    CHECK(CallClosing(kEventsHead + std::string("\r\n"), "HEAD").end ==
+    CHECK(CallAndClose(kEventsHead + std::string("\r\n"), "HEAD").end ==
           Status(Unit{}));
   }
   SECTION("an error response without events") {
-    CHECK(CallClosing("HTTP/1.1 500 Internal Server Error\r\n"
-                      "Content-Type: text/event-stream\r\n\r\n",
-                      "POST")
+    CHECK(CallAndClose("HTTP/1.1 500 Internal Server Error\r\n"
+                       "Content-Type: text/event-stream\r\n\r\n",
+                       "POST")
               .end == Status(Unit{}));
   }
   SECTION("a response without a body") {
-    CHECK(CallClosing("HTTP/1.1 204 No Content\r\n"
-                      "Content-Type: text/event-stream\r\n\r\n",
-                      "POST")
+    CHECK(CallAndClose("HTTP/1.1 204 No Content\r\n"
+                       "Content-Type: text/event-stream\r\n\r\n",
+                       "POST")
               .end == Status(Unit{}));
   }
 }
@@ -299,13 +302,13 @@
       address = gone.address();
     }
     ClientFixture f(address);
-    const Seen seen = f.Call();
+    const CallResult seen = f.Call();
     CHECK_FALSE(seen.before_write);
     CHECK(seen.error() == ErrorCode::kUnavailable);
   }
 
   SECTION("cancelled right before the first byte") {
-    ScriptedServer server(Scripts{{{Kind::kSend, kWhole}}});
+    ScriptedServer server(Scripts{{{Kind::kSend, kCompleteAnswer}}});
     ClientFixture f(server.address());
     f.may_write_ = false;
     CHECK(f.Call().error() == ErrorCode::kUnavailable);
@@ -316,9 +319,9 @@
   }
 
   SECTION("destroyed before it started") {
-    ScriptedServer server(Scripts{{{Kind::kSend, kWhole}}});
+    ScriptedServer server(Scripts{{{Kind::kSend, kCompleteAnswer}}});
     ClientFixture f(server.address());
-    Seen seen;
+    CallResult seen;
     f.Start(&seen, ClientFixture::MakeRequest()).reset();
     f.io_.run_for(std::chrono::milliseconds(50));
     CHECK_FALSE(seen.before_write);
@@ -330,8 +333,9 @@
 // request were written to it, the call would fail as "may have run" although
 // the request never arrived.
 TEST_CASE("HttpTargetClient does not use a connection closed while idle") {
-  ScriptedServer server(Scripts{{{Kind::kSend, kWhole}, {Kind::kClose, ""}},
-                                {{Kind::kSend, kWhole}}});
+  ScriptedServer server(
+      Scripts{{{Kind::kSend, kCompleteAnswer}, {Kind::kClose, ""}},
+              {{Kind::kSend, kCompleteAnswer}}});
   ClientFixture f(server.address());
   CHECK(f.Call().body == "menu");
   // The close has arrived by now; the second call detects it by checking the
@@ -350,7 +354,7 @@
   }
   ScriptedServer server(Scripts{script});
   ClientFixture f(server.address());
-  Seen seen;
+  CallResult seen;
   const auto call = f.Start(&seen, ClientFixture::MakeRequest());
   f.RunUntil([&seen] { return seen.status == 200; });
   call->PauseReading(true);
@@ -381,21 +385,24 @@
   SECTION("the response that follows is returned") {
     ScriptedServer server(
         Scripts{{{Kind::kSend, std::string(kOthersAnswer) + kOwnAnswer}}});
-    const Seen seen = ClientFixture(server.address()).Call(EchoedRequest());
+    const CallResult seen =
+        ClientFixture(server.address()).Call(EchoedRequest());
     CHECK(IsOk(*seen.end));
     CHECK(seen.body == "own");
   }
   SECTION("without a following response the outcome is unknown") {
     ScriptedServer server(
         Scripts{{{Kind::kSend, kOthersAnswer}, {Kind::kClose, ""}}});
-    const Seen seen = ClientFixture(server.address()).Call(EchoedRequest());
+    const CallResult seen =
+        ClientFixture(server.address()).Call(EchoedRequest());
     CHECK(seen.error() == ErrorCode::kUnknownEffect);
     CHECK(seen.body.empty());
   }
   SECTION("a response without a request id is accepted") {
     ScriptedServer server(Scripts{
         {{Kind::kSend, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"}}});
-    const Seen seen = ClientFixture(server.address()).Call(EchoedRequest());
+    const CallResult seen =
+        ClientFixture(server.address()).Call(EchoedRequest());
     CHECK(seen.body == "ok");
   }
 }
@@ -442,7 +449,7 @@
                         std::to_string(acceptor.local_endpoint().port()));
   TargetRequest request = ClientFixture::MakeRequest();
   request.body.assign(64U << 20, 'x');
-  const Seen seen = fixture.Call(std::move(request));
+  const CallResult seen = fixture.Call(std::move(request));
   done = true;
   target.join();
   CHECK(IsOk(*seen.end));
