--- a/tests/platform/direct_transport_test.cc
+++ b/tests/platform/direct_transport_test.cc
@@ -42,14 +42,14 @@
 };
 
 /// An entry's dispatcher with targets that run scripts.
-class Scene {
+class DispatchFixture {
  public:
-  Scene(Script first, Script second)
-      : Scene(std::vector<std::vector<Script>>{{std::move(first)},
-                                               {std::move(second)}}) {}
+  DispatchFixture(Script first, Script second)
+      : DispatchFixture(std::vector<std::vector<Script>>{
+            {std::move(first)}, {std::move(second)}}) {}
 
   /// `scripts` holds, for each target, the scripts of its successive requests.
-  explicit Scene(const std::vector<std::vector<Script>>& scripts)
+  explicit DispatchFixture(const std::vector<std::vector<Script>>& scripts)
       : dispatcher_(&io_, Options(), Dialect(), Hooks(), BootTimeNow,
                     MakeRandomIdSource(), MakeSeededRandom(1), CountingLog(),
                     &metrics_) {
@@ -236,20 +236,22 @@
     // The dispatcher may choose either target first.
     for (const bool swapped : {false, true}) {
       INFO(row.fault << (swapped ? ", at the second" : ", at the first"));
-      const Script sound = Send(kAnswer);
+      const Script healthy_script = Send(kAnswer);
       {
-        Scene scene(swapped ? sound : row.script, swapped ? row.script : sound);
-        const Outcome seen = scene.Ask(Repeatability::kOnce);
-        if (scene.arrivals() > 1 || seen != Outcome::kAnswered) {
+        DispatchFixture fixture(swapped ? healthy_script : row.script,
+                                swapped ? row.script : healthy_script);
+        const Outcome seen = fixture.Ask(Repeatability::kOnce);
+        if (fixture.arrivals() > 1 || seen != Outcome::kAnswered) {
           CHECK(seen == row.once);
-          CHECK(scene.arrivals() == row.once_arrivals);
+          CHECK(fixture.arrivals() == row.once_arrivals);
         }
-        CHECK(scene.open() == 0);
-        CHECK(scene.running() == 0);
+        CHECK(fixture.open() == 0);
+        CHECK(fixture.running() == 0);
       }
       {
-        Scene scene(swapped ? sound : row.script, swapped ? row.script : sound);
-        CHECK(scene.Ask(Repeatability::kIdempotent) == row.idempotent);
+        DispatchFixture fixture(swapped ? healthy_script : row.script,
+                                swapped ? row.script : healthy_script);
+        CHECK(fixture.Ask(Repeatability::kIdempotent) == row.idempotent);
       }
     }
   }
@@ -259,32 +261,32 @@
 // to the previous run; a request sent on one would be lost and could not be
 // retried.
 TEST_CASE("No request is sent on a pooled connection of a previous run") {
-  Scene scene({{Send(kAnswer)}});
-  REQUIRE(scene.Ask(Repeatability::kOnce) == Outcome::kAnswered);
-  REQUIRE(scene.Ask(Repeatability::kOnce) == Outcome::kAnswered);
-  REQUIRE(scene.connections_to(0) == 1);
-  scene.Restart(0);
-  CHECK(scene.Ask(Repeatability::kOnce) == Outcome::kAnswered);
-  CHECK(scene.connections_to(0) == 2);
+  DispatchFixture fixture({{Send(kAnswer)}});
+  REQUIRE(fixture.Ask(Repeatability::kOnce) == Outcome::kAnswered);
+  REQUIRE(fixture.Ask(Repeatability::kOnce) == Outcome::kAnswered);
+  REQUIRE(fixture.connections_to(0) == 1);
+  fixture.Restart(0);
+  CHECK(fixture.Ask(Repeatability::kOnce) == Outcome::kAnswered);
+  CHECK(fixture.connections_to(0) == 2);
 }
 
 // A target breaks two calls and is avoided for a second. It then restarts,
 // which fixes it; callers must not wait for the rest of that second.
 TEST_CASE("Failures of a run do not count against the next run") {
-  Scene scene({{Reset(), Reset(), Send(kAnswer)}, {Send(kAnswer)}});
+  DispatchFixture fixture({{Reset(), Reset(), Send(kAnswer)}, {Send(kAnswer)}});
   int lost = 0;
   while (lost < 2) {
-    lost += scene.Ask(Repeatability::kOnce) == Outcome::kUnknown ? 1 : 0;
+    lost += fixture.Ask(Repeatability::kOnce) == Outcome::kUnknown ? 1 : 0;
   }
-  const std::size_t before = scene.arrivals_at(0);
+  const std::size_t before = fixture.arrivals_at(0);
   SECTION("without a restart it stays avoided") {
-    CHECK(scene.Ask(Repeatability::kOnce) == Outcome::kAnswered);
-    CHECK(scene.arrivals_at(0) == before);
+    CHECK(fixture.Ask(Repeatability::kOnce) == Outcome::kAnswered);
+    CHECK(fixture.arrivals_at(0) == before);
   }
   SECTION("after a restart it is used at once") {
-    scene.Restart(0);
-    CHECK(scene.Ask(Repeatability::kOnce) == Outcome::kAnswered);
-    CHECK(scene.arrivals_at(0) == before + 1);
+    fixture.Restart(0);
+    CHECK(fixture.Ask(Repeatability::kOnce) == Outcome::kAnswered);
+    CHECK(fixture.arrivals_at(0) == before + 1);
   }
 }
 
@@ -299,32 +301,32 @@
   const std::string events =
       whole ? "id: 1\ndata: gel\n\n" : "id: 1\ndata: gel\n";
   const Script script = {{Kind::kSend, head + events}, {Kind::kClose, ""}};
-  Scene scene({{script, script}});
-  scene.Begin(Repeatability::kOnce);
-  scene.Begin(Repeatability::kOnce);
-  scene.RunFor(milliseconds(300));
-  REQUIRE(scene.arrivals_at(0) == 2);
-  CHECK(scene.open() == 0);
-  CHECK(scene.answered() == (whole ? 2 : 0));
-  CHECK(scene.avoided() == (whole ? 0 : 1));
+  DispatchFixture fixture({{script, script}});
+  fixture.Begin(Repeatability::kOnce);
+  fixture.Begin(Repeatability::kOnce);
+  fixture.RunFor(milliseconds(300));
+  REQUIRE(fixture.arrivals_at(0) == 2);
+  CHECK(fixture.open() == 0);
+  CHECK(fixture.answered() == (whole ? 2 : 0));
+  CHECK(fixture.avoided() == (whole ? 0 : 1));
 }
 
 // Two requests are running at a target that stops responding. It restarts, and
 // only then do the deadlines or connection errors end the old run's calls.
 // These late failures must not keep callers from the new run.
 TEST_CASE("Late failures of the old run do not count against the new run") {
-  Scene scene({{SlowReset(), SlowReset(), Send(kAnswer)}});
-  scene.Begin(Repeatability::kOnce);
-  scene.Begin(Repeatability::kOnce);
-  scene.RunFor(milliseconds(100));
-  REQUIRE(scene.arrivals_at(0) == 2);
+  DispatchFixture fixture({{SlowReset(), SlowReset(), Send(kAnswer)}});
+  fixture.Begin(Repeatability::kOnce);
+  fixture.Begin(Repeatability::kOnce);
+  fixture.RunFor(milliseconds(100));
+  REQUIRE(fixture.arrivals_at(0) == 2);
   const bool restarted = GENERATE(true, false);
   if (restarted) {
-    scene.Restart(0);
+    fixture.Restart(0);
   }
-  scene.RunFor(milliseconds(600));  // Both connections have broken.
-  REQUIRE(scene.open() == 0);
-  CHECK(scene.avoided() == (restarted ? 0 : 1));
+  fixture.RunFor(milliseconds(600));  // Both connections have broken.
+  REQUIRE(fixture.open() == 0);
+  CHECK(fixture.avoided() == (restarted ? 0 : 1));
 }
 
 // The target accepts a request, restarts, and rejects the following attempt
@@ -332,20 +334,21 @@
 // previous run may have executed the request.
 TEST_CASE(
     "A request that may have run is not reported as not run after a restart") {
-  Scene scene({{Reset(), Send(kWrongTarget)}});
-  CHECK(scene.Ask(Repeatability::kIdempotent) == Outcome::kUnknown);
-  CHECK(scene.arrivals() >= 2);
+  DispatchFixture fixture({{Reset(), Send(kWrongTarget)}});
+  CHECK(fixture.Ask(Repeatability::kIdempotent) == Outcome::kUnknown);
+  CHECK(fixture.arrivals() >= 2);
 }
 
 // One of two targets resets every connection. It always has the fewest attempts
 // in flight, so it would attract most requests for as long as it is registered.
 TEST_CASE("A target that resets its connections is soon avoided") {
   for (const bool swapped : {false, true}) {
-    const Script sound = Send(kAnswer);
-    Scene scene(swapped ? sound : Reset(), swapped ? Reset() : sound);
+    const Script healthy_script = Send(kAnswer);
+    DispatchFixture fixture(swapped ? healthy_script : Reset(),
+                            swapped ? Reset() : healthy_script);
     int lost = 0;
     for (int n = 0; n < 12; ++n) {
-      lost += scene.Ask(Repeatability::kOnce) == Outcome::kUnknown ? 1 : 0;
+      lost += fixture.Ask(Repeatability::kOnce) == Outcome::kUnknown ? 1 : 0;
     }
     CHECK(lost <= 2);
   }
@@ -356,27 +359,27 @@
 // not call.
 TEST_CASE("Targets that fail nearly all at once are not avoided") {
   const std::vector<Script> cut = {Reset(), Reset(), Send(kAnswer)};
-  Scene scene({cut, cut, cut, {Send(kAnswer)}});
+  DispatchFixture fixture({cut, cut, cut, {Send(kAnswer)}});
   for (int n = 0; n < 6; ++n) {
-    CHECK(scene.Ask(Repeatability::kOnce) == Outcome::kUnknown);
+    CHECK(fixture.Ask(Repeatability::kOnce) == Outcome::kUnknown);
   }
-  CHECK(scene.Ask(Repeatability::kOnce) == Outcome::kAnswered);
-  CHECK(scene.arrivals_at(0) == 3);
-  CHECK(scene.arrivals_at(3) == 0);
+  CHECK(fixture.Ask(Repeatability::kOnce) == Outcome::kAnswered);
+  CHECK(fixture.arrivals_at(0) == 3);
+  CHECK(fixture.arrivals_at(3) == 0);
 }
 
 TEST_CASE("If all targets refuse, the caller gets an accurate refusal") {
-  Scene scene(Send(kNotExecuted), Send(kNotExecuted));
-  CHECK(scene.Ask(Repeatability::kOnce) == Outcome::kNotRun);
+  DispatchFixture fixture(Send(kNotExecuted), Send(kNotExecuted));
+  CHECK(fixture.Ask(Repeatability::kOnce) == Outcome::kNotRun);
 }
 
 // A target that never responds holds its request until the deadline. The caller
 // is then told that it may have run, and the connection is closed.
 TEST_CASE("A request to a target that never responds ends at the deadline") {
-  Scene scene({{Kind::kSleep, ""}}, {{Kind::kSleep, ""}});
-  CHECK(scene.Ask(Repeatability::kOnce) == Outcome::kUnknown);
-  CHECK(scene.arrivals() == 1);
-  CHECK(scene.running() == 0);
+  DispatchFixture fixture({{Kind::kSleep, ""}}, {{Kind::kSleep, ""}});
+  CHECK(fixture.Ask(Repeatability::kOnce) == Outcome::kUnknown);
+  CHECK(fixture.arrivals() == 1);
+  CHECK(fixture.running() == 0);
 }
 
 }  // namespace
