--- a/src/wire/claim_codec.cc
+++ b/src/wire/claim_codec.cc
@@ -47,7 +47,8 @@
   return wire::CLAIM_END_UNSPECIFIED;
 }
 
-/// A state that this version does not know may hide a run, so it is unknown.
+/// A value that this version does not know maps to `kUnknown`, since the
+/// request may have run.
 ClaimState FromWire(wire::ClaimEnd end) {
   switch (end) {
     case wire::CLAIM_END_UNSPECIFIED:
@@ -61,7 +62,7 @@
   }
 }
 
-/// Verdicts in the order of their wire values, which start at 1.
+/// Verdicts in the order of their enum values on the wire, which start at 1.
 constexpr ClaimVerdict kVerdicts[] = {
     ClaimVerdict::kGranted,  ClaimVerdict::kRunning,
     ClaimVerdict::kFinished, ClaimVerdict::kAlreadyRun,
--- a/src/wire/claim_codec.h
+++ b/src/wire/claim_codec.h
@@ -11,8 +11,8 @@
 
 namespace indigolead {
 
-/// @name Claims as messages and as objects of the store.
-/// The reading functions return nothing if a message is malformed.
+/// @name Conversion of claims to and from messages and store objects.
+/// The `Read` and `Decode` functions return nullopt for a malformed message.
 /// @{
 void FillClaimRequest(const SendClaimQuery& query, wire::ClaimRequest* out);
 std::optional<ClaimQuery> ReadClaimRequest(const wire::ClaimRequest& message,
@@ -40,10 +40,10 @@
 std::optional<JournalSegment> DecodeSegment(const std::string& value);
 /// @}
 
-/// Returns the prefix of the keys of a journal's segments.
+/// Returns the key prefix that all segments of a journal share.
 std::string JournalPrefix(const JournalRef& ref);
 
-/// Returns the key of one segment; keys sort by number.
+/// Returns the key of one segment. Keys sort in the order of their numbers.
 std::string SegmentKey(const JournalRef& ref, std::uint64_t number);
 
 }  // namespace indigolead
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -20,9 +20,9 @@
 
 bool DecodeEnvelope(const void* data, std::size_t size,
                     wire::Envelope* envelope) {
-  // The library writes a line to standard error for each message with a string
-  // that is not UTF-8, so a hostile peer could fill the log. Such messages are
-  // counted by the caller instead.
+  // Protobuf logs a line to standard error for each string that is not UTF-8,
+  // so a hostile peer could fill the log. The caller counts such messages
+  // instead.
   [[maybe_unused]] static google::protobuf::LogHandler* const kEarlier =
       google::protobuf::SetLogHandler(nullptr);
   if (size > static_cast<std::size_t>(std::numeric_limits<int>::max())) {
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -8,12 +8,12 @@
 
 namespace indigolead::internal {
 
-/// Serialises `envelope` straight into a fresh `message`. Returns false if it
-/// is larger than `max_bytes`.
+/// Serialises `envelope` into `message`, without a copy in between. Returns
+/// false if it is larger than `max_bytes`.
 bool EncodeEnvelope(const wire::Envelope& envelope, std::size_t max_bytes,
                     zmq::message_t* message);
 
-/// Returns true and fills `envelope` if the bytes are one envelope with a body
+/// Parses an envelope. Returns false if the bytes are malformed or hold no body
 /// that this version knows.
 bool DecodeEnvelope(const void* data, std::size_t size,
                     wire::Envelope* envelope);
--- a/src/wire/control_events.h
+++ b/src/wire/control_events.h
@@ -7,20 +7,20 @@
 
 inline constexpr EventInfo kRevisionApplied{
     4001, "revision-applied", EventSeverity::kInfo,
-    "A newer revision of a deployment is in force in this process."};
+    "A newer revision of a deployment was applied in this process."};
 inline constexpr EventInfo kRevisionUnreadable{
     4002, "revision-unreadable", EventSeverity::kError,
-    "A revision could not be read; the one before stays in force."};
+    "A revision could not be parsed; the previous one stays in force."};
 inline constexpr EventInfo kRevisionMismatch{
     4003, "revision-mismatch", EventSeverity::kError,
-    "A revision has the number of the one in force and another digest; it was "
-    "ignored."};
+    "A revision has the same number as the one in force but another digest; it "
+    "was ignored."};
 inline constexpr EventInfo kRevisionNoRoom{
     4004, "revision-no-room", EventSeverity::kError,
-    "The bound on deployments was reached; a revision was ignored."};
+    "The limit on deployments was reached; a revision was ignored."};
 inline constexpr EventInfo kRevisionPeerDropped{
     4005, "revision-peer-dropped", EventSeverity::kWarning,
-    "The bound on peers was reached; what a peer applies is not tracked."};
+    "The limit on peers was reached; revisions of a peer are not tracked."};
 
 }  // namespace indigolead
 
--- a/src/wire/key_files.cc
+++ b/src/wire/key_files.cc
@@ -69,7 +69,7 @@
   if (zmq_curve_public(derived.data(), secret.c_str()) != 0 ||
       ValueOf(public_keys).front() != derived.data()) {
     return MakeError(public_key_file,
-                     "does not belong to the secret key of " + secret_key_file);
+                     "does not match the secret key in " + secret_key_file);
   }
   return CurveKeys{ValueOf(public_keys).front(), secret, ValueOf(trusted)};
 }
--- a/src/wire/links.h
+++ b/src/wire/links.h
@@ -17,8 +17,8 @@
 
 namespace indigolead {
 
-/// Names one connection to one run of a peer. A reconnect has a new one, so
-/// nothing meant for an earlier connection can be delivered on a later one.
+/// Identifies one connection to one incarnation of a peer. A reconnect gets a
+/// new id, so a message for an earlier connection is never sent on a later one.
 struct LinkId {
   std::uint64_t value = 0;
 
@@ -27,52 +27,56 @@
 
 /// Sends and receives envelopes between processes, over ZeroMQ.
 ///
-/// One thread, the one that runs the io_context given, owns the sockets and
-/// calls the hooks; every method must be called on it. Connections open with a
-/// `Hello` each way and carry heartbeats each way; one that stays silent for
-/// `silence_timeout` is closed and, by the side that opened it, opened anew
-/// with a fresh identity. A send that was accepted may still be lost: only an
-/// answer from the peer proves anything.
+/// The thread that runs the io_context owns the sockets and calls the hooks;
+/// every method must be called on it. Both ends of a connection send a `Hello`
+/// first and heartbeats afterwards. A connection without incoming messages for
+/// `silence_timeout` is closed; the end that opened it then connects again
+/// under a new routing id. An accepted send may still be lost: only a reply
+/// from the peer proves delivery.
 class Links {
  public:
   struct Options {
-    std::string bind_address;  ///< "IP:port"; port 0 picks one; empty: none.
+    /// "IP:port"; port 0 picks one. Empty: no listener.
+    std::string bind_address;
     Duration heartbeat_interval = std::chrono::milliseconds(500);
     Duration silence_timeout = std::chrono::milliseconds(1500);
-    /// A link that carried nothing but heartbeats for this long sends six
-    /// times fewer of them, and is given six times the silence timeout. Must
-    /// be the same at both ends.
+    /// A link that carried only heartbeats for this long sends them at a sixth
+    /// of the rate, and its silence timeout is six times as long. Must be the
+    /// same at both ends.
     Duration idle_after = std::chrono::seconds(60);
-    /// Envelopes queued in a socket for one peer before `Send` refuses.
+    /// Envelopes queued for one peer before `Send` returns false.
     int high_water_mark = 4096;
     std::size_t max_message_bytes = 16U << 20;
     std::size_t max_links = 4096;
-    /// CURVE key files; empty turns encryption off (loopback only).
+    /// CURVE key files. Empty: no encryption, which only loopback addresses
+    /// allow.
     std::string public_key_file;
     std::string secret_key_file;
     std::string trusted_keys_file;
   };
 
-  /// What the owner of the links reacts to. A hook may call any method, but
-  /// must not destroy the links. `on_down` is never called from inside `Send`
-  /// or `Disconnect`, and no hook is called after `Stop`.
+  /// Callbacks to the owner. A hook may call any method, but must not destroy
+  /// this object. `on_down` is never called from inside `Send` or `Disconnect`,
+  /// and no hook is called after `Stop`.
   struct Hooks {
-    /// Returns the `Hello` to open a connection with: identity, target, and
-    /// the revisions held now. Peers refuse one without an instance name or
-    /// with an incarnation that is not 16 bytes.
+    /// Returns the `Hello` for a new connection: identity, target and the
+    /// current revisions. Peers refuse a hello without an instance name or with
+    /// an incarnation that is not 16 bytes.
     std::function<wire::Hello()> make_hello;
-    /// Fills a heartbeat with load and changes; may leave it as it is.
+    /// Adds load and changes to a heartbeat; optional.
     std::function<void(wire::Heartbeat*)> fill_heartbeat;
-    /// A peer has said hello on a new connection.
+    /// Called when a peer's hello has been accepted on a new connection.
     std::function<void(LinkId, const wire::Hello&)> on_up;
-    /// The connection was closed for silence, a goodbye or a newer connection
-    /// of the same peer. Nothing sent on it and unanswered is known.
+    /// Called when the connection has ended, for example by the silence
+    /// timeout, a goodbye or a newer connection of the same peer. Whether
+    /// messages without a reply were delivered is unknown.
     std::function<void(LinkId, const Error&)> on_down;
-    /// A message other than hello came. Heartbeats are passed on too.
+    /// Called for each received message except hellos and goodbyes, heartbeats
+    /// included.
     std::function<void(LinkId, wire::Envelope&&)> on_message;
   };
 
-  /// `io`, `log` targets and `metrics` must outlive this object.
+  /// `io`, the targets of `log`, and `metrics` must outlive this object.
   Links(boost::asio::io_context* io, Options options, Hooks hooks, Clock clock,
         IdSource ids, EventLog log, MetricsRegistry* metrics);
   ~Links();
@@ -83,11 +87,11 @@
   /// cannot be bound.
   Status Start();
 
-  /// Returns the address bound, "IP:port", once started.
+  /// Returns the bound address, "IP:port", after a successful start.
   std::string bound_address() const;
 
   /// Keeps one connection open to the process at `address` ("IP:port") until
-  /// `Disconnect`. Repeating it has no effect.
+  /// `Disconnect`. Repeated calls have no effect.
   void Connect(const std::string& address);
   void Disconnect(const std::string& address);
 
@@ -95,8 +99,9 @@
   /// link is gone or its queue is full.
   bool Send(LinkId link, const wire::Envelope& message);
 
-  /// Says goodbye on every link, then closes them. Goodbyes not yet written
-  /// hold the destructor for 200 ms at most.
+  /// Sends a goodbye on every link and closes the sockets once the peers have
+  /// answered, or after 500 ms. The destructor waits for the answers within
+  /// that limit, and up to 200 ms for unsent answers to the goodbyes of peers.
   void Stop(const std::string& reason);
 
  private:
--- a/src/wire/links_farewell.cc
+++ b/src/wire/links_farewell.cc
@@ -1,10 +1,10 @@
-// Ends of `Links`: goodbyes, and closing sockets without losing what is still
-// on its way.
+// Graceful shutdown of `Links`: goodbyes, and closing sockets without losing
+// frames in flight.
 //
-// A TCP socket closed with unread input answers with a reset, which can destroy
-// the last frames that this process sent: a caller would lose the end of its
-// answer to a planned stop. So both ends say goodbye, and the one that leaves
-// keeps reading until it has the peer's.
+// A TCP socket closed with unread input sends a reset, which can discard the
+// last frames of this process, so that a planned stop would truncate a caller's
+// answer. Therefore both ends send a goodbye, and the closing end keeps reading
+// until it has received the peer's.
 #include <vector>
 
 #include "wire/codec.h"
@@ -15,9 +15,10 @@
 
 using internal::ZmqSocket;
 
-/// Longest wait for the peer's goodbye; a peer that hangs costs no more.
+/// Longest wait for the peer's goodbye, so that a hung peer cannot block a
+/// stop.
 constexpr Duration kFarewellTimeout = std::chrono::milliseconds(500);
-/// Time in which a closed socket still sends the goodbye that it answers with.
+/// Linger of a closed socket, in which it can still send its answering goodbye.
 constexpr int kGoodbyeLingerMs = 200;
 constexpr auto kPollInterval = std::chrono::milliseconds(10);
 
@@ -85,7 +86,7 @@
   zmq::message_t frame;
   while (socket->Receive(&frame)) {
     if (IsGoodbye(frame)) {
-      // The caller holds the socket while its own pass runs.
+      // The running callback keeps the socket alive.
       socket->Close();
       parting_.erase(it);
       return false;
@@ -126,8 +127,8 @@
 }
 
 void Links::Impl::AwaitFarewells() {
-  // The owner may have stopped its event loop already, so the sockets are
-  // polled here, within the same bound.
+  // The event loop may no longer run, so the sockets are polled here, within
+  // the same time limit.
   for (auto left = kFarewellTimeout; IsParting() && left > Duration::zero();
        left -= kPollInterval) {
     std::vector<zmq::pollitem_t> items;
--- a/src/wire/links_impl.cc
+++ b/src/wire/links_impl.cc
@@ -7,12 +7,13 @@
 namespace indigolead {
 namespace {
 
-/// Ticks per heartbeat interval: how late a heartbeat may be, as a share.
+/// Timer ticks per heartbeat interval; a heartbeat may be one tick late.
 constexpr int kTicksPerHeartbeat = 5;
 constexpr Duration kBackoffMin = std::chrono::milliseconds(50);
 constexpr Duration kBackoffMax = std::chrono::seconds(1);
-/// ZeroMQ sockets per dialled address (the DEALER, the two ends of its monitor
-/// and a predecessor that is parting), and those of the ROUTER.
+/// ZeroMQ sockets per dialled address: the DEALER, the two ends of its monitor,
+/// and a predecessor that waits for its goodbye. `kOtherSockets` counts those
+/// of the ROUTER.
 constexpr int kSocketsPerDial = 4;
 constexpr int kOtherSockets = 16;
 constexpr int kMaxSockets = 65535;
@@ -112,7 +113,7 @@
 }
 
 void Links::Impl::PollLinks(TimePoint now, bool paused) {
-  // Hooks may change the table, so the work is collected first.
+  // Hooks may modify `links_`, so the ids are collected first.
   std::vector<std::uint64_t> silent;
   std::vector<std::uint64_t> due;
   for (auto& [id, link] : links_) {
--- a/src/wire/links_impl.h
+++ b/src/wire/links_impl.h
@@ -22,8 +22,8 @@
 
 namespace indigolead {
 
-/// Machinery of `Links`: one ROUTER socket for the connections that peers open
-/// and one DEALER socket for each address that this process dials.
+/// Implementation of `Links`: one ROUTER socket for the connections that peers
+/// open, and one DEALER socket for each address that this process dials.
 class Links::Impl {
  public:
   Impl(boost::asio::io_context* io, Options options, Hooks hooks, Clock clock,
@@ -41,7 +41,7 @@
   using SendResult = internal::SendResult;
   using TransportEvent = internal::TransportMonitor::Event;
 
-  /// One address kept connected, over as many connections as that takes.
+  /// An address that is kept connected, by one connection after another.
   struct Dial {
     Dial(std::string dialled, DialMonitor dial_monitor)
         : address(std::move(dialled)), monitor(dial_monitor) {}
@@ -51,27 +51,28 @@
     std::shared_ptr<internal::ZmqSocket> socket;
     std::unique_ptr<internal::TransportMonitor> transport;
     bool hello_sent = false;
-    std::size_t tries = 0;   ///< Since the last hello of the peer.
+    std::size_t tries = 0;   ///< Picks the trusted key to try next.
     std::uint64_t link = 0;  ///< 0 until the peer's hello.
-    /// Link of another dial that reaches the same process. While it lives this
-    /// dial rests: each hello replaces the other's link at the peer, so two
-    /// addresses of one process would take each other's connection for ever.
+    /// Link of another dial that reached the same process; 0 if none. This dial
+    /// is not opened while that link is up: each hello replaces the earlier
+    /// link at the peer, so two addresses of one process would keep closing
+    /// each other's connection.
     std::uint64_t parked_by = 0;
   };
 
-  /// One connection on which both ends have said hello.
+  /// A connection on which both ends have sent their hello.
   struct Link {
     Link(LinkMonitor link_monitor, std::string name)
         : monitor(link_monitor), instance(std::move(name)) {}
 
     LinkMonitor monitor;
     std::string instance;
-    std::string identity;          ///< Accepted links: the peer's routing id.
-    std::string address;           ///< Opened links: the address dialled.
-    std::uint32_t descriptor = 0;  ///< Accepted links: of the connection.
+    std::string identity;          ///< Accepted links: routing id of the peer.
+    std::string address;           ///< Opened links: the dialled address.
+    std::uint32_t descriptor = 0;  ///< Accepted links: the TCP socket.
     std::uint64_t sent_sequence = 0;
     std::uint64_t seen_sequence = 0;
-    bool probe = false;  ///< The transport says that it may be gone.
+    bool probe = false;  ///< Test by a heartbeat.
   };
 
   // Sockets.
@@ -103,7 +104,7 @@
                        const wire::Hello& hello);
   void OnOpenedHello(Dial* dial, const wire::Hello& hello);
   void OnLinkMessage(std::uint64_t id, wire::Envelope&& message);
-  /// Returns why `hello` is refused, or nothing.
+  /// Returns the reason to refuse `hello`, or an empty string.
   std::string CheckHello(const wire::Hello& hello, LinkDirection direction,
                          std::uint64_t id);
   void ParkDialOf(std::uint64_t old, std::uint64_t newer);
@@ -116,12 +117,12 @@
   void SendGoodbye(const std::string& identity, const std::string& reason);
   void SendHeartbeat(std::uint64_t id);
 
-  // Ends of links.
+  // Closing links.
   void DropLink(std::uint64_t id, const Error& error);
   void DropLater(std::uint64_t id);
   void DropGone();
 
-  // Farewells: sockets that said goodbye and wait for the peer's.
+  // Sockets that have sent a goodbye and wait for the peer's.
   void AnswerGoodbye(Link* link);
   bool DrainParting(internal::ZmqSocket* socket);
   void OnPartingFrame(const std::string& identity, const zmq::message_t& frame);
@@ -132,7 +133,7 @@
     return !parting_.empty() || !parting_identities_.empty();
   }
 
-  // Time.
+  // Timer.
   void ArmTimer();
   void Tick();
   void PollLinks(TimePoint now, bool paused);
@@ -169,20 +170,20 @@
   std::unordered_map<std::uint64_t, Link> links_;
   std::unordered_map<std::string, std::uint64_t> link_of_identity_;
   std::unordered_multimap<std::uint32_t, std::uint64_t> link_of_descriptor_;
-  std::set<std::uint64_t> gone_;  ///< Links to drop in a posted pass.
+  std::set<std::uint64_t> gone_;  ///< Dropped by a posted task.
   bool drop_posted_ = false;
 
-  /// A socket that is kept open until the peer has answered the goodbye, so
-  /// that closing it resets nothing that is still on its way.
+  /// A socket that stays open until the peer has answered the goodbye, so that
+  /// closing it does not reset the connection with frames still in flight.
   struct Parting {
     std::shared_ptr<internal::ZmqSocket> socket;
     TimePoint until;
   };
   std::unordered_map<internal::ZmqSocket*, Parting> parting_;
-  std::set<std::string> parting_identities_;  ///< Of the ROUTER, once stopped.
+  std::set<std::string> parting_identities_;  ///< Peers of ROUTER.
   TimePoint router_until_;
   std::uint64_t next_link_ = 1;
-  /// Expires with this object, so that posted work finds it gone.
+  /// Expires with this object, so that posted tasks can detect its destruction.
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/src/wire/links_keys.cc
+++ b/src/wire/links_keys.cc
@@ -1,4 +1,4 @@
-// Keys of `Links`: CURVE on every socket, and reading the files again.
+// CURVE keys of `Links`: socket options and reloading of the key files.
 #include <algorithm>
 
 #include "wire/events.h"
@@ -7,7 +7,7 @@
 namespace indigolead {
 namespace {
 
-/// How often the key files are read again.
+/// Interval at which the key files are reloaded.
 constexpr Duration kKeyReloadInterval = std::chrono::seconds(5);
 
 }  // namespace
@@ -42,7 +42,7 @@
                                       options_.secret_key_file,
                                       options_.trusted_keys_file);
   if (!IsOk(keys)) {
-    // A half-written file must not shut everybody out: the keys held stay.
+    // Keep the current keys: a half-written file must not lock out all peers.
     log_(events::kKeysNotReloaded,
          {{"file", ErrorOf(keys).peer}, {"reason", ErrorOf(keys).detail}});
     return;
@@ -67,8 +67,8 @@
   if (!IsEncrypted()) {
     return;
   }
-  // Which of the trusted keys the peer holds is not known beforehand, so a
-  // dial that failed tries the next one.
+  // The peer may hold any of the trusted keys, so each failed dial is followed
+  // by one with the next key.
   socket->set(zmq::sockopt::curve_serverkey,
               keys_.trusted[dial.tries % keys_.trusted.size()]);
   socket->set(zmq::sockopt::curve_publickey, keys_.public_key);
--- a/src/wire/links_messages.cc
+++ b/src/wire/links_messages.cc
@@ -1,4 +1,4 @@
-// Messages of `Links`: hellos, heartbeats, sending, and the ends of links.
+// Messages of `Links`: hellos, heartbeats, sending and dropping links.
 #include <boost/asio/post.hpp>
 
 #include "wire/codec.h"
@@ -8,7 +8,8 @@
 namespace indigolead {
 namespace {
 
-/// Version of the protocol between processes; both ends must have the same.
+/// Version of the protocol between processes. A hello with another version is
+/// refused; 0 (unset) is accepted.
 constexpr std::uint32_t kProtocol = 1;
 
 std::string DescribeKind(const wire::Hello& hello) {
@@ -48,8 +49,8 @@
         message.hello());
     return;
   }
-  // This end has forgotten the connection, or refused it. Told so, the peer
-  // opens a new one now instead of after the silence timeout.
+  // This process has dropped or refused the connection. The goodbye makes the
+  // peer reconnect now instead of after the silence timeout.
   metrics_.dropped_stray.Add();
   if (!message.has_goodbye()) {
     SendGoodbye(identity, "unknown connection");
@@ -114,7 +115,7 @@
   const std::shared_ptr<internal::ZmqSocket> socket = dial->socket;
   const std::string refusal = CheckHello(hello, LinkDirection::kOpened, id);
   if (socket->is_closed()) {
-    // A hook called for a replaced link disconnected this address.
+    // The `on_down` hook of a replaced link has disconnected this address.
     peers_.OnDown(id);
     return;
   }
@@ -124,7 +125,7 @@
     return;
   }
   dial->link = id;
-  // The key that worked is the first to be tried again.
+  // The next dial starts with the key that worked.
   --dial->tries;
   dial->monitor.OnUp(clock_());
   Link link(LinkMonitor(timing_, clock_()), hello.instance());
@@ -205,7 +206,7 @@
   if (message.has_goodbye()) {
     const Error error = MakeError(ErrorCode::kUnavailable, link.instance,
                                   "goodbye: " + message.goodbye().reason());
-    // The peer waits for the answer before it closes.
+    // The peer keeps its socket open until it receives this goodbye.
     AnswerGoodbye(&link);
     DropLink(id, error);
     return;
@@ -346,8 +347,8 @@
 }
 
 void Links::Impl::DropLater(std::uint64_t id) {
-  // The owner may be in the middle of a loop over its links when a send fails,
-  // so it hears of the loss from the event loop and never from inside `Send`.
+  // The owner may be iterating over its links when a send fails, so `on_down`
+  // is called from the event loop and never from inside `Send`.
   gone_.insert(id);
   if (drop_posted_) {
     return;
@@ -365,7 +366,7 @@
   if (stopped_) {
     return;
   }
-  // What the peer sent before it went is delivered first.
+  // Deliver the frames that the peer sent before it closed.
   while (router_ != nullptr && DrainRouter()) {
   }
   while (!gone_.empty() && !stopped_) {
--- a/src/wire/links_sockets.cc
+++ b/src/wire/links_sockets.cc
@@ -1,4 +1,4 @@
-// Sockets and dials of `Links`: options, bind, connect, reading, transport.
+// Sockets of `Links`: options, bind, connect, reads and transport events.
 #include <boost/asio/ip/address.hpp>
 #include <cstring>
 
@@ -12,10 +12,11 @@
 using internal::TransportMonitor;
 using internal::ZmqSocket;
 
-/// Frames read from one socket before other work of the thread gets its turn.
+/// Frames read from one socket before control returns to the event loop.
 constexpr int kReadBatch = 256;
-/// Unacknowledged data for this long ends a connection below ZeroMQ, which
-/// would otherwise hold a peer that vanished until the kernel gives up.
+/// TCP closes a connection whose data stays unacknowledged for this long.
+/// Otherwise ZeroMQ would keep the connection to a vanished peer until the
+/// kernel's own timeout.
 constexpr int kTransportTimeoutMs = 10000;
 constexpr int kHandshakeTimeoutMs = 5000;
 constexpr char kScheme[] = "tcp://";
@@ -25,7 +26,7 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
 }
 
-// Returns true if `address` is "IP:port"; says whether IP is on loopback.
+/// Returns true if `address` is "IP:port", and sets `is_loopback`.
 bool ParseAddress(const std::string& address, bool* is_loopback) {
   const std::size_t colon = address.rfind(':');
   if (colon == std::string::npos || colon + 1 == address.size()) {
@@ -41,7 +42,8 @@
   return !ec;
 }
 
-// Discards the frames of a message that has more of them than the protocol.
+/// Discards the frames after `last` of a message that has more frames than the
+/// protocol allows. Returns true if there were any.
 bool DiscardRest(ZmqSocket* socket, const zmq::message_t& last) {
   bool more = last.more();
   const bool discarded = more;
@@ -134,8 +136,8 @@
   if (it == dials_.end() || it->second->socket.get() != read) {
     return DrainParting(read);
   }
-  // A hook may disconnect the address; the socket is then closed or parting,
-  // and `dial` must not be touched any more.
+  // A hook may disconnect the address. The socket is then closed or in
+  // `parting_`, and `dial` is no longer valid.
   Dial* dial = it->second.get();
   const std::shared_ptr<ZmqSocket> socket = dial->socket;
   SendOpeningHello(dial);
@@ -164,9 +166,10 @@
   if (event != TransportEvent::kLost) {
     return;
   }
-  // The descriptor may already serve a newer connection, so this is a hint
-  // only: a heartbeat to each link on it finds out, now and at the next tick,
-  // since the socket may not yet know what its transport knows.
+  // This is only a hint, since the descriptor may already belong to a newer
+  // connection. A heartbeat on each of its links, now and at the next tick,
+  // shows which are lost; the second one is needed because the ROUTER may not
+  // yet have processed the loss.
   std::vector<std::uint64_t> probed;
   const auto [first, last] = link_of_descriptor_.equal_range(descriptor);
   for (auto it = first; it != last; ++it) {
@@ -191,7 +194,7 @@
     DrainDealer(address, socket.get());
     return;
   }
-  // Frames that came before the end are delivered first.
+  // Deliver the frames that were received before the loss.
   while (DrainDealer(address, socket.get())) {
   }
   it = dials_.find(address);
@@ -207,9 +210,9 @@
 }
 
 std::string Links::Impl::NewRoutingId() {
-  // A fresh id for each connection keeps a restarted process, and a later
-  // connection of this one, from getting what was meant for the earlier. The
-  // first byte must not be zero, which ZeroMQ keeps for itself.
+  // Each connection has its own id, so that neither a restarted process nor a
+  // later connection of this one receives messages for an earlier connection.
+  // The first byte must not be zero, which ZeroMQ reserves.
   return "i" + hooks_.make_hello().incarnation() + ToBytes(ids_());
 }
 
@@ -226,7 +229,7 @@
   }
   auto dial = std::make_unique<Dial>(address,
                                      DialMonitor(timing_, ids_().lo, clock_()));
-  // Before the start there are no keys; the first tick opens the dial then.
+  // No keys are loaded before `Start`; the first tick opens the dial then.
   if (started_) {
     OpenDial(dial.get());
   }
@@ -253,8 +256,8 @@
   SetClientKeys(*dial, &raw);
   ++dial->tries;
   raw.set(zmq::sockopt::routing_id, NewRoutingId());
-  // A silent reconnect would carry the routing id of the lost connection on,
-  // so each connection gets a socket of its own instead.
+  // ZeroMQ's own reconnect would reuse the routing id of the lost connection,
+  // so it is off and each connection gets a new socket.
   raw.set(zmq::sockopt::reconnect_ivl, -1);
   raw.set(zmq::sockopt::connect_timeout, ToMilliseconds(timing_.dial_timeout));
   const std::string address = dial->address;
--- a/src/wire/membership_service.cc
+++ b/src/wire/membership_service.cc
@@ -60,7 +60,7 @@
   if (!message.has_instances()) {
     return false;
   }
-  // Only sides learn the list from others; an entry asks the platform.
+  // Only sides take the list from peers; entries read it from the platform.
   if (kind_ == MemberKind::kSide) {
     TakeList(message.instances().version(), ReadNotice(message.instances()));
   }
@@ -88,7 +88,8 @@
 }
 
 void MembershipService::Tick(TimePoint now) {
-  // Every tick looks at every instance, of which there may be thousands.
+  // Limits the rate, since each tick visits every instance and there may be
+  // thousands.
   if (now - ticked_at_ < kTickInterval && now >= ticked_at_) {
     return;
   }
@@ -104,7 +105,7 @@
   version_ = version;
   if (kind_ == MemberKind::kEntry) {
     wire::Envelope notice = MakeNotice(version, instances);
-    // Most changes concern targets only and are no news to a side.
+    // Most changes concern targets only, which a notice does not contain.
     wire::Envelope same = notice;
     same.mutable_instances()->set_version(notice_.instances().version());
     const bool changed =
@@ -147,7 +148,7 @@
   options.plan.self_kind = kind;
   options.plan.entries_per_region = settings.side.entries_per_region;
   for (const std::string& seed : settings.links.seeds) {
-    // One list of seeds may serve all entries, each of which is in it.
+    // All entries may share one list of seeds, which contains each of them.
     if (seed != settings.instance.link_address) {
       options.seeds.push_back(seed);
     }
--- a/src/wire/membership_service.h
+++ b/src/wire/membership_service.h
@@ -13,33 +13,34 @@
 
 namespace indigolead {
 
-/// Keeps a process connected to the peers that it is planned to have.
+/// Keeps a process connected to the peers that its membership plan names.
 ///
-/// Entries read the platform's instance list and pass its entries on to their
-/// sides; thousands of sides reading it themselves would exceed the platform's
-/// call rate. Lives on the dispatch thread, beside the links.
+/// Entries read the platform's instance list and forward the entries in it to
+/// their sides: thousands of sides that read it themselves would exceed the
+/// platform's call rate. Runs on the dispatch thread, like the links.
 class MembershipService {
  public:
   struct Hooks {
     std::function<bool(LinkId, const wire::Envelope&)> send;
     std::function<void(const std::string& address)> connect;
     std::function<void(const std::string& address)> disconnect;
-    /// Returns true if no work depends on the connection to the address.
+    /// Returns true if no work depends on the connection to `address`.
     std::function<bool(const std::string& address)> may_disconnect;
   };
 
   MembershipService(Membership::Options options, Hooks hooks, Clock clock,
                     EventLog log);
 
-  /// Returns true if the message was for this service alone.
+  /// Returns true if no other service needs the message.
   bool HandleMessage(LinkId link, const wire::Envelope& message);
   void OnLinkUp(LinkId link, const wire::Hello& hello);
   void OnLinkDown(LinkId link);
-  /// Takes a list read from the platform; older ones than held are dropped.
+  /// Applies a list read from the platform, unless it is no newer than the
+  /// current one.
   void OnInstances(const InstanceList& list);
   void Tick(TimePoint now);
 
-  /// Returns what is believed of `instance`.
+  /// Returns the state of `instance` as seen by this process.
   MemberState StateOf(const std::string& instance) const {
     return membership_.StateOf(instance);
   }
--- a/src/wire/quarantine_codec.cc
+++ b/src/wire/quarantine_codec.cc
@@ -21,7 +21,8 @@
   out->set_client_account(notice.client_account);
   out->set_deployment(notice.deployment);
   out->set_kills(static_cast<std::uint32_t>(notice.deaths.size()));
-  // A side takes 0 for the end of a quarantine.
+  // 0 on the wire means that the quarantine is lifted, so any other notice has
+  // at least 1 ms.
   out->set_remaining_ms(
       notice.lifted ? 0
                     : std::max<std::uint64_t>(1, ToMillis(notice.remaining)));
--- a/src/wire/quarantine_codec.h
+++ b/src/wire/quarantine_codec.h
@@ -6,10 +6,10 @@
 
 namespace indigolead {
 
-/// Writes `notice` as a message; `relay` is left as it is.
+/// Converts `notice` to a message. The field `relay` is not touched.
 void FillNotice(const SuspicionNotice& notice, wire::QuarantineNotice* out);
 
-/// Returns the notice in `message`.
+/// Converts a message to a notice.
 SuspicionNotice ReadNotice(const wire::QuarantineNotice& message);
 
 }  // namespace indigolead
--- a/src/wire/relay_links.cc
+++ b/src/wire/relay_links.cc
@@ -13,13 +13,13 @@
 using internal::ZmqSocket;
 
 constexpr char kScheme[] = "tcp://";
-/// Messages read from one socket before other work of the thread gets its turn.
+/// Messages read from one socket before control returns to the event loop.
 constexpr int kReadBatch = 64;
-/// Between two tries to connect, and how long one may take.
+/// Range of the reconnect delay, and the timeout of one connection attempt.
 constexpr int kReconnectMs = 300;
 constexpr int kMaxReconnectMs = 2000;
 constexpr int kConnectTimeoutMs = 1000;
-/// Data that stays unacknowledged for so long ends a connection.
+/// TCP closes a connection whose data stays unacknowledged for this long.
 constexpr int kTransportTimeoutMs = 3000;
 
 wire::WatchAnswer ToMessage(std::uint64_t number,
@@ -173,7 +173,7 @@
 }
 
 bool RelayLinks::DrainAnswers() {
-  // A hook may ask another relay, which closes this socket.
+  // A hook may send a request to another relay, which closes this socket.
   const std::shared_ptr<ZmqSocket> socket = answers_;
   zmq::message_t frame;
   for (int n = 0; n < kReadBatch; ++n) {
@@ -208,7 +208,7 @@
   if (!internal::EncodeEnvelope(message, options_.max_message_bytes, &frame)) {
     return false;
   }
-  // The first of two parts decides whether there is room for both.
+  // ZeroMQ accepts the second frame of a message if it accepted the first.
   const bool sent =
       (asker.empty() || socket->Send(zmq::message_t(asker), /*more=*/true) ==
                             SendResult::kSent) &&
--- a/src/wire/relay_links.h
+++ b/src/wire/relay_links.h
@@ -21,9 +21,9 @@
 class ZmqSocket;
 }  // namespace internal
 
-/// A question to an entry that relays the store's changes.
+/// A watch request to an entry that relays store changes.
 struct RelayQuestion {
-  std::string asker;  ///< Names the connection to answer on; opaque.
+  std::string asker;  ///< Routing id of the connection; opaque.
   std::uint64_t number = 0;
   std::string prefix;
   std::uint64_t from = 0;
@@ -31,20 +31,21 @@
   friend bool operator==(const RelayQuestion&, const RelayQuestion&) = default;
 };
 
-/// Carries questions to the entry that relays, and answers back, over ZeroMQ.
+/// Sends watch requests to the relaying entry, and returns its answers, over
+/// ZeroMQ.
 ///
-/// Nothing is promised of either: whoever asks has a time limit of its own. The
-/// connections are plain, as are those to the store that all of this stems
-/// from; the network of the entries is the operator's.
+/// Delivery is not guaranteed, so the client needs its own timeout. The
+/// connections are not encrypted, like those to the store, where the data comes
+/// from; the operator must protect the network between entries.
 ///
 /// Runs on the thread of its io_context.
 class RelayLinks {
  public:
   struct Options {
     std::string bind_address;  ///< "IP:port"; port 0 picks one.
-    /// A whole list of some thousand targets.
+    /// Sufficient for a full list of some thousand targets.
     std::size_t max_message_bytes = 8U << 20;
-    /// Messages that wait for one peer.
+    /// Messages queued for one peer.
     int high_water_mark = 64;
   };
   struct Hooks {
@@ -60,18 +61,18 @@
   RelayLinks(const RelayLinks&) = delete;
   RelayLinks& operator=(const RelayLinks&) = delete;
 
-  /// Takes questions from now on. Fails if the address cannot be bound.
+  /// Starts to accept requests. Fails if the address cannot be bound.
   Status Listen();
 
-  /// Returns the address at which questions are taken, "IP:port".
+  /// Returns the address that accepts requests, "IP:port".
   const std::string& bound_address() const { return bound_address_; }
 
-  /// Sends a question to the entry at `address`. Keeps one connection, to the
-  /// entry asked last. Returns false if it cannot be sent.
+  /// Sends a request to the entry at `address`. Only the connection to the most
+  /// recent address is kept. Returns false if the request cannot be sent.
   bool Ask(const std::string& address, std::uint64_t number,
            const std::string& prefix, std::uint64_t from);
 
-  /// Answers a question.
+  /// Answers a request.
   void Answer(const std::string& asker, std::uint64_t number,
               const Result<WatchBatch>& answer);
 
@@ -88,7 +89,8 @@
   Options options_;
   Hooks hooks_;
   EventLog log_;
-  /// Made when first needed: it brings threads, and small fleets need none.
+  /// Created on first use, since it starts threads that small fleets do not
+  /// need.
   std::unique_ptr<zmq::context_t> context_;
   std::shared_ptr<internal::ZmqSocket> questions_;
   std::shared_ptr<internal::ZmqSocket> answers_;
--- a/src/wire/revision_exchange.cc
+++ b/src/wire/revision_exchange.cc
@@ -74,7 +74,7 @@
   }
   const Peer gone = std::move(it->second);
   peers_.erase(it);
-  // The peer may have come back on another link already.
+  // The peer may already be connected on another link.
   for (const auto& [other, peer] : peers_) {
     if (peer.instance == gone.instance &&
         peer.incarnation == gone.incarnation) {
@@ -158,8 +158,8 @@
 }
 
 void RevisionExchange::OfferMissing(LinkId link, Peer* peer, TimePoint now) {
-  // The offer may be lost, or its report; so it is repeated, at a slow pace,
-  // until the peer says that it has the revision.
+  // The offer or the peer's report may be lost, so the offer is repeated at
+  // `offer_interval` until the peer reports the revision.
   if (peer->last_offer != TimePoint{} &&
       now - peer->last_offer < options_.offer_interval) {
     return;
--- a/src/wire/revision_exchange.h
+++ b/src/wire/revision_exchange.h
@@ -14,30 +14,31 @@
 
 namespace indigolead {
 
-/// Passes revisions on between processes, and keeps the newest of each.
+/// Distributes revisions between processes and keeps the newest of each
+/// deployment.
 ///
-/// Entries hear of a revision from the store and sides from entries; a process
-/// that starts while the store is down gets the newest from any peer. Every
-/// process runs one of these. Both ends offer what the other lacks, so it does
-/// not matter which of them started first or was cut off.
+/// Entries read revisions from the store, and sides get them from entries; a
+/// process that starts while the store is down gets the newest from any peer.
+/// Every process runs one exchange. Both ends of a link offer the revisions
+/// that the other lacks, so the order of starts and reconnects does not matter.
 ///
-/// Lives on one thread. All calls and hooks are on it.
+/// All calls and hooks run on one thread.
 class RevisionExchange {
  public:
   struct Options {
     std::string instance;
     Incarnation incarnation;
-    /// Sides: the one deployment to keep; empty: every deployment.
+    /// Sides: the only deployment to keep. Empty: every deployment.
     std::string deployment;
     RevisionTable::Options book;
-    /// An offer is repeated to a peer that still lacks it after this.
+    /// Interval at which offers to a peer that lacks a revision are repeated.
     Duration offer_interval = std::chrono::seconds(1);
   };
 
   struct Hooks {
     std::function<bool(LinkId, const wire::Envelope&)> send;
-    /// Puts a revision into force here, at once. Called once for each, in
-    /// growing order of numbers.
+    /// Applies a revision in this process, synchronously. For each deployment
+    /// it is called in ascending order of numbers, once for each.
     std::function<void(const Revision&)> apply;
   };
 
@@ -52,11 +53,11 @@
   /// Repeats offers to peers that still lack a revision.
   void Tick(TimePoint now);
 
-  /// Takes a revision in from the store, as JSON. Returns what it was; a value
-  /// that cannot be read is logged and counts as older.
+  /// Processes a revision from the store, in JSON. Returns the outcome; a value
+  /// that cannot be parsed is logged and returns `kOlder`.
   RevisionOutcome OfferFromStore(const std::string& json, TimePoint now);
 
-  /// Says which revisions this process holds, for `Hello` and `Heartbeat`.
+  /// Lists the revisions that this process holds, for `Hello` and `Heartbeat`.
   void FillKnown(
       google::protobuf::RepeatedPtrField<wire::KnownRevision>* known) const;
 
--- a/src/wire/transport_monitor.cc
+++ b/src/wire/transport_monitor.cc
@@ -21,29 +21,30 @@
     : socket_(std::make_shared<ZmqSocket>(io, context, zmq::socket_type::pair)),
       watched_(watched),
       on_event_(std::move(on_event)) {
-  // The address of the monitor's own socket is unique while it lives.
+  // The pointer makes the name unique for the lifetime of this object.
   const std::string address =
       "inproc://monitor-" +
       std::to_string(reinterpret_cast<std::uintptr_t>(socket_.get()));
   zmq_socket_monitor(watched->handle(), address.c_str(),
                      kLostEvents | kRefusedEvents | kConnectedEvents);
   socket_->raw().set(zmq::sockopt::linger, 0);
-  // No bound: where the queue is full, ZeroMQ's thread waits to report.
+  // No limit: a full queue would block ZeroMQ's I/O thread.
   socket_->raw().set(zmq::sockopt::rcvhwm, 0);
   socket_->raw().connect(address);
   socket_->Start([this] { return Drain(); });
 }
 
 TransportMonitor::~TransportMonitor() {
-  // Before the reader of the reports goes: ZeroMQ's thread would wait for ever
-  // to report to nobody, and all connections of the process fall silent.
+  // Monitoring must end before its reader closes. Otherwise ZeroMQ's I/O thread
+  // would block forever on an event that nobody reads, and all connections of
+  // the process would fall silent.
   zmq_socket_monitor(watched_->handle(), nullptr, 0);
   socket_->Close();
 }
 
 bool TransportMonitor::Drain() {
-  // The callback may destroy this object, so the socket is kept alive here and
-  // tells whether it did.
+  // The callback may destroy this object. The socket is kept alive here; it is
+  // closed if that has happened.
   const std::shared_ptr<ZmqSocket> socket = socket_;
   zmq::message_t frame;
   while (socket->Receive(&frame)) {
--- a/src/wire/transport_monitor.h
+++ b/src/wire/transport_monitor.h
@@ -10,19 +10,19 @@
 
 namespace indigolead::internal {
 
-/// Reports what happens below one ZeroMQ socket.
+/// Reports connection events of one ZeroMQ socket.
 ///
-/// ZeroMQ hides the loss of a connection from its user. Told of it, the owner
-/// opens a new connection at once; without it, only silence would tell.
+/// A ZeroMQ socket does not report a lost connection. With the monitor the
+/// owner can reconnect at once instead of after the silence timeout.
 class TransportMonitor {
  public:
   enum class Event { kConnected, kLost, kRefused };
 
-  /// `on_event` gets the descriptor of the connection where there is one.
+  /// `descriptor` is that of the connection, where the event has one.
   using OnEvent = std::function<void(Event, std::uint32_t descriptor)>;
 
-  /// Watches `watched`, which must outlive this object and be open until then;
-  /// call before it is bound or connected.
+  /// Monitors `watched`, which must stay open for the lifetime of this object.
+  /// Must be constructed before `watched` is bound or connected.
   TransportMonitor(boost::asio::io_context* io, zmq::context_t* context,
                    zmq::socket_t* watched, OnEvent on_event);
   ~TransportMonitor();
--- a/src/wire/zap_handler.cc
+++ b/src/wire/zap_handler.cc
@@ -7,8 +7,8 @@
 namespace indigolead::internal {
 namespace {
 
-// Frames of a request: version, request id, domain, address, identity,
-// mechanism, and for CURVE the client's public key.
+// Frames of a ZAP request: version, request id, domain, address, identity,
+// mechanism and, for CURVE, the client's public key.
 constexpr std::size_t kRequestId = 1;
 constexpr std::size_t kMechanism = 5;
 constexpr std::size_t kCredentials = 6;
--- a/src/wire/zap_handler.h
+++ b/src/wire/zap_handler.h
@@ -9,17 +9,18 @@
 
 namespace indigolead::internal {
 
-/// Answers ZeroMQ's question whether a peer's public key is let in.
+/// ZAP (ZeroMQ Authentication Protocol) handler that decides by its public key
+/// whether a peer may connect.
 ///
-/// CURVE alone encrypts to anybody; who may connect is decided by whoever
-/// serves this well-known address. It is asked on each new connection, so a
-/// changed list of keys counts at once.
+/// CURVE itself accepts any client; ZeroMQ leaves the decision to the handler
+/// at a well-known inproc address. It asks on each new connection, so a changed
+/// list of keys takes effect at once.
 class ZapHandler {
  public:
   /// Returns true if the peer with this Z85 public key may connect.
   using IsTrusted = std::function<bool(const std::string& public_key)>;
 
-  /// Must be built before any socket of `context` is bound.
+  /// Must be constructed before any socket of `context` is bound.
   ZapHandler(boost::asio::io_context* io, zmq::context_t* context,
              IsTrusted is_trusted);
   ~ZapHandler();
--- a/src/wire/zmq_socket.cc
+++ b/src/wire/zmq_socket.cc
@@ -34,7 +34,7 @@
     return;
   }
   closed_ = true;
-  // The descriptor belongs to ZeroMQ, which closes it with the socket.
+  // ZeroMQ owns the descriptor and closes it with the socket.
   if (descriptor_.is_open()) {
     descriptor_.release();
   }
--- a/src/wire/zmq_socket.h
+++ b/src/wire/zmq_socket.h
@@ -12,19 +12,20 @@
 
 namespace indigolead::internal {
 
-/// Result of a send that does not wait.
+/// Result of a non-blocking send.
 enum class SendResult { kSent, kFull, kGone };
 
-/// One ZeroMQ socket served by an io_context.
+/// A ZeroMQ socket whose events are handled by an io_context.
 ///
-/// A ZeroMQ socket's descriptor is edge-triggered and becomes readable for
-/// internal commands too: a message that arrives while a send processes such
-/// commands leaves no edge behind and would wait for ever. So the events are
-/// read again after every wake-up, and in a posted pass after every send.
+/// The descriptor of a ZeroMQ socket is edge-triggered and also becomes
+/// readable for internal commands. A message that arrives while a send
+/// processes such commands causes no further edge and would never be read. The
+/// events are therefore checked after every wake-up, and in a posted task after
+/// every send.
 class ZmqSocket : public std::enable_shared_from_this<ZmqSocket> {
  public:
-  /// Reads what the socket holds, up to a batch; returns true if more may be
-  /// left. May close the socket.
+  /// Reads up to one batch of messages; returns true if more may be left. May
+  /// close the socket.
   using OnReady = std::function<bool()>;
 
   ZmqSocket(boost::asio::io_context* io, zmq::context_t* context,
@@ -33,24 +34,24 @@
   ZmqSocket(const ZmqSocket&) = delete;
   ZmqSocket& operator=(const ZmqSocket&) = delete;
 
-  /// Starts calling `on_ready` on the io_context's thread. Call after the
-  /// socket is bound or connected.
+  /// Starts calling `on_ready` on the thread of the io_context. Must be called
+  /// after the socket is bound or connected.
   void Start(OnReady on_ready);
 
-  /// Plans one pass of `on_ready` soon, however often it is called.
+  /// Posts one call of `on_ready`; has no effect while one is pending.
   void CheckSoon();
 
   /// Closes the socket; `on_ready` is not called afterwards.
   void Close();
   bool is_closed() const { return closed_; }
 
-  /// Returns true if a message was read.
+  /// Reads one frame without blocking. Returns false if there is none.
   bool Receive(zmq::message_t* message);
 
-  /// Sends one frame without waiting.
+  /// Sends one frame without blocking.
   SendResult Send(zmq::message_t&& frame, bool more);
 
-  /// Returns true if a send would be accepted now.
+  /// Returns true if a send would succeed now.
   bool IsWritable();
 
   /// Returns the socket, for options, bind and connect.
--- a/tests/shell/watch_fleet_test.cc
+++ b/tests/shell/watch_fleet_test.cc
@@ -15,21 +15,21 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// How long a call waits at the store for a change.
+/// Longest wait of a store call for a change.
 constexpr Duration kWait = seconds(4);
 
-/// Entries that all follow the list.
+/// Entries that all watch one list.
 class Fleet {
  public:
   Fleet(std::size_t entries, const WatchPace::Options& pace) {
     for (std::size_t it = 0; it < entries; ++it) {
-      // They start apart, as processes do.
+      // Starts are staggered, like those of real processes.
       timeline.After(milliseconds(37 * it), [this, pace] { Start(pace); });
     }
     timeline.RunFor(milliseconds(37 * entries) + 2 * kWait);
   }
 
-  /// Makes changes at random times, `per_second` of them on average.
+  /// Makes changes at random times, on average `per_second` each second.
   void Swarm(double per_second, Duration length) {
     const TimePoint end = timeline.now + length;
     while (timeline.now < end) {
@@ -39,7 +39,7 @@
     }
   }
 
-  /// Calls of one entry in a second while `load` runs.
+  /// Returns the store calls per second and entry while `load` runs.
   double CallRate(const std::function<void()>& load) {
     const std::uint64_t calls = store.calls;
     const TimePoint start = timeline.now;
@@ -54,7 +54,7 @@
   ListStore store{&timeline};
   std::vector<std::unique_ptr<PolledWatch>> watches;
   Duration longest_unseen{0};
-  std::size_t told = 0;  ///< Changes, summed over the entries.
+  std::size_t told = 0;  ///< Sum over the entries.
   std::size_t ended = 0;
 
  private:
@@ -82,35 +82,36 @@
   std::mt19937 random_{20261203};
 };
 
-// A fleet of 100 entries follows 180 engines of which a fifth crash, come back
-// and take other roles: eight changes a second for half a minute. Callers gain
-// by a store that is left alone; they lose if a change is learned too late.
-// Calls of one entry in a second: 2.5 with a fixed gap of 400 ms, 0.6 now.
-TEST_CASE("A swarm of changes costs a fleet few calls") {
+// Guards against overload of the store in a burst of changes, and against
+// changes reported too late. The load: 100 entries watch 180 engines, of which
+// a fifth crash, restart and change roles, which makes eight changes per second
+// for 30 s. Store calls per second and entry: 2.5 with a fixed gap of 400 ms,
+// 0.6 with the adaptive gap.
+TEST_CASE("A burst of changes causes few store calls") {
   constexpr Duration kMost = seconds(2);
   WatchPace::Options pace;
   pace.max_interval = kMost;
   Fleet fleet(100, pace);
   const double rate = fleet.CallRate([&fleet] { fleet.Swarm(8, seconds(30)); });
 
-  SECTION("less than a third of what a fixed gap of 400 ms costs") {
+  SECTION("fewer than a third of the calls with a fixed gap of 400 ms") {
     Fleet fixed(100, {milliseconds(400), milliseconds(400)});
     const double before =
         fixed.CallRate([&fixed] { fixed.Swarm(8, seconds(30)); });
     CHECK(before > 2);
     CHECK(rate < before / 3);
   }
-  SECTION("a lone change each second costs no call for each") {
+  SECTION("one change per second causes less than one call per change") {
     Fleet calm(100, pace);
     const double calls = calm.CallRate([&calm] { calm.Swarm(1, seconds(60)); });
     CHECK(calls < 0.7);
   }
-  SECTION("each entry learns each change, none later than the bound") {
+  SECTION("each entry learns of each change within the longest gap") {
     fleet.timeline.RunFor(2 * kMost);
     CHECK(fleet.told == fleet.store.changed_at.size() * 100);
     CHECK(fleet.longest_unseen <= kMost + kStoreAnswerTime);
   }
-  SECTION("after it a single change is learned at once") {
+  SECTION("a single change after the burst is reported at once") {
     fleet.timeline.RunFor(seconds(20));
     fleet.longest_unseen = Duration{0};
     fleet.store.Change();
@@ -118,7 +119,7 @@
     CHECK(fleet.longest_unseen == kStoreAnswerTime);
     CHECK(fleet.told == fleet.store.changed_at.size() * 100);
   }
-  SECTION("and a fleet at rest calls as often as its calls wait") {
+  SECTION("an idle fleet calls once per wait") {
     fleet.timeline.RunFor(seconds(20));
     const double idle =
         fleet.CallRate([&fleet] { fleet.timeline.RunFor(seconds(60)); });
@@ -126,14 +127,15 @@
   }
 }
 
-// The store goes away while a watch rests. The watch must notice it by its next
-// call, and nobody may take what it knew for the state of now.
-TEST_CASE("A watch that rests does not claim to know of now") {
+// Guards against stale data that counts as current when the store becomes
+// unreachable between two calls of a watch. The watch must detect the outage
+// with its next call.
+TEST_CASE("A watch between calls does not claim current knowledge") {
   Fleet fleet(1, {milliseconds(200), seconds(2)});
   Timeline& timeline = fleet.timeline;
   const PolledWatch& watch = *fleet.watches.front();
 
-  SECTION("nor while its call waits, whose connection may bear nothing") {
+  SECTION("nor while a call waits, since its connection may be dead") {
     timeline.RunFor(seconds(1));
     const TimePoint heard = watch.heard_at(timeline.now);
     const TimePoint known = watch.known_until(timeline.now);
@@ -142,19 +144,19 @@
     CHECK(watch.known_until(timeline.now) == known);
     CHECK(known < timeline.now - milliseconds(600));
   }
-  SECTION("an answer proves what was when it was asked for") {
+  SECTION("an answer proves the state at the time of its call") {
     timeline.RunFor(2 * kWait);
     const TimePoint heard = watch.heard_at(timeline.now);
     CHECK(heard - watch.known_until(timeline.now) >= kWait);
   }
-  SECTION("in a swarm it knows until its latest answer") {
+  SECTION("in a burst it knows the state up to its latest answer") {
     fleet.Swarm(20, seconds(10));
     fleet.store.Change();
     const TimePoint known = watch.known_until(timeline.now);
     CHECK(known < timeline.now);
     CHECK(timeline.now - known <= seconds(2) + kStoreAnswerTime);
   }
-  SECTION("a store that goes away during the rest ends it") {
+  SECTION("a store outage between calls ends the watch") {
     fleet.Swarm(20, seconds(10));
     fleet.store.down = true;
     timeline.RunFor(seconds(2) + 2 * kStoreAnswerTime);
@@ -162,29 +164,29 @@
   }
 }
 
-TEST_CASE("The rest of a watch follows how often things change") {
+TEST_CASE("The gap between calls adapts to the rate of changes") {
   WatchPace pace({milliseconds(200), milliseconds(1600)});
 
-  SECTION("none after a call that waited") {
+  SECTION("no delay after a call that waited") {
     CHECK(pace.DelayAfter(seconds(4), false) == Duration{0});
     CHECK(pace.DelayAfter(seconds(1), true) == Duration{0});
   }
-  SECTION("it doubles while every call finds a change, up to its bound") {
+  SECTION("the gap doubles up to its limit while every call finds a change") {
     CHECK(pace.DelayAfter(milliseconds(4), true) == milliseconds(196));
     CHECK(pace.DelayAfter(milliseconds(4), true) == milliseconds(396));
     CHECK(pace.DelayAfter(milliseconds(4), true) == milliseconds(796));
     CHECK(pace.DelayAfter(milliseconds(4), true) == milliseconds(1596));
     CHECK(pace.DelayAfter(milliseconds(4), true) == milliseconds(1596));
-    SECTION("stays there through a short lull") {
+    SECTION("and stays there through a short pause") {
       CHECK(pace.DelayAfter(milliseconds(900), true) == milliseconds(700));
       CHECK(pace.gap() == milliseconds(1600));
     }
-    SECTION("and is short again after a quiet time") {
+    SECTION("and is reset after a longer pause") {
       CHECK(pace.DelayAfter(milliseconds(1700), true) == Duration{0});
       CHECK(pace.gap() == milliseconds(200));
     }
   }
-  SECTION("a store that answers at once with nothing makes no tight loop") {
+  SECTION("an immediate empty answer does not cause a tight loop") {
     CHECK(pace.DelayAfter(milliseconds(1), false) == milliseconds(199));
   }
 }
--- a/tests/shell/watch_relay_fleet_test.cc
+++ b/tests/shell/watch_relay_fleet_test.cc
@@ -20,28 +20,29 @@
 
 constexpr std::size_t kDomains = 5;
 constexpr Duration kMessageTime = milliseconds(1);
-/// A change must be in force at every entry within this.
+/// Every entry must have applied a change within this time.
 constexpr Duration kBound = seconds(5);
 constexpr Duration kDirectWait = seconds(5);
 constexpr Duration kLeastGap = kBound / 5;
 constexpr Duration kAnswerWithin = kBound * 3 / 10;
 constexpr char kPrefix[] = "targets/";
 
-/// Entries of several failure domains that follow one list, and relay it.
+/// Entries of several failure domains that watch one list and relay it to each
+/// other.
 class RelayFleet {
  public:
-  /// What one entry suffers from.
+  /// Simulated fault of one entry.
   enum class Trouble {
     kNone,
-    kDead,        ///< Killed: it neither asks nor answers.
-    kMute,        ///< Its messages to other entries are lost.
-    kCut,         ///< Its calls of the store are never answered.
-    kTurnedAway,  ///< The store refuses its calls.
+    kDead,        ///< Killed: sends no requests and no answers.
+    kMute,        ///< Its messages from and to other entries are lost.
+    kCut,         ///< Its store calls time out.
+    kTurnedAway,  ///< Its store calls are refused.
   };
 
-  /// `listed_after` its start each entry learns of the others.
+  /// Each entry learns of the others `listed_after` its start.
   explicit RelayFleet(std::size_t entries, Duration listed_after = {}) {
-    store.Change();  // No store is at version 0.
+    store.Change();  // A real store is never at version 0.
     std::vector<RelayCandidate> listed;
     for (std::size_t it = 0; it < entries; ++it) {
       nodes_.push_back(std::make_unique<Node>());
@@ -49,7 +50,7 @@
     }
     for (std::size_t it = 0; it < entries; ++it) {
       Build(it);
-      // They start apart, as processes do.
+      // Starts are staggered, like those of real processes.
       const Duration start = milliseconds(it % 300);
       timeline.After(start, [this, it] { Start(it); });
       timeline.After(start + listed_after, [this, it, listed] {
@@ -66,15 +67,15 @@
     }
   }
 
-  /// The store refuses the lists that the entry asks for, and no other call.
+  /// Makes the store refuse list calls of the entry, but no other calls.
   void CannotList(std::size_t entry) { nodes_[entry]->cannot_list = true; }
 
-  /// Returns the entry that relays to the entry `follower`.
+  /// Returns the entry that relays changes to `follower`.
   std::size_t RelayOf(std::size_t follower) const {
     return nodes_[follower]->asked;
   }
 
-  /// Makes changes at random times, `per_second` of them on average.
+  /// Makes changes at random times, on average `per_second` each second.
   void Swarm(double per_second, Duration length) {
     const TimePoint end = timeline.now + length;
     while (timeline.now < end) {
@@ -84,7 +85,7 @@
     }
   }
 
-  /// Calls of all entries in a second while `load` runs.
+  /// Returns the store calls per second of all entries while `load` runs.
   double CallRate(const std::function<void()>& load) {
     const std::uint64_t calls = store.calls;
     const TimePoint start = timeline.now;
@@ -93,7 +94,7 @@
            std::chrono::duration<double>(timeline.now - start).count();
   }
 
-  /// Entries that run and do not know of every change.
+  /// Returns the number of running entries that lack a change.
   std::size_t Behind() const {
     return static_cast<std::size_t>(
         std::count_if(nodes_.begin(), nodes_.end(), [this](const auto& it) {
@@ -102,22 +103,22 @@
         }));
   }
 
-  /// Returns for how long an entry without trouble has heard nothing at most.
+  /// Returns the longest time since an entry without a fault got an answer.
   Duration LongestUnheard() const {
     return LongestSince(&ObjectStore::Watch::heard_at);
   }
 
-  /// Returns how old the oldest knowledge is, as the entries without trouble
-  /// can prove it.
+  /// Returns the greatest age of the state that an entry without a fault can
+  /// prove to know.
   Duration OldestKnowledge() const {
     return LongestSince(&ObjectStore::Watch::known_until);
   }
 
   Timeline timeline;
   ListStore store{&timeline};
-  Duration longest_unseen{0};  ///< By an entry without trouble.
+  Duration longest_unseen{0};  ///< Over the entries without a fault.
   std::size_t ended = 0;
-  std::size_t failures = 0;  ///< Times that a relay failed an entry.
+  std::size_t failures = 0;  ///< Failed requests to relays.
 
  private:
   struct Node {
@@ -127,8 +128,8 @@
     Trouble trouble = Trouble::kNone;
     bool cannot_list = false;
     std::uint64_t version = 0;
-    std::map<std::string, std::string> objects;  ///< As told so far.
-    std::size_t asked = 0;                       ///< The entry asked last.
+    std::map<std::string, std::string> objects;  ///< As reported.
+    std::size_t asked = 0;  ///< Entry that got the last request.
   };
 
   using TimeOfWatch = TimePoint (ObjectStore::Watch::*)(TimePoint now) const;
@@ -189,7 +190,7 @@
     store.List(std::move(done));
   }
 
-  /// What the entry knows of the list.
+  /// Returns the list as known to the entry.
   ObjectStore::Listing Known(std::size_t entry) const {
     const Node& node = *nodes_[entry];
     ObjectStore::Listing known;
@@ -313,9 +314,9 @@
 
 using Trouble = RelayFleet::Trouble;
 
-// Each entry of a large fleet follows every registration. Callers gain by a
-// store that is left alone; they lose if a change is learned too late.
-TEST_CASE("The store's calls grow with failure domains, not with entries") {
+// Guards against overload of the store by a large fleet in which each entry
+// watches every registration, and against changes reported too late.
+TEST_CASE("Store calls grow with the failure domains, not with the entries") {
   for (const std::size_t entries : {50, 100, 300, 1000}) {
     INFO(entries << " entries");
     RelayFleet fleet(entries);
@@ -329,15 +330,16 @@
     CHECK(idle <= most);
     CHECK(fleet.longest_unseen <= kLeastGap + milliseconds(20));
     CHECK(fleet.LongestUnheard() <= kAnswerWithin + milliseconds(20));
-    // A question proves what was when it was asked, less what a relay may lag.
+    // An answer proves the state at the time of the request, minus the lag of
+    // the relay.
     CHECK(fleet.OldestKnowledge() <= 2 * kAnswerWithin + milliseconds(320));
     CHECK(fleet.Behind() == 0);
     CHECK(fleet.ended == 0);
   }
 }
 
-/// Guards against hundreds of calls in the first second, in which no entry
-/// knows of another yet.
+// Guards against hundreds of store calls in the first second, when no entry
+// knows the others yet.
 TEST_CASE("Entries that start together do not all call the store") {
   RelayFleet fleet(300, milliseconds(200));
   CHECK(fleet.store.calls <= 10 * kDomains);
@@ -345,7 +347,7 @@
   fleet.timeline.RunFor(seconds(2));
   CHECK(fleet.Behind() == 0);
 
-  SECTION("unless the others cannot be learned of") {
+  SECTION("but do so if they do not learn of the others") {
     RelayFleet alone(20, seconds(60));
     CHECK(alone.store.calls >= 20);
     alone.store.Change();
@@ -354,7 +356,7 @@
   }
 }
 
-TEST_CASE("Few entries in a failure domain read the store themselves") {
+TEST_CASE("The entries of a small failure domain watch the store directly") {
   RelayFleet fleet(7 * kDomains);
   const double idle =
       fleet.CallRate([&fleet] { fleet.timeline.RunFor(seconds(60)); });
@@ -362,7 +364,7 @@
   CHECK(fleet.RelayOf(20) == 20);
 }
 
-TEST_CASE("No change is learned too late for want of the entry that relays") {
+TEST_CASE("Changes arrive in time although the relaying entry fails") {
   const Trouble trouble = GENERATE(Trouble::kDead, Trouble::kMute,
                                    Trouble::kCut, Trouble::kTurnedAway);
   constexpr std::size_t kFollower = 42;
@@ -370,10 +372,10 @@
   fleet.Swarm(2, seconds(10));
   const std::size_t relay = fleet.RelayOf(kFollower);
   REQUIRE(relay != kFollower);
-  INFO("trouble " << static_cast<int>(trouble) << " of entry " << relay);
+  INFO("fault " << static_cast<int>(trouble) << " of entry " << relay);
   fleet.SetTrouble(relay, trouble);
   fleet.Swarm(2, seconds(20));
-  // The one in trouble is told by others, after its own calls have failed.
+  // The faulty entry gets changes from others once its own calls have failed.
   fleet.timeline.RunFor(seconds(10));
 
   CHECK(fleet.longest_unseen <= kBound);
@@ -382,62 +384,63 @@
   CHECK(fleet.ended == 0);
   CHECK(fleet.RelayOf(kFollower) != relay);
 
-  SECTION("and the calls are few again") {
+  SECTION("and store calls are few again") {
     const double calls =
         fleet.CallRate([&fleet] { fleet.Swarm(2, seconds(20)); });
     CHECK(calls <= 2 * kDomains);
   }
-  SECTION("not even if the next one is lost as well") {
+  SECTION("also if the next relay fails as well") {
     fleet.SetTrouble(fleet.RelayOf(kFollower), trouble);
     fleet.Swarm(2, seconds(10));
     fleet.timeline.RunFor(seconds(10));
     CHECK(fleet.longest_unseen <= kBound);
-    CHECK(fleet.Behind() <= 2);  // Those in trouble, where both are cut off.
+    CHECK(fleet.Behind() <= 2);  // The two faulty entries.
   }
 }
 
-TEST_CASE("A store that is away is noticed through an entry that relays") {
+TEST_CASE("Entries detect a store outage through their relay") {
   RelayFleet fleet(100);
   fleet.store.down = true;
   fleet.timeline.RunFor(seconds(10));
   CHECK(fleet.ended == 100);
 }
 
-/// Guards against calls that wait at a store which has forgotten what they ask
-/// for: changes stayed unseen for as long as such a call waits.
-TEST_CASE("Entries notice at once that the store has forgotten its changes") {
+// Guards against calls that wait at a store which has compacted the changes
+// they ask for: changes stayed unseen until the wait of such a call ended.
+TEST_CASE("Entries detect at once that the store has compacted its changes") {
   RelayFleet fleet(100);
   fleet.timeline.RunFor(milliseconds(700));
 
-  SECTION("and are told what they have missed") {
+  SECTION("and get the changes that they missed") {
     fleet.store.Compact();
     fleet.timeline.RunFor(kAnswerWithin + milliseconds(500));
     CHECK(fleet.Behind() == 0);
     CHECK(fleet.ended == 0);
   }
-  SECTION("or that they must list, where those that relay cannot") {
+  SECTION("or their watches end if the relays cannot list") {
     for (std::size_t it = 0; it < 100; ++it) {
       fleet.CannotList(it);
     }
     fleet.store.Compact();
     fleet.timeline.RunFor(kAnswerWithin + milliseconds(500));
-    CHECK(fleet.ended == 100);  // Whoever owns a watch that ends lists anew.
+    CHECK(fleet.ended == 100);  // The owner of an ended watch lists again.
   }
 }
 
-/// How a store that forgets its changes goes about it.
+/// One way in which a store compacts its changes.
 struct Forgetting {
   ListStore::Cut cut = ListStore::Cut::kBroken;
-  /// Calls are left without an answer before it and after it.
+  /// Times before and after compaction in which calls get no answer.
   Duration mute_before{0};
   Duration mute_after{0};
-  /// Entries give their relay up once where it cannot know in time.
+  /// Entries change their relay once, since it cannot learn of the compaction
+  /// in time.
   bool relay_is_lost = false;
 };
 
-/// Guards against hundreds of whole lists in one moment, when the store forgets
-/// its changes.
-TEST_CASE("A store that forgets its changes is listed once for each domain") {
+// Guards against hundreds of full list calls at once when the store compacts
+// its changes.
+TEST_CASE("After compaction the store is listed once per failure domain") {
   const auto how = GENERATE(
       Forgetting{ListStore::Cut::kBroken, {}, {}, false},
       Forgetting{ListStore::Cut::kSilent, {}, {}, false},
@@ -456,7 +459,7 @@
     for (const int unseen : {1, 40, 0}) {
       INFO(unseen << " changes unseen");
       fleet.Swarm(8, seconds(5));
-      fleet.timeline.RunFor(milliseconds(1500));  // Calls wait by then.
+      fleet.timeline.RunFor(milliseconds(1500));  // Calls are waiting by then.
       const std::uint64_t lists = fleet.store.lists;
       const std::uint64_t calls = fleet.store.calls;
       fleet.longest_unseen = Duration{0};
@@ -479,9 +482,9 @@
   }
 }
 
-/// Guards against hundreds of calls, each in place of one that broke at a
-/// relay.
-TEST_CASE("A call of a relay that breaks is made again by the relay alone") {
+// Guards against hundreds of store calls when the calls of relays fail: each
+// entry would call the store itself.
+TEST_CASE("Only the relay repeats its failed store call") {
   RelayFleet fleet(300);
   fleet.timeline.RunFor(milliseconds(700));
   const std::uint64_t calls = fleet.store.calls;
@@ -494,9 +497,9 @@
   CHECK(fleet.ended == 0);
 }
 
-/// Guards against a relay that fails all who ask it again because of changes
-/// that were forgotten while nobody asked.
-TEST_CASE("A relay that nobody asked for a while goes on from what is asked") {
+// Guards against a relay that answers all renewed requests with an error, since
+// the store compacted changes while the relay got no requests.
+TEST_CASE("A relay that was idle resumes from the requested version") {
   RelayFleet fleet(100);
   constexpr std::size_t kFollower = 42;
   fleet.Swarm(2, seconds(5));
@@ -515,12 +518,12 @@
   CHECK(fleet.RelayOf(kFollower) == relay);
   CHECK(fleet.store.lists == lists);
   CHECK(fleet.store.calls - calls <= kDomains * (seconds(15) / kLeastGap + 1));
-  CHECK(fleet.ended <= 1);  // The one that was cut off lacks what is gone.
+  CHECK(fleet.ended <= 1);  // The entry that was cut off.
 }
 
-/// Guards against an entry that comes late and makes the relay forget what the
-/// others need.
-TEST_CASE("Entries that are behind are told all that they lack") {
+// Guards against a late entry that makes the relay discard the changes which
+// other entries need.
+TEST_CASE("Entries that lag get all changes that they lack") {
   Timeline timeline;
   ListStore store(&timeline);
   for (int n = 0; n < 50; ++n) {
@@ -558,12 +561,12 @@
   timeline.RunFor(seconds(3));
   CHECK(told == std::vector<std::size_t>{5, 30, 2});
 
-  SECTION("and one that knows more than the relay keeps what it knows") {
+  SECTION("an entry that is up to date gets no changes") {
     ask(50);
     timeline.RunFor(seconds(3));
     CHECK(told.back() == 0);
   }
-  SECTION("but for what is known by its outcome only") {
+  SECTION("but compacted changes are known only by their outcome") {
     for (int n = 0; n < 5; ++n) {
       store.Change();
     }
@@ -577,7 +580,7 @@
       });
     };
     ask_from(50);
-    ask_from(53);  // Told by the store itself in between.
+    ask_from(53);  // An entry that read the store itself.
     timeline.RunFor(seconds(3));
     REQUIRE(answers.size() == 2);
     const auto changes = DiffListings(known, store.Listed());
--- a/tests/support/watch_world.h
+++ b/tests/support/watch_world.h
@@ -11,13 +11,14 @@
 
 #include "store/polled_watch.h"
 
-// A store with one list, and time that the test turns, for fleets of watches.
+// A simulated store with one list, and simulated time, for tests with many
+// watches.
 namespace indigolead::testing {
 
-/// From a call to its answer when there is something to tell.
+/// Simulated latency of a store call that need not wait for a change.
 inline constexpr Duration kStoreAnswerTime = std::chrono::milliseconds(4);
 
-/// Functions that run at their time, in simulated time.
+/// Scheduler in simulated time.
 class Timeline {
  public:
   TimePoint now{std::chrono::seconds(1000)};
@@ -39,9 +40,9 @@
   std::multimap<TimePoint, std::function<void()>> tasks_;
 };
 
-/// A store with one list of a few objects. Each change bears the next version
-/// and writes or removes one of them; a waiting call is answered when there is
-/// one, or when its wait is over.
+/// A store with one list of a few objects. Each change has the next version and
+/// writes or removes one object. A waiting call is answered at the next change,
+/// or when its wait is over.
 class ListStore {
  public:
   explicit ListStore(Timeline* timeline) : timeline_(timeline) {}
@@ -67,7 +68,7 @@
       return;
     }
     if (from < forgotten_before_) {
-      // As the platform's store does it: at once, or when the wait is over.
+      // Like the platform's store: at once without a wait, else after the wait.
       timeline_->After(wait + kStoreAnswerTime, [done = std::move(done)] {
         done(Error{ErrorCode::kNotFound, "store.watch", "store", "forgotten"});
       });
@@ -99,7 +100,7 @@
     });
   }
 
-  /// Returns all objects as they are now.
+  /// Returns the current objects.
   ObjectStore::Listing Listed() const {
     ObjectStore::Listing listing;
     listing.version = changed_at.size();
@@ -109,7 +110,7 @@
     return listing;
   }
 
-  /// Breaks all calls that wait.
+  /// Fails all waiting calls.
   void BreakWaiting() {
     std::vector<Waiting> waiting;
     waiting.swap(waiting_);
@@ -120,11 +121,11 @@
     }
   }
 
-  /// How calls that wait are cut off.
+  /// How `Compact` ends waiting calls: with an error at once, or by a timeout.
   enum class Cut { kBroken, kSilent };
 
-  /// Cuts off all calls that wait, without telling them of `unseen` changes
-  /// more, and forgets all changes until the last of these.
+  /// Makes `unseen` more changes, compacts all changes up to the last of them,
+  /// and fails all waiting calls without reporting these changes.
   void Compact(int unseen = 1, Cut cut = Cut::kBroken) {
     for (int n = 0; n < unseen; ++n) {
       Make();
@@ -143,19 +144,19 @@
     waiting_.clear();
   }
 
-  /// When the change of version n + 1 was made.
+  /// Element n is the time of the change to version n + 1.
   std::vector<TimePoint> changed_at;
   std::map<std::string, std::string> objects;
   std::uint64_t calls = 0;
   std::uint64_t lists = 0;
   bool down = false;
-  bool mute = false;  ///< Calls that come now are not answered.
+  bool mute = false;  ///< Calls get no answer.
 
  private:
-  /// A call without an answer is given up so long after its wait.
+  /// A call without an answer fails this long after its wait has ended.
   static constexpr Duration kSlack = std::chrono::milliseconds(700);
   static constexpr std::uint64_t kObjects = 16;
-  /// One change in so many removes its object, if there is one.
+  /// One in this many changes removes its object, if it exists.
   static constexpr std::uint64_t kRemovals = 5;
 
   void Make() {
@@ -202,7 +203,7 @@
   }
 
   Timeline* timeline_;
-  std::vector<WatchEvent> events_;  ///< Of version n + 1 each.
+  std::vector<WatchEvent> events_;  ///< Element n has version n + 1.
   std::vector<Waiting> waiting_;
   std::uint64_t next_id_ = 0;
   std::uint64_t forgotten_before_ = 0;
--- a/tests/wire/links_keys_test.cc
+++ b/tests/wire/links_keys_test.cc
@@ -29,7 +29,7 @@
   return {public_key.data(), secret_key.data()};
 }
 
-/// Key files of one process, removed with this object.
+/// Key files of one process, deleted by the destructor.
 class KeyFiles {
  public:
   KeyFiles(const KeyPair& own, const std::string& trusted)
@@ -51,7 +51,7 @@
   std::filesystem::path folder_;
 };
 
-/// One process's links with these keys, which counts what came up.
+/// Links of one process with the given keys; counts the links that come up.
 struct Node {
   Node(boost::asio::io_context* io, const std::string& name,
        const KeyFiles& files) {
@@ -98,7 +98,7 @@
   return done();
 }
 
-TEST_CASE("Links with keys let only trusted peers in") {
+TEST_CASE("Encrypted links accept only trusted peers") {
   boost::asio::io_context io;
   const KeyPair fleet = MakeKeyPair();
   const KeyPair stranger = MakeKeyPair();
@@ -106,13 +106,14 @@
   Node server(&io, "entry-1", fleet_files);
   REQUIRE(IsOk(server.started));
 
-  SECTION("a peer of the fleet gets a link") {
+  SECTION("a peer with the trusted key gets a link") {
     Node client(&io, "side-1", fleet_files);
     client.links->Connect(server.links->bound_address());
     CHECK(RunUntil(&io, [&] { return client.up == 1 && server.up == 1; }));
   }
 
-  SECTION("a stranger is refused, counted, and let in once it is trusted") {
+  SECTION(
+      "an untrusted peer is refused and logged, and accepted once trusted") {
     KeyFiles files(stranger, fleet.public_key);
     Node client(&io, "side-2", files);
     client.links->Connect(server.links->bound_address());
@@ -128,14 +129,14 @@
     CHECK(server.logged.find("keys-reloaded") != std::string::npos);
   }
 
-  SECTION("a peer that tries an old key first comes in with the next") {
+  SECTION("a dial that fails with one trusted key tries the next") {
     KeyFiles files(fleet, stranger.public_key + "\n" + fleet.public_key);
     Node client(&io, "side-3", files);
     client.links->Connect(server.links->bound_address());
     CHECK(RunUntil(&io, [&] { return client.up == 1; }));
   }
 
-  SECTION("a broken file keeps the keys read before, and shows no key") {
+  SECTION("an invalid file keeps the current keys, and the log shows no key") {
     fleet_files.Write("trusted", fleet.secret_key + "x");
     server.skipped = 10s;
     REQUIRE(RunUntil(&io, [&] {
@@ -146,20 +147,20 @@
   }
 }
 
-TEST_CASE("Key files are checked before anything is opened") {
+TEST_CASE("Links do not start with invalid key files") {
   boost::asio::io_context io;
   const KeyPair fleet = MakeKeyPair();
   KeyFiles files(fleet, fleet.public_key);
 
-  SECTION("a missing file") {
+  SECTION("a missing secret key file") {
     std::filesystem::remove(files.Path("secret"));
     CHECK_FALSE(IsOk(Node(&io, "entry-1", files).started));
   }
-  SECTION("a public key that belongs to another secret") {
+  SECTION("a public key that does not match the secret key") {
     files.Write("public", MakeKeyPair().public_key);
     CHECK_FALSE(IsOk(Node(&io, "entry-1", files).started));
   }
-  SECTION("a trusted list without a key") {
+  SECTION("a list of trusted keys without a key") {
     files.Write("trusted", "# nobody");
     CHECK_FALSE(IsOk(Node(&io, "entry-1", files).started));
   }
--- a/tests/wire/links_test.cc
+++ b/tests/wire/links_test.cc
@@ -18,7 +18,7 @@
 
 using namespace std::chrono_literals;
 
-/// One process's end of its connections, with what its hooks have seen.
+/// Links of one process; records the calls of its hooks.
 class Peer {
  public:
   Peer(boost::asio::io_context* io, std::string name, std::uint64_t run,
@@ -100,7 +100,8 @@
   return message;
 }
 
-/// Runs `io` until `done` holds; returns false if it never does.
+/// Runs `io` until `done` returns true, for 20 s at most. Returns the last
+/// result of `done`.
 bool RunUntil(boost::asio::io_context* io, const std::function<bool()>& done) {
   const TimePoint limit = BootTimeNow() + 20s;
   while (!done() && BootTimeNow() < limit) {
@@ -109,7 +110,7 @@
   return done();
 }
 
-TEST_CASE("Two processes keep a link") {
+TEST_CASE("Two connected processes share a link") {
   boost::asio::io_context io;
   Peer server(&io, "entry-1", 1);
   Peer client(&io, "side-1", 2);
@@ -118,12 +119,12 @@
   REQUIRE(RunUntil(&io, [&] { return !client.up.empty(); }));
   REQUIRE(RunUntil(&io, [&] { return !server.up.empty(); }));
 
-  SECTION("each knows the other by its hello") {
+  SECTION("each learns the name of the other from its hello") {
     CHECK(client.up.begin()->second == "entry-1");
     CHECK(server.up.begin()->second == "side-1");
   }
 
-  SECTION("messages arrive whole and in order, both ways") {
+  SECTION("messages arrive intact and in order in both directions") {
     constexpr std::uint64_t kMessages = 2000;
     server.on_message = [&](LinkId id, const wire::Envelope& message) {
       CHECK(server.links->Send(id, message));
@@ -138,14 +139,14 @@
     }
   }
 
-  SECTION("heartbeats flow both ways while nothing else is sent") {
+  SECTION("heartbeats are sent in both directions on an idle link") {
     CHECK(RunUntil(
         &io, [&] { return client.heartbeats >= 3 && server.heartbeats >= 3; }));
     CHECK(client.downs.empty());
     CHECK(server.downs.empty());
   }
 
-  SECTION("a goodbye ends the link at once, and the opener comes back") {
+  SECTION("a goodbye closes the link, and on_down gets its reason") {
     server.links->Stop("stopping");
     REQUIRE(RunUntil(&io, [&] { return !client.downs.empty(); }));
     CHECK(client.downs[0].code == ErrorCode::kUnavailable);
@@ -153,7 +154,7 @@
     CHECK_FALSE(client.links->Send(LinkId{1}, MakeCredit(1)));
   }
 
-  SECTION("Disconnect ends the link at both ends and is not undone") {
+  SECTION("Disconnect closes the link at both ends") {
     client.links->Disconnect(server.links->bound_address());
     CHECK(RunUntil(&io, [&] {
       return client.up.empty() && server.up.empty() && !client.downs.empty();
@@ -161,7 +162,7 @@
     CHECK(server.downs.size() == 1);
   }
 
-  SECTION("a message over the limit is refused and harms nothing") {
+  SECTION("a message over the size limit is refused, and the link stays up") {
     wire::Envelope message;
     message.mutable_chunk()->set_data(std::string(17U << 20, 'x'));
     CHECK_FALSE(client.links->Send(client.OnlyLink(), message));
@@ -170,9 +171,9 @@
   }
 }
 
-/// Guards against a planned stop of one peer that silences the links to all
-/// others.
-TEST_CASE("A peer that leaves takes no other link with it") {
+// Guards against a fault in which the planned stop of one peer silenced the
+// links to all others.
+TEST_CASE("The stop of one peer leaves the other links up") {
   constexpr std::uint64_t kRounds = 100;
   boost::asio::io_context io;
   Peer steady(&io, "steady", 1);
@@ -195,11 +196,11 @@
   CHECK(steady.downs.empty());
 }
 
-// The caller's stream stalls because the process at the other end was stopped
-// (SIGSTOP, a hung host): the transport stays open and reports nothing. The
-// silence timeout closes the link at the opener, which dials on; when the
-// process runs again it gets a new link and the old one carries nothing more.
-TEST_CASE("A peer that falls silent loses its link and gets a new one") {
+// Guards against a stream that stalls because the peer was stopped (SIGSTOP, a
+// hung host), so that the TCP connection stays open. The silence timeout closes
+// the link at the client, which dials again. When the peer runs again, it gets
+// a new link and nothing is sent on the old one.
+TEST_CASE("A silent peer loses its link and gets a new one") {
   boost::asio::io_context io;
   boost::asio::io_context stopped_io;
   Peer server(&stopped_io, "entry-1", 1);
@@ -223,10 +224,10 @@
   CHECK(client.CounterValue("indigolead_links_silent_total") >= 1);
 }
 
-// A process is killed and another run of the same instance starts at once.
-// What was sent to the first must not reach the second: an attempt delivered
-// to a run that never promised anything would break "not run is true".
-TEST_CASE("A restarted process is a new peer") {
+// Guards against messages for a killed process that reach its restarted
+// successor of the same instance. The successor might run an attempt, although
+// a request that is reported as not run must not have run.
+TEST_CASE("A restarted process gets a new link") {
   boost::asio::io_context io;
   Peer server(&io, "entry-1", 1);
   auto first = std::make_unique<Peer>(&io, "side-1", 2);
@@ -237,7 +238,7 @@
   Peer second(&io, "side-1", 3);
   second.links->Connect(server.links->bound_address());
 
-  SECTION("the newer run replaces the older, down before up") {
+  SECTION("the newer run replaces the older, and on_down precedes on_up") {
     REQUIRE(RunUntil(&io, [&] { return !second.up.empty(); }));
     CHECK(server.OnlyLink() != old_link);
     CHECK(server.incarnations[server.OnlyLink()] == ToBytes(Id128{3, 3}));
@@ -245,7 +246,8 @@
     CHECK_FALSE(server.links->Send(old_link, MakeCredit(1)));
   }
 
-  SECTION("the older run is refused when it comes back, and the newer stays") {
+  SECTION(
+      "the older run is refused when it reconnects, and the newer stays up") {
     REQUIRE(RunUntil(&io, [&] { return !second.up.empty(); }));
     const LinkId new_link = server.OnlyLink();
     REQUIRE(RunUntil(&io, [&] {
@@ -256,7 +258,7 @@
     CHECK(second.downs.empty());
   }
 
-  SECTION("a death without goodbye is noticed and dialled again") {
+  SECTION("a peer that ends without a goodbye is detected and dialled again") {
     REQUIRE(RunUntil(&io, [&] { return !second.up.empty(); }));
     first.reset();
     const std::string address = server.links->bound_address();
@@ -271,16 +273,16 @@
   }
 }
 
-// One process is listed under two addresses. Each hello replaces the other's
-// link at the peer; without a rule the two dials would take turns for ever and
-// every stream would break again and again.
-TEST_CASE("Two addresses of one process settle on one link") {
+// Guards against streams that break repeatedly when a process is listed under
+// two addresses: the hello of each dial replaces the link of the other at the
+// peer, so both dials would reconnect in turn without end.
+TEST_CASE("Two addresses of one process share one stable link") {
   boost::asio::io_context io;
   Peer listed(&io, "entry-2", 2);
   Peer client(&io, "side-1", 3);
   const std::string address = listed.links->bound_address();
   client.links->Connect(address);
-  // The same port, spelt with a leading zero, is another address to dial.
+  // The port with a leading zero makes a different address string.
   std::string respelt = address;
   respelt.insert(respelt.rfind(':') + 1, "0");
   client.links->Connect(respelt);
@@ -295,11 +297,11 @@
   CHECK(client.downs.size() == downs);
 }
 
-TEST_CASE("Links stay within their bounds") {
+TEST_CASE("Links enforce their limits") {
   boost::asio::io_context io;
   boost::asio::io_context slow_io;
 
-  SECTION("a queue that is full refuses at once and says so") {
+  SECTION("a send to a full queue is refused at once and counted") {
     const auto small = [](Links::Options* options) {
       options->high_water_mark = 8;
       options->silence_timeout = 30s;
@@ -320,14 +322,14 @@
     CHECK(sent < 1000);
     CHECK(client.CounterValue(
               "indigolead_link_send_failed_total{reason=\"full\"}") == 1);
-    // The reader runs again: nothing that was accepted is lost.
+    // The reader runs again and gets every accepted message.
     CHECK(RunUntil(&io, [&] {
       slow_io.poll();
       return server.messages.size() == static_cast<std::size_t>(sent);
     }));
   }
 
-  SECTION("one peer too many is refused, the others stay") {
+  SECTION("a peer over the limit is refused, and the others stay connected") {
     Peer server(&io, "entry-1", 1,
                 [](Links::Options* options) { options->max_links = 2; });
     std::vector<std::unique_ptr<Peer>> peers;
@@ -352,14 +354,14 @@
     CHECK(server.up.empty());
   }
 
-  SECTION("an address outside loopback is not bound while keys are missing") {
+  SECTION("an address outside loopback is not bound without keys") {
     Peer server(&io, "entry-1", 1, [](Links::Options* options) {
       options->bind_address = "0.0.0.0:0";
     });
     CHECK_FALSE(IsOk(server.started));
   }
 
-  SECTION("an address outside loopback is refused while keys are missing") {
+  SECTION("an address outside loopback is not dialled without keys") {
     Peer client(&io, "side-1", 1);
     client.links->Connect("192.0.2.1:1");
     client.links->Connect("localhost");
--- a/tests/wire/membership_service_test.cc
+++ b/tests/wire/membership_service_test.cc
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-/// One process's membership, with what it sent and dialled.
+/// Membership service of one process; records what it sends and dials.
 struct Node {
   Node(const std::string& name, MemberKind kind)
       : service(
@@ -36,7 +36,7 @@
     return hooks;
   }
 
-  /// Lets `span` pass, tick by tick.
+  /// Advances the time by `span`, with a tick every 100 ms.
   void Pass(Duration span) {
     for (Duration t = 0s; t < span; t += 100ms) {
       now += 100ms;
@@ -62,9 +62,10 @@
   return hello;
 }
 
-// An entry is replaced by one at another address. Its sides do not read the
-// platform's list; if nobody passed the change on, the new entry would see no
-// target and refuse every caller.
+// Guards against an entry without targets after its predecessor was replaced at
+// another address. Sides do not read the platform's list, so without a notice
+// from another entry they would not connect to the new one, which would refuse
+// every caller.
 TEST_CASE("A side learns of new entries from the entries it has") {
   Node entry("entry-1", MemberKind::kEntry);
   Node side("side-1", MemberKind::kSide);
@@ -85,12 +86,12 @@
   side.Pass(1s);
   CHECK(side.dialled.back() == "10.0.0.2:1");
 
-  SECTION("an older list, passed on by a lagging entry, takes nothing back") {
+  SECTION("an older list from a lagging entry is ignored") {
     CHECK(side.service.HandleMessage(LinkId{1}, entry.sent[7][0]));
     side.Pass(60s);
     CHECK(side.left.empty());
   }
-  SECTION("a change of targets only is no news to sides") {
+  SECTION("a change of targets only is not sent to sides") {
     InstanceList list{
         3,
         {Entry("entry-1", "10.0.0.1:1"), Entry("entry-2", "10.0.0.2:1"),
@@ -99,14 +100,14 @@
     entry.service.OnInstances(list);
     CHECK(entry.sent[7].size() == 2);
   }
-  SECTION("an entry takes no list from its peers") {
+  SECTION("an entry ignores lists from its peers") {
     entry.Pass(1s);
     REQUIRE(entry.dialled.back() == "10.0.0.2:1");
     wire::Envelope newer = entry.sent[7][0];
     newer.mutable_instances()->set_version(9);
     CHECK(entry.service.HandleMessage(LinkId{9}, newer));
     entry.Pass(60s);
-    // Only the seed, its own address, is given up.
+    // Only the seed, which is its own address, is disconnected.
     CHECK(entry.left == std::vector<std::string>{"10.0.0.1:1"});
   }
 }
--- a/tests/wire/relay_links_test.cc
+++ b/tests/wire/relay_links_test.cc
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// One entry that relays, and one that asks it.
+/// A relaying entry and an entry that sends requests to it.
 class Scene {
  public:
   Scene() {
@@ -33,7 +33,7 @@
     REQUIRE(asker_->Ask(address(), number, "servers/", 40 + number));
   }
 
-  /// Runs until `done`, for some seconds at most.
+  /// Runs until `done` returns true; fails the test after 10 s.
   void Await(const std::function<bool()>& done) {
     const auto end = std::chrono::steady_clock::now() + seconds(10);
     while (!done() && std::chrono::steady_clock::now() < end) {
@@ -78,7 +78,7 @@
   std::unique_ptr<RelayLinks> asker_;
 };
 
-TEST_CASE("A question reaches the entry that relays, and its answer comes") {
+TEST_CASE("A watch request reaches the relay, and its answer comes back") {
   Scene scene;
   scene.Ask(1);
   scene.Await([&scene] { return scene.questions.size() == 1; });
@@ -87,7 +87,7 @@
   CHECK(question.prefix == "servers/");
   CHECK(question.from == 41);
 
-  SECTION("with each change as it was, bytes too, and its age") {
+  SECTION("an answer keeps each change, binary values included") {
     const WatchBatch batch{{{"servers/a", std::string("\xff\0x", 3), 42},
                             {"servers/b", std::nullopt, 43}},
                            43,
@@ -96,7 +96,7 @@
     scene.Await([&scene] { return scene.answers.count(1) == 1; });
     CHECK(ValueOf(scene.answers.at(1)) == batch);
   }
-  SECTION("or why there is none") {
+  SECTION("an error arrives as not found or unavailable, with the relay") {
     scene.relay().Answer(
         question.asker, 1,
         Error{ErrorCode::kNotFound, "store.watch", "store", "status 410"});
@@ -110,7 +110,7 @@
     CHECK(ErrorOf(scene.answers.at(2)).code == ErrorCode::kUnavailable);
     CHECK(ErrorOf(scene.answers.at(2)).peer == scene.address());
   }
-  SECTION("also after the one that relays has started anew") {
+  SECTION("requests succeed after a restart of the relay") {
     scene.RestartRelay();
     scene.Ask(2);
     scene.Await([&scene] { return scene.questions.size() == 2; });
@@ -120,7 +120,7 @@
   }
 }
 
-TEST_CASE("An address that is taken is told with the address") {
+TEST_CASE("The error for an address in use contains the address") {
   Scene scene;
   boost::asio::io_context io;
   RelayLinks::Options options;
--- a/tests/wire/revision_exchange_test.cc
+++ b/tests/wire/revision_exchange_test.cc
@@ -23,7 +23,8 @@
   return ToJson(revision);
 }
 
-/// Processes joined by links that deliver at once, unless they are cut.
+/// Processes with links that deliver at once, or drop all messages while `lose`
+/// is set.
 struct Net {
   struct Node {
     std::unique_ptr<RevisionExchange> exchange;
@@ -60,7 +61,7 @@
         MakeNullEventLog());
   }
 
-  // The link from a node to another is numbered by the other's place.
+  // The id of a link is the index of the node at its other end.
   LinkId LinkTo(const std::string& name) {
     return LinkId{static_cast<std::uint64_t>(
         std::distance(nodes.begin(), nodes.find(name)))};
@@ -89,7 +90,7 @@
   }
 };
 
-TEST_CASE("RevisionExchange brings a revision to every process") {
+TEST_CASE("RevisionExchange distributes a revision to every process") {
   Net net;
   net.Add("entry-a", true);
   net.Add("entry-b", true);
@@ -98,13 +99,13 @@
   net.Join("entry-a", "entry-b");
   const auto& book = net.nodes["entry-a"].exchange->book();
 
-  SECTION("from the store to an entry to its side, and the report back") {
+  SECTION("from the store through an entry to its side, and reports back") {
     net.nodes["entry-a"].exchange->OfferFromStore(Json(1), net.now);
     CHECK(net.nodes["side-1"].applied == std::vector<std::uint64_t>{1});
     net.Tick();
     CHECK(book.RolloutOf("brief-llm").everywhere());
   }
-  SECTION("names who is missing, and repeats an offer that was lost") {
+  SECTION("lists the missing processes and repeats a lost offer") {
     net.lose = true;
     net.nodes["entry-a"].exchange->OfferFromStore(Json(1), net.now);
     CHECK(book.RolloutOf("brief-llm").waiting_for ==
@@ -113,22 +114,22 @@
     net.Tick();
     CHECK(book.RolloutOf("brief-llm").everywhere());
   }
-  SECTION("a stale read of the store takes nothing back") {
+  SECTION("an older revision from the store is ignored") {
     net.nodes["entry-a"].exchange->OfferFromStore(Json(2), net.now);
     net.nodes["entry-a"].exchange->OfferFromStore(Json(1), net.now);
     CHECK(net.nodes["side-1"].applied == std::vector<std::uint64_t>{2});
   }
-  SECTION("a value that cannot be read changes nothing") {
+  SECTION("a value that cannot be parsed is ignored") {
     net.nodes["entry-a"].exchange->OfferFromStore(Json(1), net.now);
     net.nodes["entry-a"].exchange->OfferFromStore("{", net.now);
     CHECK(book.Find("brief-llm")->number == 1);
   }
 }
 
-// The store is down. An entry starts, knowing nothing, and connects to a side
-// that got a revision before the outage from another entry. It takes the
-// newest from the side, serves with it, and later gives it to others.
-TEST_CASE("RevisionExchange without the store") {
+// Covers a store outage: an entry starts without revisions and connects to a
+// side that got one from another entry before the outage. The entry applies the
+// revision of the side and later offers it to others.
+TEST_CASE("RevisionExchange works while the store is down") {
   Net net;
   net.Add("entry-a", true);
   net.Add("entry-b", true);
@@ -136,11 +137,11 @@
   net.Join("entry-a", "side-1");
   net.nodes["entry-a"].exchange->OfferFromStore(Json(3), net.now);
 
-  SECTION("a process that starts gets the newest from a peer") {
+  SECTION("a starting process gets the newest revision from a peer") {
     net.Join("entry-b", "side-1");
     CHECK(net.nodes["entry-b"].applied == std::vector<std::uint64_t>{3});
   }
-  SECTION("a peer that was cut off brings nothing old back") {
+  SECTION("an older revision from a peer that was cut off is ignored") {
     net.nodes["entry-b"].exchange->OfferFromStore(Json(2), net.now);
     net.Join("entry-b", "side-1");
     CHECK(net.nodes["side-1"].applied == std::vector<std::uint64_t>{3});
