--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -73,7 +73,7 @@
   hooks.make_hello = [this] { return MakeHello(); };
   hooks.fill_heartbeat = [this](wire::Heartbeat* heartbeat) {
     heartbeat->set_leaving(leaving_);
-    revisions_.FillKnown(heartbeat->mutable_revisions());
+    revisions_.AddKnownRevisions(heartbeat->mutable_revisions());
   };
   hooks.on_up = [this](LinkId link, const wire::Hello& hello) {
     OnLinkUp(link, hello);
@@ -119,7 +119,7 @@
   hello.set_region(options_.instance.region);
   hello.set_link_address(links_.bound_address());
   hello.set_leaving(leaving_);
-  revisions_.FillKnown(hello.mutable_revisions());
+  revisions_.AddKnownRevisions(hello.mutable_revisions());
   return hello;
 }
 
--- a/src/side/side_process.cc
+++ b/src/side/side_process.cc
@@ -385,7 +385,7 @@
     hello.set_link_address(links_.bound_address());
     hello.set_leaving(signs_.leaving());
     FillTarget(hello.mutable_target());
-    revisions_.FillKnown(hello.mutable_revisions());
+    revisions_.AddKnownRevisions(hello.mutable_revisions());
     return hello;
   }
 
--- a/src/wire/claim_codec.cc
+++ b/src/wire/claim_codec.cc
@@ -238,10 +238,10 @@
 void FillSlotMap(const std::string& deployment, const SlotMap& map,
                  wire::SlotMap* out) {
   out->Clear();
-  std::map<JournalRef, std::uint32_t> places;
-  const auto place = [&](const JournalRef& ref) {
+  std::map<JournalRef, std::uint32_t> indexes;
+  const auto index_of = [&](const JournalRef& ref) {
     const auto [it, is_new] =
-        places.try_emplace(ref, static_cast<std::uint32_t>(places.size()));
+        indexes.try_emplace(ref, static_cast<std::uint32_t>(indexes.size()));
     if (is_new) {
       FillJournalRef(ref, out->add_journals());
     }
@@ -252,17 +252,17 @@
   out->set_fencing_number(map.fencing_number);
   for (const SlotAssignment& it : map.slots) {
     wire::SlotOwner* slot = out->add_slots();
-    slot->set_owner(place(it.owner));
+    slot->set_owner(index_of(it.owner));
     slot->set_since_epoch(it.since_epoch);
     for (const JournalRef& source : it.sources) {
-      slot->add_sources(place(source));
+      slot->add_sources(index_of(source));
     }
   }
   for (const JournalRef& it : map.gone) {
-    out->add_gone(place(it));
+    out->add_gone(index_of(it));
   }
   for (const JournalRef& it : map.retired) {
-    out->add_retired(place(it));
+    out->add_retired(index_of(it));
   }
 }
 
--- a/src/wire/links_impl.cc
+++ b/src/wire/links_impl.cc
@@ -55,9 +55,9 @@
 
 Links::Impl::~Impl() {
   if (stopped_) {
-    AwaitFarewells();
+    WaitForGoodbyes();
   }
-  parting_.clear();
+  closing_sockets_.clear();
   for (auto& [address, dial] : dials_) {
     CloseDial(dial.get());
   }
@@ -96,9 +96,9 @@
 
 void Links::Impl::Tick() {
   const TimePoint now = clock_();
-  ExpireParting(now);
+  ExpireClosing(now);
   if (stopped_) {
-    if (IsParting()) {
+    if (IsClosing()) {
       ArmTimer();
     }
     return;
@@ -123,9 +123,9 @@
     const LinkAction action = link.monitor.Poll(now);
     if (action == LinkAction::kCloseSilent) {
       silent.push_back(id);
-    } else if (action == LinkAction::kSendHeartbeat || link.probe) {
+    } else if (action == LinkAction::kSendHeartbeat || link.needs_probe) {
       due.push_back(id);
-      link.probe = false;
+      link.needs_probe = false;
     }
   }
   for (const std::uint64_t id : silent) {
@@ -149,10 +149,10 @@
 
 void Links::Impl::PollDials(TimePoint now) {
   for (auto& [address, dial] : dials_) {
-    if (links_.count(dial->parked_by) > 0) {
+    if (links_.count(dial->suspended_by) > 0) {
       continue;
     }
-    dial->parked_by = 0;
+    dial->suspended_by = 0;
     switch (dial->monitor.Poll(now)) {
       case DialAction::kOpen:
         OpenDial(dial.get());
--- a/src/wire/links_impl.h
+++ b/src/wire/links_impl.h
@@ -51,13 +51,13 @@
     std::shared_ptr<internal::ZmqSocket> socket;
     std::unique_ptr<internal::TransportMonitor> transport;
     bool hello_sent = false;
-    std::size_t tries = 0;   ///< Picks the trusted key to try next.
-    std::uint64_t link = 0;  ///< 0 until the peer's hello.
+    std::size_t dial_attempts = 0;  ///< Picks the trusted key to try next.
+    std::uint64_t link = 0;         ///< 0 until the peer's hello.
     /// Link of another dial that reached the same process; 0 if none. This dial
     /// is not opened while that link is up: each hello replaces the earlier
     /// link at the peer, so two addresses of one process would keep closing
     /// each other's connection.
-    std::uint64_t parked_by = 0;
+    std::uint64_t suspended_by = 0;
   };
 
   /// A connection on which both ends have sent their hello.
@@ -72,7 +72,7 @@
     std::uint32_t descriptor = 0;  ///< Accepted links: the TCP socket.
     std::uint64_t sent_sequence = 0;
     std::uint64_t seen_sequence = 0;
-    bool probe = false;  ///< Test by a heartbeat.
+    bool needs_probe = false;  ///< Test by a heartbeat.
   };
 
   // Sockets.
@@ -93,8 +93,8 @@
   // Dials.
   void OpenDial(Dial* dial);
   void CloseDial(Dial* dial);
-  void PartWithDial(Dial* dial, const std::string& reason);
-  void LoseDial(Dial* dial, const Error& error);
+  void CloseDialGracefully(Dial* dial, const std::string& reason);
+  void OnDialLost(Dial* dial, const Error& error);
   void SendOpeningHello(Dial* dial);
 
   // Messages.
@@ -107,7 +107,7 @@
   /// Returns the reason to refuse `hello`, or an empty string.
   std::string CheckHello(const wire::Hello& hello, LinkDirection direction,
                          std::uint64_t id);
-  void ParkDialOf(std::uint64_t old, std::uint64_t newer);
+  void SuspendDialOf(std::uint64_t old, std::uint64_t newer);
   void AddLink(std::uint64_t id, Link link, const wire::Hello& hello);
 
   // Sending.
@@ -120,17 +120,17 @@
   // Closing links.
   void DropLink(std::uint64_t id, const Error& error);
   void DropLater(std::uint64_t id);
-  void DropGone();
+  void DropLostLinks();
 
   // Sockets that have sent a goodbye and wait for the peer's.
   void AnswerGoodbye(Link* link);
-  bool DrainParting(internal::ZmqSocket* socket);
-  void OnPartingFrame(const std::string& identity, const zmq::message_t& frame);
+  bool DrainClosing(internal::ZmqSocket* socket);
+  void OnClosingFrame(const std::string& identity, const zmq::message_t& frame);
   void CloseRouter();
-  void ExpireParting(TimePoint now);
-  void AwaitFarewells();
-  bool IsParting() const {
-    return !parting_.empty() || !parting_identities_.empty();
+  void ExpireClosing(TimePoint now);
+  void WaitForGoodbyes();
+  bool IsClosing() const {
+    return !closing_sockets_.empty() || !closing_identities_.empty();
   }
 
   // Timer.
@@ -170,18 +170,18 @@
   std::unordered_map<std::uint64_t, Link> links_;
   std::unordered_map<std::string, std::uint64_t> link_of_identity_;
   std::unordered_multimap<std::uint32_t, std::uint64_t> link_of_descriptor_;
-  std::set<std::uint64_t> gone_;  ///< Dropped by a posted task.
+  std::set<std::uint64_t> lost_links_;  ///< Dropped by a posted task.
   bool drop_posted_ = false;
 
   /// A socket that stays open until the peer has answered the goodbye, so that
   /// closing it does not reset the connection with frames still in flight.
-  struct Parting {
+  struct ClosingSocket {
     std::shared_ptr<internal::ZmqSocket> socket;
     TimePoint until;
   };
-  std::unordered_map<internal::ZmqSocket*, Parting> parting_;
-  std::set<std::string> parting_identities_;  ///< Peers of ROUTER.
-  TimePoint router_until_;
+  std::unordered_map<internal::ZmqSocket*, ClosingSocket> closing_sockets_;
+  std::set<std::string> closing_identities_;  ///< Peers of ROUTER.
+  TimePoint router_deadline_;
   std::uint64_t next_link_ = 1;
   /// Expires with this object, so that posted tasks can detect its destruction.
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
--- a/src/wire/links_keys.cc
+++ b/src/wire/links_keys.cc
@@ -70,7 +70,7 @@
   // The peer may hold any of the trusted keys, so each failed dial is followed
   // by one with the next key.
   socket->set(zmq::sockopt::curve_serverkey,
-              keys_.trusted[dial.tries % keys_.trusted.size()]);
+              keys_.trusted[dial.dial_attempts % keys_.trusted.size()]);
   socket->set(zmq::sockopt::curve_publickey, keys_.public_key);
   socket->set(zmq::sockopt::curve_secretkey, keys_.secret_key);
 }
--- a/src/wire/links_messages.cc
+++ b/src/wire/links_messages.cc
@@ -10,7 +10,7 @@
 
 /// Version of the protocol between processes. A hello with another version is
 /// refused; 0 (unset) is accepted.
-constexpr std::uint32_t kProtocol = 1;
+constexpr std::uint32_t kProtocolVersion = 1;
 
 std::string DescribeKind(const wire::Hello& hello) {
   switch (hello.kind()) {
@@ -126,7 +126,7 @@
   }
   dial->link = id;
   // The next dial starts with the key that worked.
-  --dial->tries;
+  --dial->dial_attempts;
   dial->monitor.OnUp(clock_());
   Link link(LinkMonitor(timing_, clock_()), hello.instance());
   link.address = dial->address;
@@ -140,7 +140,7 @@
   std::string refusal;
   if (!incarnation.has_value() || hello.instance().empty()) {
     refusal = "malformed hello";
-  } else if (hello.protocol() != kProtocol && hello.protocol() != 0) {
+  } else if (hello.protocol() != kProtocolVersion && hello.protocol() != 0) {
     refusal = "other protocol version";
   } else if (hello.instance() == own.instance()) {
     refusal = hello.incarnation() == own.incarnation()
@@ -150,7 +150,7 @@
     const PeerTable::Decision decision = peers_.OnHello(
         hello.instance(), Incarnation{*incarnation}, direction, id);
     for (const std::uint64_t old : decision.replaced) {
-      ParkDialOf(old, id);
+      SuspendDialOf(old, id);
       DropLink(old, MakeError(ErrorCode::kUnavailable, hello.instance(),
                               "replaced by a newer connection"));
     }
@@ -168,14 +168,14 @@
   return refusal;
 }
 
-void Links::Impl::ParkDialOf(std::uint64_t old, std::uint64_t newer) {
+void Links::Impl::SuspendDialOf(std::uint64_t old, std::uint64_t newer) {
   const auto link = links_.find(old);
   if (link == links_.end()) {
     return;
   }
   const auto dial = dials_.find(link->second.address);
   if (dial != dials_.end() && dial->second->link == old) {
-    dial->second->parked_by = newer;
+    dial->second->suspended_by = newer;
   }
 }
 
@@ -232,7 +232,7 @@
   if (result == SendResult::kSent) {
     result = router_->Send(std::move(frame), false);
   }
-  router_->CheckSoon();
+  router_->ScheduleCheck();
   if (result == SendResult::kSent) {
     metrics_.sent_messages.Add();
     metrics_.sent_bytes.Add(n);
@@ -256,7 +256,7 @@
   }
   const std::size_t n = frame.size();
   const SendResult result = it->second->socket->Send(std::move(frame), false);
-  it->second->socket->CheckSoon();
+  it->second->socket->ScheduleCheck();
   if (result == SendResult::kSent) {
     metrics_.sent_messages.Add();
     metrics_.sent_bytes.Add(n);
@@ -266,7 +266,7 @@
 
 bool Links::Impl::Send(LinkId id, const wire::Envelope& message) {
   const auto it = links_.find(id.value);
-  if (stopped_ || it == links_.end() || gone_.count(id.value) > 0) {
+  if (stopped_ || it == links_.end() || lost_links_.count(id.value) > 0) {
     metrics_.send_gone.Add();
     return false;
   }
@@ -324,7 +324,7 @@
   }
   const Link link = std::move(it->second);
   links_.erase(it);
-  gone_.erase(id);
+  lost_links_.erase(id);
   peers_.OnDown(id);
   link_of_identity_.erase(link.identity);
   const auto [first, last] = link_of_descriptor_.equal_range(link.descriptor);
@@ -349,7 +349,7 @@
 void Links::Impl::DropLater(std::uint64_t id) {
   // The owner may be iterating over its links when a send fails, so `on_down`
   // is called from the event loop and never from inside `Send`.
-  gone_.insert(id);
+  lost_links_.insert(id);
   if (drop_posted_) {
     return;
   }
@@ -357,21 +357,21 @@
   boost::asio::post(*io_, [this, alive = std::weak_ptr<int>(alive_)] {
     if (!alive.expired()) {
       drop_posted_ = false;
-      DropGone();
+      DropLostLinks();
     }
   });
 }
 
-void Links::Impl::DropGone() {
+void Links::Impl::DropLostLinks() {
   if (stopped_) {
     return;
   }
   // Deliver the frames that the peer sent before it closed.
   while (router_ != nullptr && DrainRouter()) {
   }
-  while (!gone_.empty() && !stopped_) {
-    const std::uint64_t id = *gone_.begin();
-    gone_.erase(gone_.begin());
+  while (!lost_links_.empty() && !stopped_) {
+    const std::uint64_t id = *lost_links_.begin();
+    lost_links_.erase(lost_links_.begin());
     const auto it = links_.find(id);
     if (it != links_.end()) {
       DropLink(id, MakeError(ErrorCode::kUnavailable, it->second.instance,
--- a/src/wire/links_farewell.cc
+++ b/src/wire/links_shutdown.cc
@@ -17,7 +17,7 @@
 
 /// Longest wait for the peer's goodbye, so that a hung peer cannot block a
 /// stop.
-constexpr Duration kFarewellTimeout = std::chrono::milliseconds(500);
+constexpr Duration kGoodbyeTimeout = std::chrono::milliseconds(500);
 /// Linger of a closed socket, in which it can still send its answering goodbye.
 constexpr int kGoodbyeLingerMs = 200;
 constexpr auto kPollInterval = std::chrono::milliseconds(10);
@@ -39,31 +39,32 @@
   goodbye.mutable_goodbye()->set_reason(reason);
   for (auto& [id, link] : links_) {
     if (!link.identity.empty() && SendOn(&link, goodbye) == SendResult::kSent) {
-      parting_identities_.insert(link.identity);
+      closing_identities_.insert(link.identity);
     }
   }
   for (auto& [address, dial] : dials_) {
-    PartWithDial(dial.get(), reason);
+    CloseDialGracefully(dial.get(), reason);
   }
   dials_.clear();
   links_.clear();
   link_of_identity_.clear();
   link_of_descriptor_.clear();
   metrics_.up.Set(0);
-  router_until_ = clock_() + kFarewellTimeout;
-  if (parting_identities_.empty()) {
+  router_deadline_ = clock_() + kGoodbyeTimeout;
+  if (closing_identities_.empty()) {
     CloseRouter();
   }
 }
 
-void Links::Impl::PartWithDial(Dial* dial, const std::string& reason) {
+void Links::Impl::CloseDialGracefully(Dial* dial, const std::string& reason) {
   const auto link = links_.find(dial->link);
   wire::Envelope goodbye;
   goodbye.mutable_goodbye()->set_reason(reason);
   if (link != links_.end() &&
       SendOn(&link->second, goodbye) == SendResult::kSent) {
     ZmqSocket* const socket = dial->socket.get();
-    parting_[socket] = {std::move(dial->socket), clock_() + kFarewellTimeout};
+    closing_sockets_[socket] = {std::move(dial->socket),
+                                clock_() + kGoodbyeTimeout};
   }
   CloseDial(dial);
 }
@@ -78,9 +79,9 @@
   }
 }
 
-bool Links::Impl::DrainParting(ZmqSocket* socket) {
-  const auto it = parting_.find(socket);
-  if (it == parting_.end()) {
+bool Links::Impl::DrainClosing(ZmqSocket* socket) {
+  const auto it = closing_sockets_.find(socket);
+  if (it == closing_sockets_.end()) {
     return false;
   }
   zmq::message_t frame;
@@ -88,65 +89,65 @@
     if (IsGoodbye(frame)) {
       // The running callback keeps the socket alive.
       socket->Close();
-      parting_.erase(it);
+      closing_sockets_.erase(it);
       return false;
     }
   }
   return false;
 }
 
-void Links::Impl::OnPartingFrame(const std::string& identity,
+void Links::Impl::OnClosingFrame(const std::string& identity,
                                  const zmq::message_t& frame) {
   if (IsGoodbye(frame)) {
-    parting_identities_.erase(identity);
+    closing_identities_.erase(identity);
   }
-  if (parting_identities_.empty()) {
+  if (closing_identities_.empty()) {
     CloseRouter();
   }
 }
 
 void Links::Impl::CloseRouter() {
-  parting_identities_.clear();
+  closing_identities_.clear();
   router_transport_.reset();
   if (router_ != nullptr) {
     router_->Close();
   }
 }
 
-void Links::Impl::ExpireParting(TimePoint now) {
-  std::erase_if(parting_, [now](auto& entry) {
+void Links::Impl::ExpireClosing(TimePoint now) {
+  std::erase_if(closing_sockets_, [now](auto& entry) {
     const bool expired = now >= entry.second.until;
     if (expired) {
       entry.second.socket->Close();
     }
     return expired;
   });
-  if (stopped_ && now >= router_until_) {
+  if (stopped_ && now >= router_deadline_) {
     CloseRouter();
   }
 }
 
-void Links::Impl::AwaitFarewells() {
+void Links::Impl::WaitForGoodbyes() {
   // The event loop may no longer run, so the sockets are polled here, within
   // the same time limit.
-  for (auto left = kFarewellTimeout; IsParting() && left > Duration::zero();
+  for (auto left = kGoodbyeTimeout; IsClosing() && left > Duration::zero();
        left -= kPollInterval) {
     std::vector<zmq::pollitem_t> items;
     std::vector<ZmqSocket*> sockets;
-    for (auto& [socket, parting] : parting_) {
+    for (auto& [socket, closing_socket] : closing_sockets_) {
       items.push_back({socket->raw().handle(), 0, ZMQ_POLLIN, 0});
       sockets.push_back(socket);
     }
-    if (!parting_identities_.empty()) {
+    if (!closing_identities_.empty()) {
       items.push_back({router_->raw().handle(), 0, ZMQ_POLLIN, 0});
     }
     zmq::poll(items, kPollInterval);
     for (ZmqSocket* const socket : sockets) {
-      DrainParting(socket);
+      DrainClosing(socket);
     }
-    while (!parting_identities_.empty() && DrainRouter()) {
+    while (!closing_identities_.empty() && DrainRouter()) {
     }
-    ExpireParting(clock_());
+    ExpireClosing(clock_());
   }
 }
 
--- a/src/wire/links_sockets.cc
+++ b/src/wire/links_sockets.cc
@@ -123,7 +123,7 @@
       continue;
     }
     if (stopped_) {
-      OnPartingFrame(identity.to_string(), frame);
+      OnClosingFrame(identity.to_string(), frame);
     } else {
       OnRouterFrame(identity.to_string(), frame);
     }
@@ -134,18 +134,18 @@
 bool Links::Impl::DrainDealer(const std::string& address, ZmqSocket* read) {
   const auto it = dials_.find(address);
   if (it == dials_.end() || it->second->socket.get() != read) {
-    return DrainParting(read);
+    return DrainClosing(read);
   }
   // A hook may disconnect the address. The socket is then closed or in
-  // `parting_`, and `dial` is no longer valid.
+  // `closing_sockets_`, and `dial` is no longer valid.
   Dial* dial = it->second.get();
   const std::shared_ptr<ZmqSocket> socket = dial->socket;
   SendOpeningHello(dial);
   zmq::message_t frame;
   for (int n = 0; n < kReadBatch; ++n) {
-    if (socket->is_closed() || parting_.count(read) > 0 ||
+    if (socket->is_closed() || closing_sockets_.count(read) > 0 ||
         !socket->Receive(&frame)) {
-      return parting_.count(read) > 0;
+      return closing_sockets_.count(read) > 0;
     }
     if (DiscardRest(socket.get(), frame)) {
       metrics_.dropped_unparseable.Add();
@@ -177,7 +177,7 @@
   }
   for (const std::uint64_t id : probed) {
     if (const auto it = links_.find(id); it != links_.end()) {
-      it->second.probe = true;
+      it->second.needs_probe = true;
       SendHeartbeat(id);
     }
   }
@@ -205,8 +205,8 @@
     metrics_.refused.Add();
     log_(events::kLinkRefused, {{"peer", address}, {"reason", "handshake"}});
   }
-  LoseDial(it->second.get(), MakeError(ErrorCode::kUnavailable, address,
-                                       "the connection was lost"));
+  OnDialLost(it->second.get(), MakeError(ErrorCode::kUnavailable, address,
+                                         "the connection was lost"));
 }
 
 std::string Links::Impl::NewRoutingId() {
@@ -244,7 +244,7 @@
   if (it->second->link != 0) {
     DropLater(it->second->link);
   }
-  PartWithDial(it->second.get(), "disconnected");
+  CloseDialGracefully(it->second.get(), "disconnected");
   dials_.erase(it);
 }
 
@@ -254,7 +254,7 @@
   zmq::socket_t& raw = dial->socket->raw();
   SetCommonOptions(&raw);
   SetClientKeys(*dial, &raw);
-  ++dial->tries;
+  ++dial->dial_attempts;
   raw.set(zmq::sockopt::routing_id, NewRoutingId());
   // ZeroMQ's own reconnect would reuse the routing id of the lost connection,
   // so it is off and each connection gets a new socket.
@@ -269,7 +269,7 @@
   try {
     raw.connect(kScheme + address);
   } catch (const zmq::error_t& error) {
-    LoseDial(dial, MakeError(ErrorCode::kUnavailable, address, error.what()));
+    OnDialLost(dial, MakeError(ErrorCode::kUnavailable, address, error.what()));
     return;
   }
   dial->socket->Start([this, address, read = dial->socket.get()] {
@@ -287,7 +287,7 @@
   dial->link = 0;
 }
 
-void Links::Impl::LoseDial(Dial* dial, const Error& error) {
+void Links::Impl::OnDialLost(Dial* dial, const Error& error) {
   if (dial->link != 0) {
     DropLink(dial->link, error);
     return;
--- a/src/wire/membership_service.cc
+++ b/src/wire/membership_service.cc
@@ -62,7 +62,7 @@
   }
   // Only sides take the list from peers; entries read it from the platform.
   if (kind_ == MemberKind::kSide) {
-    TakeList(message.instances().version(), ReadNotice(message.instances()));
+    ApplyList(message.instances().version(), ReadNotice(message.instances()));
   }
   return true;
 }
@@ -71,7 +71,7 @@
   if (hello.kind() == wire::PROCESS_OPERATOR) {
     return;
   }
-  Act(membership_.OnLinkUp(link.value, ToMemberHello(hello), clock_()));
+  Execute(membership_.OnLinkUp(link.value, ToMemberHello(hello), clock_()));
   if (kind_ == MemberKind::kEntry && hello.kind() == wire::PROCESS_SIDE) {
     sides_.insert(link);
     SendNotice(link);
@@ -80,25 +80,25 @@
 
 void MembershipService::OnLinkDown(LinkId link) {
   sides_.erase(link);
-  Act(membership_.OnLinkDown(link.value, clock_()));
+  Execute(membership_.OnLinkDown(link.value, clock_()));
 }
 
 void MembershipService::OnInstances(const InstanceList& list) {
-  TakeList(list.version, ToListedInstances(list));
+  ApplyList(list.version, ToListedInstances(list));
 }
 
 void MembershipService::Tick(TimePoint now) {
   // Limits the rate, since each tick visits every instance and there may be
   // thousands.
-  if (now - ticked_at_ < kTickInterval && now >= ticked_at_) {
+  if (now - last_tick_ < kTickInterval && now >= last_tick_) {
     return;
   }
-  ticked_at_ = now;
-  Act(membership_.Tick(now));
+  last_tick_ = now;
+  Execute(membership_.Tick(now));
 }
 
-void MembershipService::TakeList(std::uint64_t version,
-                                 std::vector<ListedInstance> instances) {
+void MembershipService::ApplyList(std::uint64_t version,
+                                  std::vector<ListedInstance> instances) {
   if (version <= version_) {
     return;
   }
@@ -117,7 +117,7 @@
       }
     }
   }
-  Act(membership_.OnInstanceList(std::move(instances), clock_()));
+  Execute(membership_.OnInstanceList(std::move(instances), clock_()));
 }
 
 void MembershipService::SendNotice(LinkId link) {
@@ -126,7 +126,7 @@
   }
 }
 
-void MembershipService::Act(const std::vector<MembershipAction>& actions) {
+void MembershipService::Execute(const std::vector<MembershipAction>& actions) {
   for (const MembershipAction& action : actions) {
     if (const auto* connect = std::get_if<ConnectTo>(&action)) {
       hooks_.connect(connect->address);
--- a/src/wire/membership_service.h
+++ b/src/wire/membership_service.h
@@ -46,16 +46,16 @@
   }
 
  private:
-  void TakeList(std::uint64_t version, std::vector<ListedInstance> instances);
+  void ApplyList(std::uint64_t version, std::vector<ListedInstance> instances);
   void SendNotice(LinkId link);
-  void Act(const std::vector<MembershipAction>& actions);
+  void Execute(const std::vector<MembershipAction>& actions);
 
   MemberKind kind_;
   Hooks hooks_;
   Clock clock_;
   EventLog log_;
   Membership membership_;
-  TimePoint ticked_at_;
+  TimePoint last_tick_;
   std::uint64_t version_ = 0;
   wire::Envelope notice_;
   std::set<LinkId> sides_;
--- a/src/wire/relay_links.cc
+++ b/src/wire/relay_links.cc
@@ -75,7 +75,7 @@
       log_(std::move(log)) {}
 
 RelayLinks::~RelayLinks() {
-  for (const auto& it : {questions_, answers_}) {
+  for (const auto& it : {request_socket_, answer_socket_}) {
     if (it) {
       it->Close();
     }
@@ -106,29 +106,29 @@
 
 Status RelayLinks::Listen() {
   try {
-    questions_ = MakeSocket(zmq::socket_type::router);
-    questions_->raw().bind(kScheme + options_.bind_address);
-    bound_address_ = questions_->raw()
+    request_socket_ = MakeSocket(zmq::socket_type::router);
+    request_socket_->raw().bind(kScheme + options_.bind_address);
+    bound_address_ = request_socket_->raw()
                          .get(zmq::sockopt::last_endpoint)
                          .substr(std::strlen(kScheme));
   } catch (const zmq::error_t& e) {
-    questions_.reset();
+    request_socket_.reset();
     return Error{ErrorCode::kUnavailable, "relay.listen", options_.bind_address,
                  e.what()};
   }
-  questions_->Start([this] { return DrainQuestions(); });
+  request_socket_->Start([this] { return DrainRequests(); });
   return Unit{};
 }
 
-bool RelayLinks::DrainQuestions() {
-  zmq::message_t asker;
+bool RelayLinks::DrainRequests() {
+  zmq::message_t requester;
   zmq::message_t frame;
   for (int n = 0; n < kReadBatch; ++n) {
-    if (!questions_->Receive(&asker)) {
+    if (!request_socket_->Receive(&requester)) {
       return false;
     }
     wire::Envelope envelope;
-    const bool whole = asker.more() && questions_->Receive(&frame);
+    const bool whole = requester.more() && request_socket_->Receive(&frame);
     if (!whole || frame.more() ||
         !internal::DecodeEnvelope(frame.data(), frame.size(), &envelope) ||
         !envelope.has_watch_ask()) {
@@ -136,32 +136,32 @@
       continue;
     }
     const wire::WatchAsk& ask = envelope.watch_ask();
-    hooks_.on_question(
-        {asker.to_string(), ask.number(), ask.prefix(), ask.from_version()});
+    hooks_.on_request({requester.to_string(), ask.number(), ask.prefix(),
+                       ask.from_version()});
   }
   return true;
 }
 
 void RelayLinks::Open(const std::string& address) {
-  if (answers_) {
-    answers_->Close();
-    answers_.reset();
+  if (answer_socket_) {
+    answer_socket_->Close();
+    answer_socket_.reset();
   }
-  asked_address_ = address;
+  relay_address_ = address;
   try {
-    answers_ = MakeSocket(zmq::socket_type::dealer);
-    answers_->raw().connect(kScheme + address);
+    answer_socket_ = MakeSocket(zmq::socket_type::dealer);
+    answer_socket_->raw().connect(kScheme + address);
   } catch (const zmq::error_t& e) {
     log_(events::kRelayNotReached, {{"relay", address}, {"error", e.what()}});
-    answers_.reset();
+    answer_socket_.reset();
     return;
   }
-  answers_->Start([this] { return DrainAnswers(); });
+  answer_socket_->Start([this] { return DrainAnswers(); });
 }
 
 bool RelayLinks::Ask(const std::string& address, std::uint64_t number,
                      const std::string& prefix, std::uint64_t from) {
-  if (address != asked_address_ || !answers_) {
+  if (address != relay_address_ || !answer_socket_) {
     Open(address);
   }
   wire::Envelope envelope;
@@ -169,12 +169,12 @@
   ask->set_number(number);
   ask->set_prefix(prefix);
   ask->set_from_version(from);
-  return answers_ && Send(answers_.get(), "", envelope);
+  return answer_socket_ && Send(answer_socket_.get(), "", envelope);
 }
 
 bool RelayLinks::DrainAnswers() {
   // A hook may send a request to another relay, which closes this socket.
-  const std::shared_ptr<ZmqSocket> socket = answers_;
+  const std::shared_ptr<ZmqSocket> socket = answer_socket_;
   zmq::message_t frame;
   for (int n = 0; n < kReadBatch; ++n) {
     if (!socket || socket->is_closed() || !socket->Receive(&frame)) {
@@ -184,25 +184,25 @@
     if (frame.more() ||
         !internal::DecodeEnvelope(frame.data(), frame.size(), &envelope) ||
         !envelope.has_watch_answer()) {
-      log_(events::kRelayMessageDropped, {{"from", asked_address_}});
+      log_(events::kRelayMessageDropped, {{"from", relay_address_}});
       continue;
     }
     const wire::WatchAnswer& answer = envelope.watch_answer();
-    hooks_.on_answer(answer.number(), FromMessage(asked_address_, answer));
+    hooks_.on_answer(answer.number(), FromMessage(relay_address_, answer));
   }
   return true;
 }
 
-void RelayLinks::Answer(const std::string& asker, std::uint64_t number,
+void RelayLinks::Answer(const std::string& requester, std::uint64_t number,
                         const Result<WatchBatch>& answer) {
   wire::Envelope envelope;
   *envelope.mutable_watch_answer() = ToMessage(number, answer);
-  if (questions_ && !Send(questions_.get(), asker, envelope)) {
+  if (request_socket_ && !Send(request_socket_.get(), requester, envelope)) {
     log_(events::kRelayMessageDropped, {{"to", "asker"}});
   }
 }
 
-bool RelayLinks::Send(ZmqSocket* socket, const std::string& asker,
+bool RelayLinks::Send(ZmqSocket* socket, const std::string& requester,
                       const wire::Envelope& message) {
   zmq::message_t frame;
   if (!internal::EncodeEnvelope(message, options_.max_message_bytes, &frame)) {
@@ -210,10 +210,10 @@
   }
   // ZeroMQ accepts the second frame of a message if it accepted the first.
   const bool sent =
-      (asker.empty() || socket->Send(zmq::message_t(asker), /*more=*/true) ==
-                            SendResult::kSent) &&
+      (requester.empty() || socket->Send(zmq::message_t(requester),
+                                         /*more=*/true) == SendResult::kSent) &&
       socket->Send(std::move(frame), /*more=*/false) == SendResult::kSent;
-  socket->CheckSoon();
+  socket->ScheduleCheck();
   return sent;
 }
 
--- a/src/wire/relay_links.h
+++ b/src/wire/relay_links.h
@@ -22,13 +22,13 @@
 }  // namespace internal
 
 /// A watch request to an entry that relays store changes.
-struct RelayQuestion {
-  std::string asker;  ///< Routing id of the connection; opaque.
+struct RelayRequest {
+  std::string requester;  ///< Routing id of the connection; opaque.
   std::uint64_t number = 0;
   std::string prefix;
   std::uint64_t from = 0;
 
-  friend bool operator==(const RelayQuestion&, const RelayQuestion&) = default;
+  friend bool operator==(const RelayRequest&, const RelayRequest&) = default;
 };
 
 /// Sends watch requests to the relaying entry, and returns its answers, over
@@ -49,7 +49,7 @@
     int high_water_mark = 64;
   };
   struct Hooks {
-    std::function<void(const RelayQuestion&)> on_question;
+    std::function<void(const RelayRequest&)> on_request;
     std::function<void(std::uint64_t number, const Result<WatchBatch>&)>
         on_answer;
   };
@@ -73,16 +73,16 @@
            const std::string& prefix, std::uint64_t from);
 
   /// Answers a request.
-  void Answer(const std::string& asker, std::uint64_t number,
+  void Answer(const std::string& requester, std::uint64_t number,
               const Result<WatchBatch>& answer);
 
  private:
   zmq::context_t* Context();
   std::shared_ptr<internal::ZmqSocket> MakeSocket(zmq::socket_type type);
-  bool DrainQuestions();
+  bool DrainRequests();
   bool DrainAnswers();
   void Open(const std::string& address);
-  bool Send(internal::ZmqSocket* socket, const std::string& asker,
+  bool Send(internal::ZmqSocket* socket, const std::string& requester,
             const wire::Envelope& message);
 
   boost::asio::io_context* io_;
@@ -92,9 +92,9 @@
   /// Created on first use, since it starts threads that small fleets do not
   /// need.
   std::unique_ptr<zmq::context_t> context_;
-  std::shared_ptr<internal::ZmqSocket> questions_;
-  std::shared_ptr<internal::ZmqSocket> answers_;
-  std::string asked_address_;
+  std::shared_ptr<internal::ZmqSocket> request_socket_;
+  std::shared_ptr<internal::ZmqSocket> answer_socket_;
+  std::string relay_address_;
   std::string bound_address_;
 };
 
--- a/src/wire/revision_exchange.cc
+++ b/src/wire/revision_exchange.cc
@@ -29,7 +29,7 @@
   Peer& peer = it->second;
   switch (message.body_case()) {
     case wire::Envelope::kRevision:
-      Take(message.revision().value(), peer.instance, now);
+      ProcessRevision(message.revision().value(), peer.instance, now);
       return true;
     case wire::Envelope::kRevisionRequest:
       peer.last_offer = TimePoint{};
@@ -42,7 +42,7 @@
                       message.revision_applied().number());
       return true;
     case wire::Envelope::kHeartbeat:
-      NoteKnown(peer, message.heartbeat().revisions());
+      RecordKnown(peer, message.heartbeat().revisions());
       return false;
     default:
       return false;
@@ -62,7 +62,7 @@
     log_(kRevisionPeerDropped, {{"peer", peer.instance}});
     return;
   }
-  NoteKnown(peer, hello.revisions());
+  RecordKnown(peer, hello.revisions());
   Peer& added = peers_.insert_or_assign(link, std::move(peer)).first->second;
   OfferMissing(link, &added, now);
 }
@@ -93,10 +93,10 @@
 
 RevisionOutcome RevisionExchange::OfferFromStore(const std::string& json,
                                                  TimePoint now) {
-  return Take(json, "store", now);
+  return ProcessRevision(json, "store", now);
 }
 
-void RevisionExchange::FillKnown(
+void RevisionExchange::AddKnownRevisions(
     google::protobuf::RepeatedPtrField<wire::KnownRevision>* known) const {
   for (const auto& [deployment, number] : book_.Known()) {
     wire::KnownRevision* revision = known->Add();
@@ -105,9 +105,9 @@
   }
 }
 
-RevisionOutcome RevisionExchange::Take(const std::string& json,
-                                       const std::string& source,
-                                       TimePoint now) {
+RevisionOutcome RevisionExchange::ProcessRevision(const std::string& json,
+                                                  const std::string& source,
+                                                  TimePoint now) {
   const Result<Revision> parsed = RevisionFromJson(json);
   if (!IsOk(parsed)) {
     log_(kRevisionUnreadable,
@@ -178,7 +178,7 @@
   }
 }
 
-void RevisionExchange::NoteKnown(
+void RevisionExchange::RecordKnown(
     const Peer& peer,
     const google::protobuf::RepeatedPtrField<wire::KnownRevision>& known) {
   for (const wire::KnownRevision& revision : known) {
--- a/src/wire/revision_exchange.h
+++ b/src/wire/revision_exchange.h
@@ -58,7 +58,7 @@
   RevisionOutcome OfferFromStore(const std::string& json, TimePoint now);
 
   /// Lists the revisions that this process holds, for `Hello` and `Heartbeat`.
-  void FillKnown(
+  void AddKnownRevisions(
       google::protobuf::RepeatedPtrField<wire::KnownRevision>* known) const;
 
   const RevisionTable& book() const { return book_; }
@@ -73,11 +73,11 @@
     TimePoint last_offer;
   };
 
-  RevisionOutcome Take(const std::string& json, const std::string& source,
-                       TimePoint now);
+  RevisionOutcome ProcessRevision(const std::string& json,
+                                  const std::string& source, TimePoint now);
   void Report(const std::string& deployment, std::uint64_t number);
   void OfferMissing(LinkId link, Peer* peer, TimePoint now);
-  void NoteKnown(
+  void RecordKnown(
       const Peer& peer,
       const google::protobuf::RepeatedPtrField<wire::KnownRevision>& known);
 
--- a/src/wire/zmq_socket.cc
+++ b/src/wire/zmq_socket.cc
@@ -13,18 +13,18 @@
 void ZmqSocket::Start(OnReady on_ready) {
   on_ready_ = std::move(on_ready);
   descriptor_.assign(socket_.get(zmq::sockopt::fd));
-  CheckSoon();
+  ScheduleCheck();
 }
 
-void ZmqSocket::CheckSoon() {
-  if (closed_ || posted_) {
+void ZmqSocket::ScheduleCheck() {
+  if (closed_ || check_posted_) {
     return;
   }
-  posted_ = true;
+  check_posted_ = true;
   boost::asio::post(*io_, [self = weak_from_this()] {
     if (const auto socket = self.lock()) {
-      socket->posted_ = false;
-      socket->Pass();
+      socket->check_posted_ = false;
+      socket->ProcessEvents();
     }
   });
 }
@@ -74,12 +74,12 @@
           socket->armed_ = false;
         }
         if (socket != nullptr && !ec) {
-          socket->Pass();
+          socket->ProcessEvents();
         }
       });
 }
 
-void ZmqSocket::Pass() {
+void ZmqSocket::ProcessEvents() {
   if (closed_) {
     return;
   }
@@ -88,7 +88,7 @@
     return;
   }
   if (more || (socket_.get(zmq::sockopt::events) & ZMQ_POLLIN) != 0) {
-    CheckSoon();
+    ScheduleCheck();
     return;
   }
   Arm();
--- a/src/wire/zmq_socket.h
+++ b/src/wire/zmq_socket.h
@@ -39,7 +39,7 @@
   void Start(OnReady on_ready);
 
   /// Posts one call of `on_ready`; has no effect while one is pending.
-  void CheckSoon();
+  void ScheduleCheck();
 
   /// Closes the socket; `on_ready` is not called afterwards.
   void Close();
@@ -59,7 +59,7 @@
 
  private:
   void Arm();
-  void Pass();
+  void ProcessEvents();
 
   boost::asio::io_context* io_;
   zmq::socket_t socket_;
@@ -67,7 +67,7 @@
   OnReady on_ready_;
   bool closed_ = false;
   bool armed_ = false;
-  bool posted_ = false;
+  bool check_posted_ = false;
 };
 
 }  // namespace indigolead::internal
--- a/tests/shell/watch_fleet_test.cc
+++ b/tests/shell/watch_fleet_test.cc
@@ -30,7 +30,7 @@
   }
 
   /// Makes changes at random times, on average `per_second` each second.
-  void Swarm(double per_second, Duration length) {
+  void MakeChanges(double per_second, Duration length) {
     const TimePoint end = timeline.now + length;
     while (timeline.now < end) {
       const double gap_s = std::exponential_distribution<>(per_second)(random_);
@@ -53,8 +53,8 @@
   Timeline timeline;
   ListStore store{&timeline};
   std::vector<std::unique_ptr<PolledWatch>> watches;
-  Duration longest_unseen{0};
-  std::size_t told = 0;  ///< Sum over the entries.
+  Duration longest_delay{0};
+  std::size_t reported_changes = 0;  ///< Sum over the entries.
   std::size_t ended = 0;
 
  private:
@@ -66,8 +66,8 @@
     hooks.on_events = [this](const std::vector<WatchEvent>& events) {
       for (const WatchEvent& it : events) {
         const TimePoint changed_at = store.changed_at[it.version - 1];
-        longest_unseen = std::max(longest_unseen, timeline.now - changed_at);
-        ++told;
+        longest_delay = std::max(longest_delay, timeline.now - changed_at);
+        ++reported_changes;
       }
     };
     hooks.on_end = [this](const Error&) { ++ended; };
@@ -88,36 +88,38 @@
 // for 30 s. Store calls per second and entry: 2.5 with a fixed gap of 400 ms,
 // 0.6 with the adaptive gap.
 TEST_CASE("A burst of changes causes few store calls") {
-  constexpr Duration kMost = seconds(2);
+  constexpr Duration kMaxGap = seconds(2);
   WatchPace::Options pace;
-  pace.max_interval = kMost;
+  pace.max_interval = kMaxGap;
   Fleet fleet(100, pace);
-  const double rate = fleet.CallRate([&fleet] { fleet.Swarm(8, seconds(30)); });
+  const double rate =
+      fleet.CallRate([&fleet] { fleet.MakeChanges(8, seconds(30)); });
 
   SECTION("fewer than a third of the calls with a fixed gap of 400 ms") {
     Fleet fixed(100, {milliseconds(400), milliseconds(400)});
     const double before =
-        fixed.CallRate([&fixed] { fixed.Swarm(8, seconds(30)); });
+        fixed.CallRate([&fixed] { fixed.MakeChanges(8, seconds(30)); });
     CHECK(before > 2);
     CHECK(rate < before / 3);
   }
   SECTION("one change per second causes less than one call per change") {
-    Fleet calm(100, pace);
-    const double calls = calm.CallRate([&calm] { calm.Swarm(1, seconds(60)); });
+    Fleet quiet(100, pace);
+    const double calls =
+        quiet.CallRate([&quiet] { quiet.MakeChanges(1, seconds(60)); });
     CHECK(calls < 0.7);
   }
   SECTION("each entry learns of each change within the longest gap") {
-    fleet.timeline.RunFor(2 * kMost);
-    CHECK(fleet.told == fleet.store.changed_at.size() * 100);
-    CHECK(fleet.longest_unseen <= kMost + kStoreAnswerTime);
+    fleet.timeline.RunFor(2 * kMaxGap);
+    CHECK(fleet.reported_changes == fleet.store.changed_at.size() * 100);
+    CHECK(fleet.longest_delay <= kMaxGap + kStoreAnswerTime);
   }
   SECTION("a single change after the burst is reported at once") {
     fleet.timeline.RunFor(seconds(20));
-    fleet.longest_unseen = Duration{0};
+    fleet.longest_delay = Duration{0};
     fleet.store.Change();
     fleet.timeline.RunFor(seconds(1));
-    CHECK(fleet.longest_unseen == kStoreAnswerTime);
-    CHECK(fleet.told == fleet.store.changed_at.size() * 100);
+    CHECK(fleet.longest_delay == kStoreAnswerTime);
+    CHECK(fleet.reported_changes == fleet.store.changed_at.size() * 100);
   }
   SECTION("an idle fleet calls once per wait") {
     fleet.timeline.RunFor(seconds(20));
@@ -150,14 +152,14 @@
     CHECK(heard - watch.known_until(timeline.now) >= kWait);
   }
   SECTION("in a burst it knows the state up to its latest answer") {
-    fleet.Swarm(20, seconds(10));
+    fleet.MakeChanges(20, seconds(10));
     fleet.store.Change();
     const TimePoint known = watch.known_until(timeline.now);
     CHECK(known < timeline.now);
     CHECK(timeline.now - known <= seconds(2) + kStoreAnswerTime);
   }
   SECTION("a store outage between calls ends the watch") {
-    fleet.Swarm(20, seconds(10));
+    fleet.MakeChanges(20, seconds(10));
     fleet.store.down = true;
     timeline.RunFor(seconds(2) + 2 * kStoreAnswerTime);
     CHECK(fleet.ended == 1);
--- a/tests/shell/watch_relay_fleet_test.cc
+++ b/tests/shell/watch_relay_fleet_test.cc
@@ -32,12 +32,12 @@
 class RelayFleet {
  public:
   /// Simulated fault of one entry.
-  enum class Trouble {
+  enum class Fault {
     kNone,
-    kDead,        ///< Killed: sends no requests and no answers.
-    kMute,        ///< Its messages from and to other entries are lost.
-    kCut,         ///< Its store calls time out.
-    kTurnedAway,  ///< Its store calls are refused.
+    kDead,      ///< Killed: sends no requests and no answers.
+    kMute,      ///< Its messages from and to other entries are lost.
+    kTimedOut,  ///< Its store calls time out.
+    kRefused,   ///< Its store calls are refused.
   };
 
   /// Each entry learns of the others `listed_after` its start.
@@ -60,15 +60,15 @@
     timeline.RunFor(seconds(10));
   }
 
-  void SetTrouble(std::size_t entry, Trouble trouble) {
-    nodes_[entry]->trouble = trouble;
-    if (trouble == Trouble::kDead) {
+  void SetFault(std::size_t entry, Fault entry_fault) {
+    nodes_[entry]->entry_fault = entry_fault;
+    if (entry_fault == Fault::kDead) {
       nodes_[entry]->watch.reset();
     }
   }
 
   /// Makes the store refuse list calls of the entry, but no other calls.
-  void CannotList(std::size_t entry) { nodes_[entry]->cannot_list = true; }
+  void RefuseLists(std::size_t entry) { nodes_[entry]->lists_refused = true; }
 
   /// Returns the entry that relays changes to `follower`.
   std::size_t RelayOf(std::size_t follower) const {
@@ -76,7 +76,7 @@
   }
 
   /// Makes changes at random times, on average `per_second` each second.
-  void Swarm(double per_second, Duration length) {
+  void MakeChanges(double per_second, Duration length) {
     const TimePoint end = timeline.now + length;
     while (timeline.now < end) {
       const double gap_s = std::exponential_distribution<>(per_second)(random_);
@@ -95,7 +95,7 @@
   }
 
   /// Returns the number of running entries that lack a change.
-  std::size_t Behind() const {
+  std::size_t CountLagging() const {
     return static_cast<std::size_t>(
         std::count_if(nodes_.begin(), nodes_.end(), [this](const auto& it) {
           return it->watch && (it->version < store.changed_at.size() ||
@@ -104,19 +104,19 @@
   }
 
   /// Returns the longest time since an entry without a fault got an answer.
-  Duration LongestUnheard() const {
+  Duration LongestSilence() const {
     return LongestSince(&ObjectStore::Watch::heard_at);
   }
 
   /// Returns the greatest age of the state that an entry without a fault can
   /// prove to know.
-  Duration OldestKnowledge() const {
+  Duration GreatestStateAge() const {
     return LongestSince(&ObjectStore::Watch::known_until);
   }
 
   Timeline timeline;
   ListStore store{&timeline};
-  Duration longest_unseen{0};  ///< Over the entries without a fault.
+  Duration longest_delay{0};  ///< Over the entries without a fault.
   std::size_t ended = 0;
   std::size_t failures = 0;  ///< Failed requests to relays.
 
@@ -125,8 +125,8 @@
     std::unique_ptr<WatchRelay> relay;
     std::unique_ptr<RelayedStore> relayed;
     std::unique_ptr<ObjectStore::Watch> watch;
-    Trouble trouble = Trouble::kNone;
-    bool cannot_list = false;
+    Fault entry_fault = Fault::kNone;
+    bool lists_refused = false;
     std::uint64_t version = 0;
     std::map<std::string, std::string> objects;  ///< As reported.
     std::size_t asked = 0;  ///< Entry that got the last request.
@@ -137,7 +137,7 @@
   Duration LongestSince(TimeOfWatch time) const {
     Duration longest{0};
     for (const auto& it : nodes_) {
-      if (it->trouble == Trouble::kNone) {
+      if (it->entry_fault == Fault::kNone) {
         const TimePoint since = (it->watch.get()->*time)(timeline.now);
         longest = std::max<Duration>(longest, timeline.now - since);
       }
@@ -163,11 +163,12 @@
 
   void Call(std::size_t entry, std::uint64_t from, Duration wait,
             PolledWatch::PollDone done) {
-    const Trouble trouble = nodes_[entry]->trouble;
-    if (trouble == Trouble::kCut || trouble == Trouble::kTurnedAway) {
+    const Fault entry_fault = nodes_[entry]->entry_fault;
+    if (entry_fault == Fault::kTimedOut || entry_fault == Fault::kRefused) {
       ++store.calls;
-      const Duration after =
-          trouble == Trouble::kCut ? wait + milliseconds(700) : kMessageTime;
+      const Duration after = entry_fault == Fault::kTimedOut
+                                 ? wait + milliseconds(700)
+                                 : kMessageTime;
       timeline.After(after, [done = std::move(done)] {
         done(Error{ErrorCode::kUnavailable, "store.watch", "store", "away"});
       });
@@ -179,8 +180,8 @@
   void List(std::size_t entry,
             ObjectStore::Callback<ObjectStore::Listing> done) {
     const Node& node = *nodes_[entry];
-    if (node.cannot_list || node.trouble == Trouble::kTurnedAway ||
-        node.trouble == Trouble::kCut) {
+    if (node.lists_refused || node.entry_fault == Fault::kRefused ||
+        node.entry_fault == Fault::kTimedOut) {
       ++store.calls;
       timeline.After(milliseconds(700), [done = std::move(done)] {
         done(Error{ErrorCode::kUnavailable, "store.list", "store", "away"});
@@ -201,12 +202,12 @@
     return known;
   }
 
-  bool Heard(std::size_t from, std::size_t to) const {
-    const auto speaks = [this](std::size_t entry) {
-      const Trouble trouble = nodes_[entry]->trouble;
-      return trouble != Trouble::kDead && trouble != Trouble::kMute;
+  bool IsDelivered(std::size_t from, std::size_t to) const {
+    const auto can_send = [this](std::size_t entry) {
+      const Fault entry_fault = nodes_[entry]->entry_fault;
+      return entry_fault != Fault::kDead && entry_fault != Fault::kMute;
     };
-    return speaks(from) && speaks(to);
+    return can_send(from) && can_send(to);
   }
 
   void Build(std::size_t entry) {
@@ -233,7 +234,7 @@
       const std::size_t to = std::stoul(address);
       nodes_[entry]->asked = to;
       timeline.After(kMessageTime, [this, entry, to, number, prefix, from] {
-        if (Heard(entry, to)) {
+        if (IsDelivered(entry, to)) {
           nodes_[to]->relay->OnQuery(std::to_string(entry), number, prefix,
                                      from);
         }
@@ -244,7 +245,7 @@
                                  const Result<WatchBatch>& answer) {
       const std::size_t to = std::stoul(asker);
       timeline.After(kMessageTime, [this, entry, to, number, answer] {
-        if (Heard(entry, to)) {
+        if (IsDelivered(entry, to)) {
           nodes_[to]->relay->OnAnswer(number, answer);
         }
       });
@@ -296,8 +297,8 @@
 
   void Take(Node* node, const WatchEvent& event) {
     const TimePoint changed_at = store.changed_at[event.version - 1];
-    if (node->trouble == Trouble::kNone) {
-      longest_unseen = std::max(longest_unseen, timeline.now - changed_at);
+    if (node->entry_fault == Fault::kNone) {
+      longest_delay = std::max(longest_delay, timeline.now - changed_at);
     }
     node->version = event.version;
     if (event.value) {
@@ -312,7 +313,7 @@
   std::mt19937 random_{20261203};
 };
 
-using Trouble = RelayFleet::Trouble;
+using Fault = RelayFleet::Fault;
 
 // Guards against overload of the store by a large fleet in which each entry
 // watches every registration, and against changes reported too late.
@@ -321,19 +322,19 @@
     INFO(entries << " entries");
     RelayFleet fleet(entries);
     const double busy =
-        fleet.CallRate([&fleet] { fleet.Swarm(8, seconds(30)); });
+        fleet.CallRate([&fleet] { fleet.MakeChanges(8, seconds(30)); });
     const double most = kDomains * (seconds(1) / kLeastGap);
     CHECK(busy <= most + 0.5);
     fleet.timeline.RunFor(seconds(10));
     const double idle =
         fleet.CallRate([&fleet] { fleet.timeline.RunFor(seconds(60)); });
     CHECK(idle <= most);
-    CHECK(fleet.longest_unseen <= kLeastGap + milliseconds(20));
-    CHECK(fleet.LongestUnheard() <= kAnswerWithin + milliseconds(20));
+    CHECK(fleet.longest_delay <= kLeastGap + milliseconds(20));
+    CHECK(fleet.LongestSilence() <= kAnswerWithin + milliseconds(20));
     // An answer proves the state at the time of the request, minus the lag of
     // the relay.
-    CHECK(fleet.OldestKnowledge() <= 2 * kAnswerWithin + milliseconds(320));
-    CHECK(fleet.Behind() == 0);
+    CHECK(fleet.GreatestStateAge() <= 2 * kAnswerWithin + milliseconds(320));
+    CHECK(fleet.CountLagging() == 0);
     CHECK(fleet.ended == 0);
   }
 }
@@ -343,16 +344,16 @@
 TEST_CASE("Entries that start together do not all call the store") {
   RelayFleet fleet(300, milliseconds(200));
   CHECK(fleet.store.calls <= 10 * kDomains);
-  fleet.Swarm(2, seconds(5));
+  fleet.MakeChanges(2, seconds(5));
   fleet.timeline.RunFor(seconds(2));
-  CHECK(fleet.Behind() == 0);
+  CHECK(fleet.CountLagging() == 0);
 
   SECTION("but do so if they do not learn of the others") {
     RelayFleet alone(20, seconds(60));
     CHECK(alone.store.calls >= 20);
     alone.store.Change();
     alone.timeline.RunFor(seconds(1));
-    CHECK(alone.Behind() == 0);
+    CHECK(alone.CountLagging() == 0);
   }
 }
 
@@ -365,36 +366,36 @@
 }
 
 TEST_CASE("Changes arrive in time although the relaying entry fails") {
-  const Trouble trouble = GENERATE(Trouble::kDead, Trouble::kMute,
-                                   Trouble::kCut, Trouble::kTurnedAway);
+  const Fault entry_fault =
+      GENERATE(Fault::kDead, Fault::kMute, Fault::kTimedOut, Fault::kRefused);
   constexpr std::size_t kFollower = 42;
   RelayFleet fleet(100);
-  fleet.Swarm(2, seconds(10));
+  fleet.MakeChanges(2, seconds(10));
   const std::size_t relay = fleet.RelayOf(kFollower);
   REQUIRE(relay != kFollower);
-  INFO("fault " << static_cast<int>(trouble) << " of entry " << relay);
-  fleet.SetTrouble(relay, trouble);
-  fleet.Swarm(2, seconds(20));
+  INFO("fault " << static_cast<int>(entry_fault) << " of entry " << relay);
+  fleet.SetFault(relay, entry_fault);
+  fleet.MakeChanges(2, seconds(20));
   // The faulty entry gets changes from others once its own calls have failed.
   fleet.timeline.RunFor(seconds(10));
 
-  CHECK(fleet.longest_unseen <= kBound);
-  CHECK(fleet.OldestKnowledge() < kBound);
-  CHECK(fleet.Behind() == 0);
+  CHECK(fleet.longest_delay <= kBound);
+  CHECK(fleet.GreatestStateAge() < kBound);
+  CHECK(fleet.CountLagging() == 0);
   CHECK(fleet.ended == 0);
   CHECK(fleet.RelayOf(kFollower) != relay);
 
   SECTION("and store calls are few again") {
     const double calls =
-        fleet.CallRate([&fleet] { fleet.Swarm(2, seconds(20)); });
+        fleet.CallRate([&fleet] { fleet.MakeChanges(2, seconds(20)); });
     CHECK(calls <= 2 * kDomains);
   }
   SECTION("also if the next relay fails as well") {
-    fleet.SetTrouble(fleet.RelayOf(kFollower), trouble);
-    fleet.Swarm(2, seconds(10));
+    fleet.SetFault(fleet.RelayOf(kFollower), entry_fault);
+    fleet.MakeChanges(2, seconds(10));
     fleet.timeline.RunFor(seconds(10));
-    CHECK(fleet.longest_unseen <= kBound);
-    CHECK(fleet.Behind() <= 2);  // The two faulty entries.
+    CHECK(fleet.longest_delay <= kBound);
+    CHECK(fleet.CountLagging() <= 2);  // The two faulty entries.
   }
 }
 
@@ -414,12 +415,12 @@
   SECTION("and get the changes that they missed") {
     fleet.store.Compact();
     fleet.timeline.RunFor(kAnswerWithin + milliseconds(500));
-    CHECK(fleet.Behind() == 0);
+    CHECK(fleet.CountLagging() == 0);
     CHECK(fleet.ended == 0);
   }
   SECTION("or their watches end if the relays cannot list") {
     for (std::size_t it = 0; it < 100; ++it) {
-      fleet.CannotList(it);
+      fleet.RefuseLists(it);
     }
     fleet.store.Compact();
     fleet.timeline.RunFor(kAnswerWithin + milliseconds(500));
@@ -428,56 +429,57 @@
 }
 
 /// One way in which a store compacts its changes.
-struct Forgetting {
+struct Compaction {
   ListStore::Cut cut = ListStore::Cut::kBroken;
   /// Times before and after compaction in which calls get no answer.
   Duration mute_before{0};
   Duration mute_after{0};
   /// Entries change their relay once, since it cannot learn of the compaction
   /// in time.
-  bool relay_is_lost = false;
+  bool relay_changes = false;
 };
 
 // Guards against hundreds of full list calls at once when the store compacts
 // its changes.
 TEST_CASE("After compaction the store is listed once per failure domain") {
-  const auto how = GENERATE(
-      Forgetting{ListStore::Cut::kBroken, {}, {}, false},
-      Forgetting{ListStore::Cut::kSilent, {}, {}, false},
-      Forgetting{ListStore::Cut::kBroken, {}, milliseconds(100), false},
-      Forgetting{ListStore::Cut::kBroken, seconds(1), {}, true},
-      Forgetting{ListStore::Cut::kSilent, seconds(1), {}, true});
-  INFO("cut off silently: " << (how.cut == ListStore::Cut::kSilent)
+  const auto compaction_case = GENERATE(
+      Compaction{ListStore::Cut::kBroken, {}, {}, false},
+      Compaction{ListStore::Cut::kSilent, {}, {}, false},
+      Compaction{ListStore::Cut::kBroken, {}, milliseconds(100), false},
+      Compaction{ListStore::Cut::kBroken, seconds(1), {}, true},
+      Compaction{ListStore::Cut::kSilent, seconds(1), {}, true});
+  INFO("cut off silently: " << (compaction_case.cut == ListStore::Cut::kSilent)
                             << ", mute before and after, ns: "
-                            << how.mute_before.count() << ", "
-                            << how.mute_after.count());
+                            << compaction_case.mute_before.count() << ", "
+                            << compaction_case.mute_after.count());
   for (const std::size_t entries : {50, 100, 300, 1000}) {
     INFO(entries << " entries");
-    const std::size_t relays = kDomains * (how.relay_is_lost ? 2 : 1);
-    const std::size_t lone_calls = how.relay_is_lost ? entries : 0;
+    const std::size_t relays =
+        kDomains * (compaction_case.relay_changes ? 2 : 1);
+    const std::size_t lone_calls = compaction_case.relay_changes ? entries : 0;
     RelayFleet fleet(entries);
     for (const int unseen : {1, 40, 0}) {
       INFO(unseen << " changes unseen");
-      fleet.Swarm(8, seconds(5));
+      fleet.MakeChanges(8, seconds(5));
       fleet.timeline.RunFor(milliseconds(1500));  // Calls are waiting by then.
       const std::uint64_t lists = fleet.store.lists;
       const std::uint64_t calls = fleet.store.calls;
-      fleet.longest_unseen = Duration{0};
-      fleet.store.mute = how.mute_before > Duration{0};
-      fleet.timeline.RunFor(how.mute_before);
-      fleet.store.Compact(unseen, how.cut);
-      fleet.store.mute = how.mute_after > Duration{0};
-      fleet.timeline.RunFor(how.mute_after);
+      fleet.longest_delay = Duration{0};
+      fleet.store.mute = compaction_case.mute_before > Duration{0};
+      fleet.timeline.RunFor(compaction_case.mute_before);
+      fleet.store.Compact(unseen, compaction_case.cut);
+      fleet.store.mute = compaction_case.mute_after > Duration{0};
+      fleet.timeline.RunFor(compaction_case.mute_after);
       fleet.store.mute = false;
       fleet.timeline.RunFor(kAnswerWithin + milliseconds(500));
-      CHECK(fleet.Behind() == 0);
-      CHECK(fleet.longest_unseen <= kAnswerWithin + milliseconds(500));
+      CHECK(fleet.CountLagging() == 0);
+      CHECK(fleet.longest_delay <= kAnswerWithin + milliseconds(500));
       CHECK(fleet.store.lists - lists <= relays);
       CHECK(fleet.store.calls - calls <= 6 * relays + lone_calls);
     }
-    fleet.Swarm(8, seconds(5));
+    fleet.MakeChanges(8, seconds(5));
     fleet.timeline.RunFor(seconds(2));
-    CHECK(fleet.Behind() == 0);
+    CHECK(fleet.CountLagging() == 0);
     CHECK(fleet.ended == 0);
   }
 }
@@ -488,12 +490,12 @@
   RelayFleet fleet(300);
   fleet.timeline.RunFor(milliseconds(700));
   const std::uint64_t calls = fleet.store.calls;
-  fleet.store.BreakWaiting();
+  fleet.store.FailWaiting();
   fleet.timeline.RunFor(milliseconds(500));
   CHECK(fleet.store.calls - calls <= 2 * kDomains);
   fleet.store.Change();
   fleet.timeline.RunFor(seconds(2));
-  CHECK(fleet.Behind() == 0);
+  CHECK(fleet.CountLagging() == 0);
   CHECK(fleet.ended == 0);
 }
 
@@ -502,18 +504,18 @@
 TEST_CASE("A relay that was idle resumes from the requested version") {
   RelayFleet fleet(100);
   constexpr std::size_t kFollower = 42;
-  fleet.Swarm(2, seconds(5));
+  fleet.MakeChanges(2, seconds(5));
   const std::size_t relay = fleet.RelayOf(kFollower);
-  fleet.SetTrouble(relay, Trouble::kCut);
+  fleet.SetFault(relay, Fault::kTimedOut);
   fleet.timeline.RunFor(seconds(3));
-  fleet.SetTrouble(relay, Trouble::kNone);
+  fleet.SetFault(relay, Fault::kNone);
   REQUIRE(fleet.RelayOf(kFollower) != relay);
   fleet.store.Compact();
-  fleet.Swarm(2, seconds(5));
+  fleet.MakeChanges(2, seconds(5));
   const std::uint64_t lists = fleet.store.lists;
   const std::uint64_t calls = fleet.store.calls;
   fleet.failures = 0;
-  fleet.Swarm(2, seconds(15));
+  fleet.MakeChanges(2, seconds(15));
   CHECK(fleet.failures == 0);
   CHECK(fleet.RelayOf(kFollower) == relay);
   CHECK(fleet.store.lists == lists);
@@ -529,7 +531,7 @@
   for (int n = 0; n < 50; ++n) {
     store.Change();
   }
-  ObjectStore::Listing known = store.Listed();
+  ObjectStore::Listing known = store.CurrentListing();
   WatchFeed::Hooks hooks;
   hooks.poll = [&store](std::uint64_t from, Duration wait,
                         PolledWatch::PollDone done) {
@@ -583,7 +585,7 @@
     ask_from(53);  // An entry that read the store itself.
     timeline.RunFor(seconds(3));
     REQUIRE(answers.size() == 2);
-    const auto changes = DiffListings(known, store.Listed());
+    const auto changes = DiffListings(known, store.CurrentListing());
     CHECK(answers[0] == std::to_string(changes.size()));
     CHECK_THAT(answers[1], Catch::Matchers::Contains("outcome only"));
   }
--- a/tests/support/watch_world.h
+++ b/tests/support/watch_world.h
@@ -48,7 +48,7 @@
   explicit ListStore(Timeline* timeline) : timeline_(timeline) {}
 
   void Change() {
-    Make();
+    AddChange();
     if (mute) {
       return;
     }
@@ -67,7 +67,7 @@
       });
       return;
     }
-    if (from < forgotten_before_) {
+    if (from < compacted_before_) {
       // Like the platform's store: at once without a wait, else after the wait.
       timeline_->After(wait + kStoreAnswerTime, [done = std::move(done)] {
         done(Error{ErrorCode::kNotFound, "store.watch", "store", "forgotten"});
@@ -95,13 +95,13 @@
       if (down) {
         done(Error{ErrorCode::kUnavailable, "store.list", "store", "down"});
       } else {
-        done(Listed());
+        done(CurrentListing());
       }
     });
   }
 
   /// Returns the current objects.
-  ObjectStore::Listing Listed() const {
+  ObjectStore::Listing CurrentListing() const {
     ObjectStore::Listing listing;
     listing.version = changed_at.size();
     for (const auto& [key, value] : objects) {
@@ -111,7 +111,7 @@
   }
 
   /// Fails all waiting calls.
-  void BreakWaiting() {
+  void FailWaiting() {
     std::vector<Waiting> waiting;
     waiting.swap(waiting_);
     for (Waiting& it : waiting) {
@@ -128,18 +128,19 @@
   /// and fails all waiting calls without reporting these changes.
   void Compact(int unseen = 1, Cut cut = Cut::kBroken) {
     for (int n = 0; n < unseen; ++n) {
-      Make();
+      AddChange();
     }
-    forgotten_before_ = changed_at.size();
+    compacted_before_ = changed_at.size();
     mute = false;
     if (cut == Cut::kBroken) {
-      BreakWaiting();
+      FailWaiting();
       return;
     }
     for (const Waiting& it : waiting_) {
-      timeline_->After(it.until + kSlack - timeline_->now, [done = it.done] {
-        done(Error{ErrorCode::kTimeout, "store.watch", "store", "silent"});
-      });
+      timeline_->After(
+          it.until + kTimeoutSlack - timeline_->now, [done = it.done] {
+            done(Error{ErrorCode::kTimeout, "store.watch", "store", "silent"});
+          });
     }
     waiting_.clear();
   }
@@ -154,17 +155,17 @@
 
  private:
   /// A call without an answer fails this long after its wait has ended.
-  static constexpr Duration kSlack = std::chrono::milliseconds(700);
+  static constexpr Duration kTimeoutSlack = std::chrono::milliseconds(700);
   static constexpr std::uint64_t kObjects = 16;
   /// One in this many changes removes its object, if it exists.
-  static constexpr std::uint64_t kRemovals = 5;
+  static constexpr std::uint64_t kRemovalInterval = 5;
 
-  void Make() {
+  void AddChange() {
     changed_at.push_back(timeline_->now);
     const std::uint64_t version = changed_at.size();
     WatchEvent event{"targets/t" + std::to_string(version * 7 % kObjects),
                      "value " + std::to_string(version), version};
-    if (version % kRemovals == 0 && objects.erase(event.key) > 0) {
+    if (version % kRemovalInterval == 0 && objects.erase(event.key) > 0) {
       event.value.reset();
     } else {
       objects[event.key] = *event.value;
@@ -206,7 +207,7 @@
   std::vector<WatchEvent> events_;  ///< Element n has version n + 1.
   std::vector<Waiting> waiting_;
   std::uint64_t next_id_ = 0;
-  std::uint64_t forgotten_before_ = 0;
+  std::uint64_t compacted_before_ = 0;
 };
 
 }  // namespace indigolead::testing
--- a/tests/wire/links_keys_test.cc
+++ b/tests/wire/links_keys_test.cc
@@ -76,14 +76,14 @@
       logged += FormatEvent(event, fields) + "\n";
     };
     links = std::make_unique<Links>(
-        io, options, hooks, [this] { return BootTimeNow() + skipped; },
+        io, options, hooks, [this] { return BootTimeNow() + clock_offset; },
         RandomId, log, &metrics);
     started = links->Start();
   }
 
   int up = 0;
   std::string logged;
-  Duration skipped = 0s;
+  Duration clock_offset = 0s;
   MetricsRegistry metrics;
   std::unique_ptr<Links> links;
   Status started;
@@ -101,7 +101,7 @@
 TEST_CASE("Encrypted links accept only trusted peers") {
   boost::asio::io_context io;
   const KeyPair fleet = MakeKeyPair();
-  const KeyPair stranger = MakeKeyPair();
+  const KeyPair untrusted = MakeKeyPair();
   KeyFiles fleet_files(fleet, fleet.public_key);
   Node server(&io, "entry-1", fleet_files);
   REQUIRE(IsOk(server.started));
@@ -114,7 +114,7 @@
 
   SECTION(
       "an untrusted peer is refused and logged, and accepted once trusted") {
-    KeyFiles files(stranger, fleet.public_key);
+    KeyFiles files(untrusted, fleet.public_key);
     Node client(&io, "side-2", files);
     client.links->Connect(server.links->bound_address());
     REQUIRE(RunUntil(&io, [&] {
@@ -123,14 +123,15 @@
     CHECK(server.up == 0);
     CHECK(client.up == 0);
 
-    fleet_files.Write("trusted", fleet.public_key + "\n" + stranger.public_key);
-    server.skipped = 10s;
+    fleet_files.Write("trusted",
+                      fleet.public_key + "\n" + untrusted.public_key);
+    server.clock_offset = 10s;
     CHECK(RunUntil(&io, [&] { return client.up == 1 && server.up == 1; }));
     CHECK(server.logged.find("keys-reloaded") != std::string::npos);
   }
 
   SECTION("a dial that fails with one trusted key tries the next") {
-    KeyFiles files(fleet, stranger.public_key + "\n" + fleet.public_key);
+    KeyFiles files(fleet, untrusted.public_key + "\n" + fleet.public_key);
     Node client(&io, "side-3", files);
     client.links->Connect(server.links->bound_address());
     CHECK(RunUntil(&io, [&] { return client.up == 1; }));
@@ -138,7 +139,7 @@
 
   SECTION("an invalid file keeps the current keys, and the log shows no key") {
     fleet_files.Write("trusted", fleet.secret_key + "x");
-    server.skipped = 10s;
+    server.clock_offset = 10s;
     REQUIRE(RunUntil(&io, [&] {
       return server.logged.find("keys-not-reloaded") != std::string::npos;
     }));
--- a/tests/wire/links_test.cc
+++ b/tests/wire/links_test.cc
@@ -39,7 +39,7 @@
     };
     hooks.on_down = [this](LinkId id, const Error& error) {
       up.erase(id);
-      downs.push_back(error);
+      down_errors.push_back(error);
     };
     hooks.on_message = [this](LinkId id, wire::Envelope&& message) {
       if (message.has_heartbeat()) {
@@ -82,7 +82,7 @@
   MetricsRegistry metrics;
   std::map<LinkId, std::string> up;
   std::map<LinkId, std::string> incarnations;
-  std::vector<Error> downs;
+  std::vector<Error> down_errors;
   std::vector<wire::Envelope> messages;
   std::function<void(LinkId, const wire::Envelope&)> on_message;
   int heartbeats = 0;
@@ -142,24 +142,25 @@
   SECTION("heartbeats are sent in both directions on an idle link") {
     CHECK(RunUntil(
         &io, [&] { return client.heartbeats >= 3 && server.heartbeats >= 3; }));
-    CHECK(client.downs.empty());
-    CHECK(server.downs.empty());
+    CHECK(client.down_errors.empty());
+    CHECK(server.down_errors.empty());
   }
 
   SECTION("a goodbye closes the link, and on_down gets its reason") {
     server.links->Stop("stopping");
-    REQUIRE(RunUntil(&io, [&] { return !client.downs.empty(); }));
-    CHECK(client.downs[0].code == ErrorCode::kUnavailable);
-    CHECK(client.downs[0].detail.find("stopping") != std::string::npos);
+    REQUIRE(RunUntil(&io, [&] { return !client.down_errors.empty(); }));
+    CHECK(client.down_errors[0].code == ErrorCode::kUnavailable);
+    CHECK(client.down_errors[0].detail.find("stopping") != std::string::npos);
     CHECK_FALSE(client.links->Send(LinkId{1}, MakeCredit(1)));
   }
 
   SECTION("Disconnect closes the link at both ends") {
     client.links->Disconnect(server.links->bound_address());
     CHECK(RunUntil(&io, [&] {
-      return client.up.empty() && server.up.empty() && !client.downs.empty();
+      return client.up.empty() && server.up.empty() &&
+             !client.down_errors.empty();
     }));
-    CHECK(server.downs.size() == 1);
+    CHECK(server.down_errors.size() == 1);
   }
 
   SECTION("a message over the size limit is refused, and the link stays up") {
@@ -182,18 +183,18 @@
   REQUIRE(RunUntil(&io, [&] { return steady.up.size() == 1; }));
   for (std::uint64_t n = 0; n < kRounds; ++n) {
     INFO("round " << n);
-    Peer leaver(&io, "leaver-" + std::to_string(n), 10 + n);
-    hub.links->Connect(leaver.links->bound_address());
-    leaver.links->Connect(hub.links->bound_address());
-    REQUIRE(RunUntil(&io, [&] { return leaver.up.size() == 2; }));
-    leaver.links->Stop("planned stop");
+    Peer stopped_peer(&io, "leaver-" + std::to_string(n), 10 + n);
+    hub.links->Connect(stopped_peer.links->bound_address());
+    stopped_peer.links->Connect(hub.links->bound_address());
+    REQUIRE(RunUntil(&io, [&] { return stopped_peer.up.size() == 2; }));
+    stopped_peer.links->Stop("planned stop");
     REQUIRE(RunUntil(&io, [&] { return hub.up.size() == 1; }));
-    hub.links->Disconnect(leaver.links->bound_address());
+    hub.links->Disconnect(stopped_peer.links->bound_address());
     const int heartbeats = hub.heartbeats;
     REQUIRE(RunUntil(&io, [&] { return hub.heartbeats > heartbeats; }));
   }
   CHECK(hub.up.begin()->second == "steady");
-  CHECK(steady.downs.empty());
+  CHECK(steady.down_errors.empty());
 }
 
 // Guards against a stream that stalls because the peer was stopped (SIGSTOP, a
@@ -212,8 +213,8 @@
   }));
   const LinkId first = client.OnlyLink();
 
-  REQUIRE(RunUntil(&io, [&] { return !client.downs.empty(); }));
-  CHECK(client.downs[0].code == ErrorCode::kTimeout);
+  REQUIRE(RunUntil(&io, [&] { return !client.down_errors.empty(); }));
+  CHECK(client.down_errors[0].code == ErrorCode::kTimeout);
   CHECK_FALSE(client.links->Send(first, MakeCredit(1)));
 
   REQUIRE(RunUntil(&io, [&] {
@@ -242,7 +243,7 @@
     REQUIRE(RunUntil(&io, [&] { return !second.up.empty(); }));
     CHECK(server.OnlyLink() != old_link);
     CHECK(server.incarnations[server.OnlyLink()] == ToBytes(Id128{3, 3}));
-    CHECK(server.downs.size() == 1);
+    CHECK(server.down_errors.size() == 1);
     CHECK_FALSE(server.links->Send(old_link, MakeCredit(1)));
   }
 
@@ -255,7 +256,7 @@
     }));
     CHECK(server.OnlyLink() == new_link);
     CHECK(first->up.empty());
-    CHECK(second.downs.empty());
+    CHECK(second.down_errors.empty());
   }
 
   SECTION("a peer that ends without a goodbye is detected and dialled again") {
@@ -289,12 +290,12 @@
   REQUIRE(RunUntil(&io, [&] { return !client.up.empty(); }));
   const auto settle = BootTimeNow() + 1s;
   RunUntil(&io, [&] { return BootTimeNow() > settle; });
-  const std::size_t downs = client.downs.size();
+  const std::size_t down_errors = client.down_errors.size();
   const auto rest = BootTimeNow() + 2s;
   RunUntil(&io, [&] { return BootTimeNow() > rest; });
   CHECK(client.up.size() == 1);
-  CHECK(downs >= 1);
-  CHECK(client.downs.size() == downs);
+  CHECK(down_errors >= 1);
+  CHECK(client.down_errors.size() == down_errors);
 }
 
 TEST_CASE("Links enforce their limits") {
@@ -342,7 +343,7 @@
       return server.CounterValue("indigolead_links_refused_total") >= 1;
     }));
     CHECK(server.up.size() == 2);
-    CHECK(server.downs.empty());
+    CHECK(server.down_errors.empty());
   }
 
   SECTION("a process does not link to itself") {
--- a/tests/wire/membership_service_test.cc
+++ b/tests/wire/membership_service_test.cc
@@ -32,12 +32,14 @@
       return true;
     };
     hooks.connect = [this](const std::string& it) { dialled.push_back(it); };
-    hooks.disconnect = [this](const std::string& it) { left.push_back(it); };
+    hooks.disconnect = [this](const std::string& it) {
+      disconnects.push_back(it);
+    };
     return hooks;
   }
 
   /// Advances the time by `span`, with a tick every 100 ms.
-  void Pass(Duration span) {
+  void Advance(Duration span) {
     for (Duration t = 0s; t < span; t += 100ms) {
       now += 100ms;
       service.Tick(now);
@@ -47,7 +49,7 @@
   TimePoint now = TimePoint(1000s);
   std::map<std::uint64_t, std::vector<wire::Envelope>> sent;
   std::vector<std::string> dialled;
-  std::vector<std::string> left;
+  std::vector<std::string> disconnects;
   MembershipService service;
 };
 
@@ -69,27 +71,27 @@
 TEST_CASE("A side learns of new entries from the entries it has") {
   Node entry("entry-1", MemberKind::kEntry);
   Node side("side-1", MemberKind::kSide);
-  side.Pass(100ms);
+  side.Advance(100ms);
   CHECK(side.dialled == std::vector<std::string>{"10.0.0.1:1"});
 
   entry.service.OnInstances({1, {Entry("entry-1", "10.0.0.1:1")}});
   entry.service.OnLinkUp(LinkId{7}, HelloOf("side-1", wire::PROCESS_SIDE));
   REQUIRE(entry.sent[7].size() == 1);
   CHECK(side.service.HandleMessage(LinkId{1}, entry.sent[7][0]));
-  side.Pass(1s);
+  side.Advance(1s);
   CHECK(side.dialled.size() == 1);
 
   entry.service.OnInstances(
       {2, {Entry("entry-1", "10.0.0.1:1"), Entry("entry-2", "10.0.0.2:1")}});
   REQUIRE(entry.sent[7].size() == 2);
   CHECK(side.service.HandleMessage(LinkId{1}, entry.sent[7][1]));
-  side.Pass(1s);
+  side.Advance(1s);
   CHECK(side.dialled.back() == "10.0.0.2:1");
 
   SECTION("an older list from a lagging entry is ignored") {
     CHECK(side.service.HandleMessage(LinkId{1}, entry.sent[7][0]));
-    side.Pass(60s);
-    CHECK(side.left.empty());
+    side.Advance(60s);
+    CHECK(side.disconnects.empty());
   }
   SECTION("a change of targets only is not sent to sides") {
     InstanceList list{
@@ -101,14 +103,14 @@
     CHECK(entry.sent[7].size() == 2);
   }
   SECTION("an entry ignores lists from its peers") {
-    entry.Pass(1s);
+    entry.Advance(1s);
     REQUIRE(entry.dialled.back() == "10.0.0.2:1");
     wire::Envelope newer = entry.sent[7][0];
     newer.mutable_instances()->set_version(9);
     CHECK(entry.service.HandleMessage(LinkId{9}, newer));
-    entry.Pass(60s);
+    entry.Advance(60s);
     // Only the seed, which is its own address, is disconnected.
-    CHECK(entry.left == std::vector<std::string>{"10.0.0.1:1"});
+    CHECK(entry.disconnects == std::vector<std::string>{"10.0.0.1:1"});
   }
 }
 
--- a/tests/wire/relay_links_test.cc
+++ b/tests/wire/relay_links_test.cc
@@ -17,24 +17,24 @@
 using std::chrono::seconds;
 
 /// A relaying entry and an entry that sends requests to it.
-class Scene {
+class RelayFixture {
  public:
-  Scene() {
+  RelayFixture() {
     StartRelay("127.0.0.1:0");
-    RelayLinks::Hooks asker;
-    asker.on_answer = [this](std::uint64_t number,
-                             const Result<WatchBatch>& answer) {
+    RelayLinks::Hooks requester;
+    requester.on_answer = [this](std::uint64_t number,
+                                 const Result<WatchBatch>& answer) {
       answers.emplace(number, answer);
     };
-    asker_ = Make("", std::move(asker));
+    requester_ = Make("", std::move(requester));
   }
 
   void Ask(std::uint64_t number) {
-    REQUIRE(asker_->Ask(address(), number, "servers/", 40 + number));
+    REQUIRE(requester_->Ask(address(), number, "servers/", 40 + number));
   }
 
   /// Runs until `done` returns true; fails the test after 10 s.
-  void Await(const std::function<bool()>& done) {
+  void RunUntil(const std::function<bool()>& done) {
     const auto end = std::chrono::steady_clock::now() + seconds(10);
     while (!done() && std::chrono::steady_clock::now() < end) {
       io_.restart();
@@ -52,7 +52,7 @@
   RelayLinks& relay() { return *relay_; }
   const std::string& address() const { return relay_->bound_address(); }
 
-  std::vector<RelayQuestion> questions;
+  std::vector<RelayRequest> received_requests;
   std::map<std::uint64_t, Result<WatchBatch>> answers;
 
  private:
@@ -66,8 +66,8 @@
 
   void StartRelay(const std::string& address) {
     RelayLinks::Hooks hooks;
-    hooks.on_question = [this](const RelayQuestion& it) {
-      questions.push_back(it);
+    hooks.on_request = [this](const RelayRequest& it) {
+      received_requests.push_back(it);
     };
     relay_ = Make(address, std::move(hooks));
     REQUIRE(IsOk(relay_->Listen()));
@@ -75,60 +75,64 @@
 
   boost::asio::io_context io_;
   std::unique_ptr<RelayLinks> relay_;
-  std::unique_ptr<RelayLinks> asker_;
+  std::unique_ptr<RelayLinks> requester_;
 };
 
 TEST_CASE("A watch request reaches the relay, and its answer comes back") {
-  Scene scene;
-  scene.Ask(1);
-  scene.Await([&scene] { return scene.questions.size() == 1; });
-  const RelayQuestion question = scene.questions.front();
-  CHECK(question.number == 1);
-  CHECK(question.prefix == "servers/");
-  CHECK(question.from == 41);
+  RelayFixture fixture;
+  fixture.Ask(1);
+  fixture.RunUntil(
+      [&fixture] { return fixture.received_requests.size() == 1; });
+  const RelayRequest request = fixture.received_requests.front();
+  CHECK(request.number == 1);
+  CHECK(request.prefix == "servers/");
+  CHECK(request.from == 41);
 
   SECTION("an answer keeps each change, binary values included") {
     const WatchBatch batch{{{"servers/a", std::string("\xff\0x", 3), 42},
                             {"servers/b", std::nullopt, 43}},
                            43,
                            /*relayed=*/true};
-    scene.relay().Answer(question.asker, 1, batch);
-    scene.Await([&scene] { return scene.answers.count(1) == 1; });
-    CHECK(ValueOf(scene.answers.at(1)) == batch);
+    fixture.relay().Answer(request.requester, 1, batch);
+    fixture.RunUntil([&fixture] { return fixture.answers.count(1) == 1; });
+    CHECK(ValueOf(fixture.answers.at(1)) == batch);
   }
   SECTION("an error arrives as not found or unavailable, with the relay") {
-    scene.relay().Answer(
-        question.asker, 1,
+    fixture.relay().Answer(
+        request.requester, 1,
         Error{ErrorCode::kNotFound, "store.watch", "store", "status 410"});
-    scene.Ask(2);
-    scene.Await([&scene] { return scene.questions.size() == 2; });
-    scene.relay().Answer(
-        scene.questions.back().asker, 2,
+    fixture.Ask(2);
+    fixture.RunUntil(
+        [&fixture] { return fixture.received_requests.size() == 2; });
+    fixture.relay().Answer(
+        fixture.received_requests.back().requester, 2,
         Error{ErrorCode::kTimeout, "store.watch", "store", "no answer"});
-    scene.Await([&scene] { return scene.answers.size() == 2; });
-    CHECK(ErrorOf(scene.answers.at(1)).code == ErrorCode::kNotFound);
-    CHECK(ErrorOf(scene.answers.at(2)).code == ErrorCode::kUnavailable);
-    CHECK(ErrorOf(scene.answers.at(2)).peer == scene.address());
+    fixture.RunUntil([&fixture] { return fixture.answers.size() == 2; });
+    CHECK(ErrorOf(fixture.answers.at(1)).code == ErrorCode::kNotFound);
+    CHECK(ErrorOf(fixture.answers.at(2)).code == ErrorCode::kUnavailable);
+    CHECK(ErrorOf(fixture.answers.at(2)).peer == fixture.address());
   }
   SECTION("requests succeed after a restart of the relay") {
-    scene.RestartRelay();
-    scene.Ask(2);
-    scene.Await([&scene] { return scene.questions.size() == 2; });
-    scene.relay().Answer(scene.questions.back().asker, 2, WatchBatch{{}, 50});
-    scene.Await([&scene] { return scene.answers.count(2) == 1; });
-    CHECK(ValueOf(scene.answers.at(2)).version == 50);
+    fixture.RestartRelay();
+    fixture.Ask(2);
+    fixture.RunUntil(
+        [&fixture] { return fixture.received_requests.size() == 2; });
+    fixture.relay().Answer(fixture.received_requests.back().requester, 2,
+                           WatchBatch{{}, 50});
+    fixture.RunUntil([&fixture] { return fixture.answers.count(2) == 1; });
+    CHECK(ValueOf(fixture.answers.at(2)).version == 50);
   }
 }
 
 TEST_CASE("The error for an address in use contains the address") {
-  Scene scene;
+  RelayFixture fixture;
   boost::asio::io_context io;
   RelayLinks::Options options;
-  options.bind_address = scene.address();
+  options.bind_address = fixture.address();
   RelayLinks second(&io, options, {}, MakeNullEventLog());
   const Status status = second.Listen();
   REQUIRE_FALSE(IsOk(status));
-  CHECK(ErrorOf(status).peer == scene.address());
+  CHECK(ErrorOf(status).peer == fixture.address());
 }
 
 }  // namespace
--- a/tests/wire/revision_exchange_test.cc
+++ b/tests/wire/revision_exchange_test.cc
@@ -23,9 +23,9 @@
   return ToJson(revision);
 }
 
-/// Processes with links that deliver at once, or drop all messages while `lose`
-/// is set.
-struct Net {
+/// Processes with links that deliver at once, or drop all messages while
+/// `drop_messages` is set.
+struct SimulatedNetwork {
   struct Node {
     std::unique_ptr<RevisionExchange> exchange;
     std::vector<std::uint64_t> applied;
@@ -33,7 +33,7 @@
   };
   std::map<std::string, Node> nodes;
   TimePoint now{seconds(100)};
-  bool lose = false;
+  bool drop_messages = false;
 
   void Add(const std::string& name, bool is_entry) {
     Node& node = nodes[name];
@@ -68,15 +68,16 @@
   }
   bool Send(const std::string& from, LinkId link, const wire::Envelope& m) {
     auto to = std::next(nodes.begin(), static_cast<std::int64_t>(link.value));
-    if (!lose) {
+    if (!drop_messages) {
       to->second.exchange->HandleMessage(LinkTo(from), m, now);
     }
     return true;
   }
-  void Join(const std::string& a, const std::string& b) {
+  void ConnectNodes(const std::string& a, const std::string& b) {
     for (const auto& name : {a, b}) {
       nodes[name].hello.clear_revisions();
-      nodes[name].exchange->FillKnown(nodes[name].hello.mutable_revisions());
+      nodes[name].exchange->AddKnownRevisions(
+          nodes[name].hello.mutable_revisions());
     }
     nodes[a].exchange->OnLinkUp(LinkTo(b), nodes[b].hello, now);
     nodes[b].exchange->OnLinkUp(LinkTo(a), nodes[a].hello, now);
@@ -91,37 +92,37 @@
 };
 
 TEST_CASE("RevisionExchange distributes a revision to every process") {
-  Net net;
-  net.Add("entry-a", true);
-  net.Add("entry-b", true);
-  net.Add("side-1", false);
-  net.Join("entry-a", "side-1");
-  net.Join("entry-a", "entry-b");
-  const auto& book = net.nodes["entry-a"].exchange->book();
+  SimulatedNetwork network;
+  network.Add("entry-a", true);
+  network.Add("entry-b", true);
+  network.Add("side-1", false);
+  network.ConnectNodes("entry-a", "side-1");
+  network.ConnectNodes("entry-a", "entry-b");
+  const auto& book = network.nodes["entry-a"].exchange->book();
 
   SECTION("from the store through an entry to its side, and reports back") {
-    net.nodes["entry-a"].exchange->OfferFromStore(Json(1), net.now);
-    CHECK(net.nodes["side-1"].applied == std::vector<std::uint64_t>{1});
-    net.Tick();
+    network.nodes["entry-a"].exchange->OfferFromStore(Json(1), network.now);
+    CHECK(network.nodes["side-1"].applied == std::vector<std::uint64_t>{1});
+    network.Tick();
     CHECK(book.RolloutOf("brief-llm").everywhere());
   }
   SECTION("lists the missing processes and repeats a lost offer") {
-    net.lose = true;
-    net.nodes["entry-a"].exchange->OfferFromStore(Json(1), net.now);
+    network.drop_messages = true;
+    network.nodes["entry-a"].exchange->OfferFromStore(Json(1), network.now);
     CHECK(book.RolloutOf("brief-llm").waiting_for ==
           std::vector<std::string>{"entry-b", "side-1"});
-    net.lose = false;
-    net.Tick();
+    network.drop_messages = false;
+    network.Tick();
     CHECK(book.RolloutOf("brief-llm").everywhere());
   }
   SECTION("an older revision from the store is ignored") {
-    net.nodes["entry-a"].exchange->OfferFromStore(Json(2), net.now);
-    net.nodes["entry-a"].exchange->OfferFromStore(Json(1), net.now);
-    CHECK(net.nodes["side-1"].applied == std::vector<std::uint64_t>{2});
+    network.nodes["entry-a"].exchange->OfferFromStore(Json(2), network.now);
+    network.nodes["entry-a"].exchange->OfferFromStore(Json(1), network.now);
+    CHECK(network.nodes["side-1"].applied == std::vector<std::uint64_t>{2});
   }
   SECTION("a value that cannot be parsed is ignored") {
-    net.nodes["entry-a"].exchange->OfferFromStore(Json(1), net.now);
-    net.nodes["entry-a"].exchange->OfferFromStore("{", net.now);
+    network.nodes["entry-a"].exchange->OfferFromStore(Json(1), network.now);
+    network.nodes["entry-a"].exchange->OfferFromStore("{", network.now);
     CHECK(book.Find("brief-llm")->number == 1);
   }
 }
@@ -130,22 +131,22 @@
 // side that got one from another entry before the outage. The entry applies the
 // revision of the side and later offers it to others.
 TEST_CASE("RevisionExchange works while the store is down") {
-  Net net;
-  net.Add("entry-a", true);
-  net.Add("entry-b", true);
-  net.Add("side-1", false);
-  net.Join("entry-a", "side-1");
-  net.nodes["entry-a"].exchange->OfferFromStore(Json(3), net.now);
+  SimulatedNetwork network;
+  network.Add("entry-a", true);
+  network.Add("entry-b", true);
+  network.Add("side-1", false);
+  network.ConnectNodes("entry-a", "side-1");
+  network.nodes["entry-a"].exchange->OfferFromStore(Json(3), network.now);
 
   SECTION("a starting process gets the newest revision from a peer") {
-    net.Join("entry-b", "side-1");
-    CHECK(net.nodes["entry-b"].applied == std::vector<std::uint64_t>{3});
+    network.ConnectNodes("entry-b", "side-1");
+    CHECK(network.nodes["entry-b"].applied == std::vector<std::uint64_t>{3});
   }
   SECTION("an older revision from a peer that was cut off is ignored") {
-    net.nodes["entry-b"].exchange->OfferFromStore(Json(2), net.now);
-    net.Join("entry-b", "side-1");
-    CHECK(net.nodes["side-1"].applied == std::vector<std::uint64_t>{3});
-    CHECK(net.nodes["entry-b"].applied == std::vector<std::uint64_t>{2, 3});
+    network.nodes["entry-b"].exchange->OfferFromStore(Json(2), network.now);
+    network.ConnectNodes("entry-b", "side-1");
+    CHECK(network.nodes["side-1"].applied == std::vector<std::uint64_t>{3});
+    CHECK(network.nodes["entry-b"].applied == std::vector<std::uint64_t>{2, 3});
   }
 }
 
