--- a/src/observe/event_fields.h
+++ b/src/observe/event_fields.h
@@ -8,7 +8,8 @@
 
 namespace indigolead {
 
-/// Returns a length as the value of an event's field whose name ends in "_ms".
+/// Returns `length` in whole milliseconds, as the value of an event field whose
+/// name ends in "_ms".
 inline std::string Milliseconds(Duration length) {
   return std::to_string(
       std::chrono::duration_cast<std::chrono::milliseconds>(length).count());
--- a/src/observe/event_log.cc
+++ b/src/observe/event_log.cc
@@ -35,19 +35,20 @@
   out->push_back('"');
 }
 
-/// Writes to standard error alone. easylogging++ knows only standard output
-/// and files, and standard output belongs to a command's result.
+/// Writes log lines to standard error. easylogging++ supports only standard
+/// output and files, and standard output is reserved for a command's result.
 class StderrDispatch : public el::LogDispatchCallback {
  protected:
   void handle(const el::LogDispatchData* data) override {
     const el::LogMessage* message = data->logMessage();
-    // One call writes the whole line, so that lines of threads never mix.
+    // A single call writes the whole line, so lines of several threads do not
+    // interleave.
     std::fputs(message->logger()->logBuilder()->build(message, true).c_str(),
                stderr);
   }
 };
 
-/// Hands lines to a thread that writes them to standard output.
+/// Passes log lines to a `LineWriter`, which writes them to standard output.
 class StdoutDispatch : public el::LogDispatchCallback {
  protected:
   void handle(const el::LogDispatchData* data) override {
--- a/src/observe/event_log.h
+++ b/src/observe/event_log.h
@@ -28,7 +28,7 @@
 /// Names and values logged with an event.
 using EventFields = std::vector<std::pair<std::string, std::string>>;
 
-/// Logs one event; injected wherever something is logged. Safe to call from
+/// Logs one event. Injected into every component that logs. Safe to call from
 /// any thread.
 using EventLog = std::function<void(const EventInfo&, const EventFields&)>;
 
@@ -38,13 +38,14 @@
 EventLog MakeStderrEventLog(const std::string& process_name,
                             EventSeverity minimum);
 
-/// Returns an `EventLog` that writes to standard output without ever waiting
-/// for its reader; what would have to wait is dropped and counted. For
-/// processes whose output is their log. A process uses one of the two.
+/// Returns an `EventLog` that writes to standard output and never blocks on the
+/// reader; lines that do not fit into its buffer are dropped and counted. For
+/// processes whose output is their log. A process uses either this log or the
+/// one of `MakeStderrEventLog`.
 EventLog MakeStdoutEventLog(const std::string& process_name,
                             EventSeverity minimum);
 
-/// Returns an `EventLog` that drops everything.
+/// Returns an `EventLog` that discards all events.
 EventLog MakeNullEventLog();
 
 /// Returns `event` and `fields` as the text of one log line, with control
--- a/src/observe/line_writer.cc
+++ b/src/observe/line_writer.cc
@@ -11,7 +11,8 @@
 namespace indigolead {
 namespace {
 
-/// Longest wait for a reader that takes nothing; then the rest is dropped.
+/// Longest wait for a reader that accepts no data; after it, the remaining text
+/// is dropped.
 constexpr int kReaderWaitMs = 1000;
 
 }  // namespace
@@ -100,8 +101,8 @@
     if (poll(&ready, 1, kReaderWaitMs) <= 0) {
       return written;
     }
-    // A pipe that polls as writable has room for this much, and a longer write
-    // would wait for its reader.
+    // A pipe that polls as writable has room for PIPE_BUF bytes; a longer write
+    // could block until the reader catches up.
     const std::size_t most =
         std::min<std::size_t>(text.size() - written, PIPE_BUF);
     const auto n = write(options_.descriptor, text.data() + written, most);
--- a/src/observe/line_writer.h
+++ b/src/observe/line_writer.h
@@ -12,33 +12,34 @@
 
 namespace indigolead {
 
-/// Writes lines to a file descriptor from a thread of its own.
+/// Writes lines to a file descriptor from a dedicated thread.
 ///
-/// Whoever reads a process's output may be slow or gone, and a write that
-/// waits for it would stop the requests of every caller. So `Push` only takes
-/// a place in a bounded buffer; what finds none, or comes above the rate, is
-/// dropped and counted, and the count is written as soon as there is room.
+/// The reader of a process's output may be slow or gone, and a blocking write
+/// would stall the requests of all callers. `Push` therefore only appends to a
+/// bounded buffer. Lines that do not fit or that exceed the rate limit are
+/// dropped and counted; the next flush writes the count.
 class LineWriter {
  public:
   struct Options {
     int descriptor = 1;
-    /// Lines that wait to be written: some seconds' worth at the rate below.
+    /// Capacity of the buffer in lines; several seconds at the maximum rate.
     std::size_t max_waiting = 4096;
-    /// Above the lines of the busiest second seen (four for each of 100
-    /// requests), far below what formatting could cost a fifth of a core.
+    /// Above the busiest second observed (four lines for each of 100 requests)
+    /// and far below the rate at which formatting takes a fifth of a core.
     std::uint32_t max_lines_per_s = 600;
-    /// Each flush wakes a thread and makes one write.
+    /// Each flush costs a wake-up of the thread and a write.
     std::chrono::milliseconds flush_interval{100};
   };
 
   explicit LineWriter(Options options);
-  /// Writes what waits, without waiting for the reader.
+  /// Writes the buffered lines; drops the rest if the reader accepts no data
+  /// for the write timeout.
   ~LineWriter();
   LineWriter(const LineWriter&) = delete;
   LineWriter& operator=(const LineWriter&) = delete;
 
-  /// Takes a line, with its line break. Never blocks on the reader. Safe from
-  /// any thread.
+  /// Appends a line, which includes its line break. Never blocks on the reader.
+  /// Safe to call from any thread.
   void Push(std::string line);
 
   std::uint64_t dropped() const;
@@ -46,7 +47,7 @@
  private:
   void Run();
   std::string TakeWaiting();
-  /// Returns the bytes that the reader took.
+  /// Returns the number of bytes written.
   std::size_t WriteSome(const std::string& text);
   void CountDropped(const std::string& text, std::size_t written);
 
--- a/src/observe/metrics.cc
+++ b/src/observe/metrics.cc
@@ -49,7 +49,7 @@
               static_cast<double>(snapshot.cumulative.back()));
 }
 
-// Prints the HELP and TYPE lines once for each run of metrics with one name.
+// Prints the HELP and TYPE lines once for consecutive metrics of the same name.
 void PrintHeader(std::ostream& os, std::string* last, const std::string& name,
                  const std::string& help, std::string_view type) {
   if (*last == name) {
--- a/src/observe/metrics.h
+++ b/src/observe/metrics.h
@@ -13,7 +13,7 @@
 
 namespace indigolead {
 
-/// Counts up. Safe from any thread.
+/// Monotonic counter. Safe to use from any thread.
 class Counter {
  public:
   void Add(std::uint64_t n = 1) {
@@ -25,7 +25,7 @@
   std::atomic<std::uint64_t> value_{0};
 };
 
-/// Holds a value that goes up and down. Safe from any thread.
+/// Value that can go up and down. Safe to use from any thread.
 class Gauge {
  public:
   void Set(std::int64_t value) {
@@ -38,9 +38,9 @@
   std::atomic<std::int64_t> value_{0};
 };
 
-/// Estimates median, 95th and 99th percentile of a stream of values with
-/// Boost.Accumulators. P-square estimates cannot be merged, so each thread
-/// records into a summary of its own, told apart by a label.
+/// Estimates the median and the 95th and 99th percentile of a stream of values
+/// with Boost.Accumulators. P-square estimates cannot be merged, so each thread
+/// records into its own summary, distinguished by a label.
 class Summary {
  public:
   Summary();
@@ -48,7 +48,7 @@
   Summary(const Summary&) = delete;
   Summary& operator=(const Summary&) = delete;
 
-  /// Records one value, in the unit that the metric's name ends with.
+  /// Records one value, in the unit given by the suffix of the metric's name.
   void Record(double value);
 
   struct Snapshot {
@@ -65,15 +65,15 @@
   std::unique_ptr<State> state_;
 };
 
-/// Counts durations in buckets with fixed bounds. Safe from any thread.
+/// Counts durations in buckets with fixed bounds. Safe to use from any thread.
 ///
-/// For latencies that an operator adds up over processes, which estimated
-/// percentiles do not allow; Boost.Accumulators' histograms choose their own
-/// bounds in each process, so they do not either.
+/// For latencies that are aggregated over processes. Estimated percentiles
+/// cannot be aggregated, nor can the histograms of Boost.Accumulators, which
+/// choose their bounds separately in each process.
 class Histogram {
  public:
-  /// Upper bounds in seconds: fine where callers' aims lie (0.1 to 1.5 s),
-  /// coarse up to their deadlines (8 s).
+  /// Upper bounds in seconds: fine in the range of callers' latency objectives
+  /// (0.1 to 1.5 s), coarse up to their deadlines (8 s).
   static constexpr std::array<double, 12> kBounds = {
       0.005, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8};
 
@@ -81,7 +81,7 @@
   void Record(double seconds);
 
   struct Snapshot {
-    /// Of values up to each bound; the last has all.
+    /// Number of values up to each bound; the last element counts all values.
     std::array<std::uint64_t, kBounds.size() + 1> cumulative{};
     double sum = 0;
   };
@@ -94,7 +94,7 @@
 
 /// Owns a process's metrics and prints them as Prometheus text.
 ///
-/// Metrics live as long as the registry; the references returned stay valid.
+/// Metrics live as long as the registry, so the returned references stay valid.
 /// Names end with their unit ("_total", "_seconds", "_bytes"). `labels` is
 /// either empty or `name="value",...`, already escaped.
 class MetricsRegistry {
--- a/src/runtime/address.h
+++ b/src/runtime/address.h
@@ -2,7 +2,7 @@
 #define INDIGOLEAD_RUNTIME_ADDRESS_H_
 
 #include <utility>
-// Asio of Boost 1.74 needs <utility> before it.
+// Asio of Boost 1.74 needs <utility> to be included first.
 #include <boost/asio/ip/tcp.hpp>
 #include <string>
 #include <string_view>
@@ -11,8 +11,8 @@
 
 namespace indigolead {
 
-/// Returns the endpoint written as "IP:port" or "[IPv6]:port". Names are
-/// refused: processes know each other by number.
+/// Parses "IP:port" or "[IPv6]:port". Host names are rejected: processes
+/// address each other by IP address.
 Result<boost::asio::ip::tcp::endpoint> ParseEndpoint(std::string_view text);
 
 /// Returns `endpoint` as "IP:port".
--- a/src/runtime/clock.cc
+++ b/src/runtime/clock.cc
@@ -26,7 +26,8 @@
 
 Id128 RandomId() {
   Id128 id;
-  // Reads of up to 256 bytes are never short once the pool is initialised.
+  // Reads of up to 256 bytes are never short once the kernel's entropy pool is
+  // initialised.
   if (getrandom(&id, sizeof(id), 0) != sizeof(id)) {
     throw std::system_error(errno, std::generic_category(), "getrandom");
   }
@@ -34,7 +35,7 @@
 }
 
 IdSource MakeRandomIdSource() {
-  // getrandom fills up to 256 bytes without ever being interrupted.
+  // 256 bytes, the most that getrandom returns without being interrupted.
   struct Stock {
     std::array<Id128, 16> ids;
     std::size_t next = 16;
--- a/src/runtime/clock.h
+++ b/src/runtime/clock.h
@@ -6,18 +6,20 @@
 
 namespace indigolead {
 
-/// Returns the time since boot, counting time spent suspended. A lease must
-/// lapse for a virtual machine that slept, which CLOCK_MONOTONIC would hide.
+/// Returns the time since boot, including time spent suspended. A lease must
+/// expire while a virtual machine is suspended; CLOCK_MONOTONIC does not count
+/// that time.
 TimePoint BootTimeNow();
 
-/// Returns calendar time in microseconds since 1970.
+/// Returns the calendar time in microseconds since 1970.
 WallMicros WallTimeNow();
 
-/// Returns 128 bits of the system's entropy.
+/// Returns 128 random bits from the operating system.
 Id128 RandomId();
 
-/// Returns a source of random ids that asks the system for many at a time, for
-/// use per request. Copies share their stock; each thread needs its own source.
+/// Returns a source of random ids that reads several at a time from the
+/// operating system, for use per request. Copies share one batch of ids without
+/// a lock, so each thread needs its own source.
 IdSource MakeRandomIdSource();
 
 }  // namespace indigolead
--- a/src/runtime/mailbox.cc
+++ b/src/runtime/mailbox.cc
@@ -28,13 +28,14 @@
 
 void Wakeup::Notify() {
   const std::uint64_t one = 1;
-  // A full counter means that a wake-up is already due, so it may be ignored.
+  // The write fails if the counter is full. A wake-up is then already pending,
+  // so the failure can be ignored.
   [[maybe_unused]] const auto n = write(fd_, &one, sizeof(one));
 }
 
 void Wakeup::Close() {
-  // Close may be called from inside `on_wake_`, when no read is pending to
-  // cancel; the flag keeps that pass from arming a new one.
+  // `Close` may be called from inside `on_wake_`, when no read is pending that
+  // could be cancelled; the flag prevents the next read from being started.
   closed_ = true;
   boost::system::error_code ec;
   descriptor_.cancel(ec);
--- a/src/runtime/mailbox.h
+++ b/src/runtime/mailbox.h
@@ -19,11 +19,11 @@
 /// Wakes one io_context from another thread, through an eventfd.
 class Wakeup {
  public:
-  /// Calls `on_wake` on `io`'s thread after each `Notify`, perhaps once for
-  /// several of them.
+  /// Calls `on_wake` on `io`'s thread after each `Notify`. Several `Notify`
+  /// calls may be merged into one.
   Wakeup(boost::asio::io_context* io, std::function<void()> on_wake);
 
-  /// Wakes the reader. Safe from any thread.
+  /// Wakes the reader. Safe to call from any thread.
   void Notify();
 
   /// Stops listening. Call on the reader's thread.
@@ -41,11 +41,10 @@
 
 }  // namespace internal
 
-/// Bounded ring from one duty's thread to another's.
+/// Bounded lock-free queue with one writer thread and one reader thread.
 ///
-/// Joins two threads without a lock: one writer, one reader. A full ring is
-/// the back-pressure signal of the whole process, so `Push` returns false
-/// instead of waiting, and the writer decides what to refuse.
+/// A full ring is the process's back-pressure signal: `Push` returns false
+/// instead of blocking, and the writer decides what to reject.
 template <typename T>
 class Mailbox {
  public:
@@ -61,23 +60,23 @@
   Mailbox(const Mailbox&) = delete;
   Mailbox& operator=(const Mailbox&) = delete;
 
-  /// Appends `message` and wakes the reader. Returns false, and leaves
-  /// `message` as it was, if the ring is full. Only the writer's thread.
+  /// Appends `message` and wakes the reader. Returns false and leaves `message`
+  /// unchanged if the ring is full. Call on the writer's thread only.
   bool Push(T&& message) {
-    // The ring's own push of one element copies; its range push moves.
+    // The ring's push of a single element copies it; its range push moves it.
     auto first = std::make_move_iterator(&message);
     if (ring_.push(first, first + 1) == first) {
       return false;
     }
-    // The exchange pairs with the one in `Drain`: either the reader sees the
-    // message in this pass, or the flag was clear and this call wakes it.
+    // Pairs with the exchange in `Drain`: either the reader sees the message in
+    // its current pass, or the flag was clear and this call wakes the reader.
     if (!signalled_.exchange(true, std::memory_order_acq_rel)) {
       wakeup_.Notify();
     }
     return true;
   }
 
-  /// Returns the number of free places, as the writer sees it.
+  /// Returns the number of messages that fit, as seen by the writer.
   std::size_t FreePlaces() const { return ring_.write_available(); }
 
   /// Stops delivery. Call on the reader's thread.
--- a/src/runtime/outbox.h
+++ b/src/runtime/outbox.h
@@ -11,22 +11,22 @@
 
 /// Writing end of a mailbox for messages that must not be dropped.
 ///
-/// Answers, credits and cancels have no sender who could be told "full"; a
-/// dropped one would leave a caller without its end. They wait here, in order,
-/// until the ring has places. What waits is bounded by what caused it: by the
-/// credit windows of the open requests.
+/// Answers, credits and cancels have no sender that could be told to back off,
+/// and dropping one would leave a caller without the end of its answer. They
+/// are queued here, in order, until the ring has room. The credit windows of
+/// the open requests bound the queue.
 template <typename T>
 class Outbox {
  public:
   explicit Outbox(Mailbox<T>* mailbox) : mailbox_(mailbox) {}
 
-  /// Appends `message`. Only the writer's thread.
+  /// Appends `message`. Call on the writer's thread only.
   void Push(T&& message) {
     waiting_.push_back(std::move(message));
     Flush();
   }
 
-  /// Moves what waits into the ring. Call often, on the writer's thread.
+  /// Moves queued messages into the ring. Call often, on the writer's thread.
   void Flush() {
     while (!waiting_.empty() && mailbox_->Push(std::move(waiting_.front()))) {
       waiting_.pop_front();
--- a/src/side/attempt_codec.cc
+++ b/src/side/attempt_codec.cc
@@ -9,7 +9,8 @@
 namespace indigolead {
 namespace {
 
-/// Longest duration taken from a message; longer ones mean "no limit".
+/// Upper bound for durations in messages; longer ones mean "no limit" and are
+/// clamped.
 constexpr std::uint64_t kMaxMicros = 24ULL * 3600 * 1000 * 1000;
 
 constexpr std::string_view kRequestIdHeader = "X-Request-Id";
@@ -64,8 +65,9 @@
                     });
 }
 
-/// Replaces the headers by which the target knows the attempt, so that a
-/// caller cannot name another's stream or raise its own priority.
+/// Replaces the headers that identify and prioritise the attempt at the target,
+/// so that a caller can neither address another caller's stream nor raise its
+/// own priority.
 void SetOwnHeaders(int priority, AttemptStart* start) {
   auto& headers = start->request.headers;
   std::erase_if(headers, [](const auto& it) {
--- a/src/side/attempt_service.cc
+++ b/src/side/attempt_service.cc
@@ -193,7 +193,7 @@
   }
   if (quarantines_.size() >= options_.max_quarantines &&
       !quarantines_.contains(notice.fingerprint())) {
-    return;  // The entries enforce it; this side is only the backstop.
+    return;  // Entries enforce quarantines; this check is only a fallback.
   }
   quarantines_[notice.fingerprint()].until =
       clock_() + std::chrono::milliseconds(notice.remaining_ms());
--- a/src/side/attempt_service.h
+++ b/src/side/attempt_service.h
@@ -19,7 +19,7 @@
 
 namespace indigolead {
 
-/// Joins the attempt table to the links and to the target's thread. Lives on
+/// Connects the attempt table to the links and to the target's thread. Runs on
 /// the dispatch thread.
 class AttemptService {
  public:
@@ -29,11 +29,13 @@
   };
   struct Hooks {
     std::function<bool(LinkId, const wire::Envelope&)> send;
-    /// Passes a command to the target's thread; false if its ring is full.
+    /// Passes a command to the target's thread; returns false if its ring is
+    /// full.
     std::function<bool(TargetCommand&&)> command;
-    /// Returns true while a change of the target lets no new attempt in.
+    /// Returns true while no new attempt may start because the target is being
+    /// changed.
     std::function<bool()> closed_for_change;
-    /// Adds what other services know to a load report.
+    /// Adds the figures of other services to a load report.
     std::function<void(wire::LoadReport*)> fill_load;
   };
 
@@ -46,10 +48,10 @@
   void OnLinkDown(LinkId link);
   void Tick(TimePoint now);
 
-  /// Takes an event of the target's thread.
+  /// Handles an event from the target's thread.
   void OnTargetEvent(TargetEvent&& event);
 
-  /// Fills the load as it is now.
+  /// Fills `load` with the target's current load.
   void FillLoadReport(wire::LoadReport* load) const;
 
   void SetLeaving(bool leaving) { table_.SetLeaving(leaving); }
@@ -88,7 +90,7 @@
   EngineState engine_;
   std::optional<EngineLoad> load_;
   std::unordered_map<std::uint64_t, Quarantine> quarantines_;
-  /// Commands that the ring had no room for; at most two for each attempt.
+  /// Commands waiting for room in the ring; at most two for each attempt.
   std::deque<TargetCommand> commands_;
   Gauge& running_gauge_;
   Gauge& buffered_gauge_;
--- a/src/side/claim_events.h
+++ b/src/side/claim_events.h
@@ -10,14 +10,15 @@
     "The number of slots that this side decides on has changed."};
 inline constexpr EventInfo kClaimHomeDegraded{
     6002, "claim-home-degraded", EventSeverity::kWarning,
-    "Keyed requests are granted from memory: the store does not answer."};
+    "Keyed requests are granted from memory because the store does not "
+    "answer."};
 inline constexpr EventInfo kClaimHomeRecovered{
     6003, "claim-home-recovered", EventSeverity::kInfo,
     "The claim journal is complete in the store again."};
 inline constexpr EventInfo kClaimGaps{
     6004, "claim-gaps", EventSeverity::kWarning,
-    "Unseen keys of some slots are answered with unknown: an earlier home may "
-    "have granted them unrecorded."};
+    "Unseen keys of some slots are answered with unknown because an earlier "
+    "home may have granted them without recording it."};
 inline constexpr EventInfo kClaimJournalUnreadable{
     6005, "claim-journal-unreadable", EventSeverity::kError,
     "A journal object cannot be decoded; its slots stay closed."};
--- a/src/side/claim_home_service.cc
+++ b/src/side/claim_home_service.cc
@@ -56,7 +56,7 @@
     case wire::Envelope::kWitnessReply: {
       const wire::WitnessReply& reply = message.witness_reply();
       if (const auto ref = ReadJournalRef(reply.ref())) {
-        // The witness is the process at the other end, whatever it says.
+        // The witness is identified by the link, not by the message.
         home_.OnWitness(
             {*ref, reply.generation(), FromWire(reply.mark()), entry->second},
             now);
@@ -97,7 +97,7 @@
   const Incarnation entry = it->second;
   entries_.erase(it);
   const auto held = links_.find(entry);
-  // A newer connection to the same process keeps its place.
+  // The process may already have a newer connection, which stays registered.
   if (held != links_.end() && held->second == link) {
     links_.erase(held);
     home_.OnEntryDown(entry, clock_());
@@ -175,7 +175,7 @@
           for (const StoredObject& it : ValueOf(result).objects) {
             auto segment = DecodeSegment(it.value);
             if (!segment) {
-              // Leaving it out would be to forget the claims in it.
+              // Skipping the segment would lose the claims in it.
               log_(kClaimJournalUnreadable, {{"key", it.key}});
               segments = Error{ErrorCode::kProtocol, "claims.read", "store",
                                "cannot decode " + it.key};
--- a/src/side/claim_home_service.h
+++ b/src/side/claim_home_service.h
@@ -15,7 +15,7 @@
 
 namespace indigolead {
 
-/// Joins the home of claims to the links and to the store. Lives on the side's
+/// Connects the claim home to the links and to the store. Runs on the side's
 /// dispatch thread, as do the store's callbacks.
 class ClaimHomeService {
  public:
@@ -41,7 +41,8 @@
   void OnLinkDown(LinkId link);
   void Tick(TimePoint now);
 
-  /// Offers the slots back: others take them over with their claims.
+  /// Announces whether this side is leaving, so that other sides take over its
+  /// slots with their claims.
   void SetLeaving(bool leaving);
 
   const ClaimHome& home() const { return home_; }
@@ -71,7 +72,7 @@
   std::size_t ready_slots_ = 0;
   std::size_t gaps_ = 0;
   bool degraded_ = false;
-  /// Callbacks of the store may come after this object is gone.
+  /// False once this object is destroyed; callbacks of the store may run later.
   std::shared_ptr<bool> alive_;
   Gauge& claims_gauge_;
   Gauge& slots_gauge_;
--- a/src/side/dispatch_service.h
+++ b/src/side/dispatch_service.h
@@ -9,8 +9,8 @@
 
 namespace indigolead {
 
-/// A further service on the side's dispatch thread, such as the home of claims.
-/// Any of the functions may be unset.
+/// An additional service on the side's dispatch thread, such as the claim home.
+/// Any of the functions may be empty.
 struct DispatchService {
   /// Returns true if the message was for this service.
   std::function<bool(LinkId, const wire::Envelope&)> handle_message;
--- a/src/side/leaving.h
+++ b/src/side/leaving.h
@@ -6,19 +6,19 @@
 
 namespace indigolead {
 
-/// Sources that can make a side leave. Each is told apart, so that one that is
-/// taken back does not undo another.
+/// Reasons for which a side leaves. They are tracked separately, so that
+/// withdrawing one does not withdraw another.
 enum class LeavingSign : std::uint8_t {
-  kStop = 1,          ///< A planned stop of this process; never taken back.
-  kInstanceList = 2,  ///< The platform's list has the instance as leaving.
-  kNotice = 4,        ///< An entry passed on an operator's drain.
-  kStore = 8,         ///< The store holds a drain of this instance.
+  kStop = 1,          ///< A planned stop of this process; never withdrawn.
+  kInstanceList = 2,  ///< The platform's list marks the instance as leaving.
+  kNotice = 4,        ///< An entry forwarded an operator's drain.
+  kStore = 8,         ///< The store has a drain record of this instance.
 };
 
-/// Keeps which signs are up.
+/// Set of the reasons that currently apply.
 class LeavingSigns {
  public:
-  /// Sets or clears `sign`; returns true if `leaving()` changed by it.
+  /// Sets or clears `sign`. Returns true if this changed `leaving()`.
   bool Set(LeavingSign sign, bool up) {
     const bool before = leaving();
     const auto bit = static_cast<std::uint8_t>(sign);
--- a/src/side/order_service.cc
+++ b/src/side/order_service.cc
@@ -63,7 +63,8 @@
 }
 
 void OrderService::Confirm(std::uint64_t ticket) {
-  // Counted from before the read is sent: a pause in between makes it old.
+  // Taken before the read is sent, so that a pause of the process in between
+  // counts towards the age of the answer.
   const TimePoint asked_at = clock_();
   hooks_.read_number(
       [this, ticket, asked_at](std::optional<FencingNumber> number) {
--- a/src/side/order_service.h
+++ b/src/side/order_service.h
@@ -14,8 +14,8 @@
 
 namespace indigolead {
 
-/// Joins the order executor to the links, the store and the target's thread.
-/// Lives on the dispatch thread.
+/// Connects the order executor to the links, the store and the target's thread.
+/// Runs on the dispatch thread.
 class OrderService {
  public:
   struct Hooks {
--- a/src/side/platform_reader.h
+++ b/src/side/platform_reader.h
@@ -12,13 +12,14 @@
 
 namespace indigolead {
 
-/// Reads the little that a side needs from the platform itself.
+/// Polls the platform for the instance list and for a drain of this instance.
 ///
-/// Sides hear of everything from entries; thousands of them reading on their
-/// own would exceed the platform's call rate. Two things are left: a side that
-/// no entry has reached must find one, and one that entries forgot must still
-/// learn that it leaves. So it reads often while it has no link, and rarely
-/// once it has. Lives on the dispatch thread, as do the store's callbacks.
+/// Sides normally learn everything from entries; if thousands of them polled
+/// the platform, they would exceed its call rate. Polling covers two cases: a
+/// side that no entry has reached must find one, and a side that entries have
+/// forgotten must still learn that it has to leave. It therefore polls often
+/// while it has no link and rarely once it has one. Runs on the dispatch
+/// thread, as do the store's callbacks.
 class PlatformReader {
  public:
   struct Options {
@@ -29,9 +30,9 @@
   };
   struct Hooks {
     std::function<void(const InstanceList&)> on_instances;
-    /// The platform's list has this instance as leaving, or not.
+    /// Called with whether the platform's list marks this instance as leaving.
     std::function<void(bool)> on_listed_leaving;
-    /// The store holds a drain of this instance, or none.
+    /// Called with whether the store has a drain record of this instance.
     std::function<void(bool)> on_drain;
   };
   using NumberCallback = std::function<void(std::optional<FencingNumber>)>;
@@ -41,8 +42,8 @@
 
   void Tick(TimePoint now, bool has_links);
 
-  /// Reads the newest fencing number: 0 if no lease was ever held, nothing if
-  /// the store could not be read.
+  /// Reads the newest fencing number. `done` gets 0 if no lease was ever held,
+  /// and `std::nullopt` if the lease could not be read.
   void ReadNumber(NumberCallback done);
 
  private:
@@ -53,7 +54,7 @@
   ObjectStore* store_;
   Hooks hooks_;
   std::optional<TimePoint> last_read_;
-  /// Callbacks of the store may come after this object is gone.
+  /// Expires with this object; callbacks of the store may run later.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/side/side_process.cc
+++ b/src/side/side_process.cc
@@ -31,10 +31,10 @@
 namespace asio = boost::asio;
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(20);
-/// How long a stopping process gives its sockets to flush the last frames.
+/// Time that a stopping process gives its sockets to flush the last frames.
 constexpr Duration kFlushTime = std::chrono::milliseconds(200);
-/// A side with links hears of everything from entries; its own reading of the
-/// platform is only the backstop.
+/// Factor by which the poll interval grows while the side has links. Entries
+/// then tell it everything, and polling the platform is only a fallback.
 constexpr int kLinkedPollFactor = 10;
 constexpr std::size_t kRingCapacity = 4096;
 constexpr std::uint32_t kProtocolVersion = 1;
@@ -326,7 +326,7 @@
     return hooks;
   }
 
-  /// The side itself needs nothing of a revision; it keeps the newest for
+  /// The side does not use revisions itself; it keeps the newest one for
   /// entries that start while the store is down.
   RevisionExchange::Hooks MakeRevisionHooks() {
     return {[this](LinkId link, const wire::Envelope& message) {
@@ -427,8 +427,8 @@
     AnnounceLeaving(cause);
   }
 
-  /// Tells the entries now: a heartbeat is due only after a silence, and until
-  /// it comes they would go on choosing this target.
+  /// Notifies the entries at once. A heartbeat is sent only after a period of
+  /// silence; until then they would keep choosing this target.
   void AnnounceLeaving(const std::string& cause) {
     wire::Envelope message;
     auto* drain = message.mutable_drain();
@@ -474,7 +474,7 @@
     exit_status_ = cut == 0 ? kExitClean : kExitCut;
     log_(kSideStopped, {{"cut", std::to_string(cut)}});
     links_.Stop("stopped");
-    // The last frames may still be in the sockets' queues.
+    // The last frames may still be queued in the sockets.
     tick_timer_.expires_after(kFlushTime);
     tick_timer_.async_wait([this](const boost::system::error_code&) {
       to_dispatch_.Close();
--- a/src/side/side_process.h
+++ b/src/side/side_process.h
@@ -12,15 +12,16 @@
 
 namespace indigolead {
 
-/// The process beside one target, and the only one that talks to it.
+/// Sidecar process of one target, and the only process that talks to it.
 ///
-/// Two threads: dispatch (links, attempts, orders) and target (HTTP), joined by
-/// bounded rings. It connects to the entries named in its settings, then to
-/// those that it chooses from the instance list, which entries pass on to it.
+/// Two threads, connected by bounded rings: dispatch (links, attempts, orders)
+/// and target (HTTP). The process connects to the entries named in its
+/// settings, then to entries that it chooses from the instance list that
+/// entries relay.
 class SideProcess {
  public:
   struct Hooks {
-    /// Told once the process accepts connections, with its link address.
+    /// Called with the link address once the process accepts connections.
     std::function<void(const std::string&)> on_ready;
   };
 
@@ -30,13 +31,13 @@
   SideProcess(const SideProcess&) = delete;
   SideProcess& operator=(const SideProcess&) = delete;
 
-  /// Runs until `RequestStop` and until the attempts running then have ended,
-  /// or the drain timeout has passed. Returns the exit status: 0 if no attempt
-  /// was cut, 1 if some were, 2 if it could not start.
+  /// Runs until `RequestStop` is called and the attempts running then have
+  /// ended or the drain timeout has passed. Returns the exit status: 0 if no
+  /// attempt was cut off, 1 if some were, 2 if the process could not start.
   int Run();
 
-  /// Starts a planned stop: no new attempts, running ones finish. Safe from
-  /// any thread; a second call has no effect.
+  /// Starts a planned stop: new attempts are refused, running ones finish. Safe
+  /// to call from any thread; a second call has no effect.
   void RequestStop();
 
  private:
--- a/src/side/suspect_service.cc
+++ b/src/side/suspect_service.cc
@@ -54,7 +54,7 @@
       }
     }
   }
-  // The attempts must hear of a quarantine and of its end, and only of those.
+  // The attempt service must see only notices that begin or end a quarantine.
   return !notice.quarantined() && notice.remaining_ms() != 0;
 }
 
--- a/src/side/suspect_service.h
+++ b/src/side/suspect_service.h
@@ -11,19 +11,20 @@
 
 namespace indigolead {
 
-/// Keeps suspects apart at this target and passes entries' notices on to the
-/// other entries. Lives on the side's dispatch thread, before the attempts.
+/// Prevents several suspect requests from running at this target at once, and
+/// relays entries' quarantine notices to the other entries. Runs on the side's
+/// dispatch thread and sees messages before the attempt service.
 class SuspectService {
  public:
   struct Hooks {
     std::function<bool(LinkId, const wire::Envelope&)> send;
-    /// Returns true until the attempt has ended.
+    /// Returns true while the attempt has not ended.
     std::function<bool(const AttemptId&)> is_running;
   };
 
   SuspectService(Hooks hooks, Clock clock);
 
-  /// Returns true if the message needs no other service: a notice about a
+  /// Returns true if no other service needs the message: a notice about a
   /// suspect, or a start that was refused here.
   bool HandleMessage(LinkId link, const wire::Envelope& message);
   void OnLinkUp(LinkId link, const wire::Hello& hello);
@@ -44,7 +45,7 @@
   Hooks hooks_;
   Clock clock_;
   SuspectGate gate_;
-  /// Newest notice about each request, for entries that connect later.
+  /// Newest notice about each fingerprint, sent to entries that connect later.
   std::map<Fingerprint, Known> known_;
   std::set<LinkId> entries_;
 };
--- a/src/side/target_messages.h
+++ b/src/side/target_messages.h
@@ -29,23 +29,24 @@
   AttemptId id;
   bool pause = false;
 };
-/// Writes an order, its first byte before `write_by` or never.
+/// Writes an order. If its first byte cannot be written before `write_by`, the
+/// order is not written at all.
 struct WriteOrderCommand {
   std::uint64_t ticket = 0;
   SideOrder order;
   TimePoint write_by;
 };
-/// Reads the target's state soon.
+/// Polls the target's state now instead of at the next interval.
 struct ReadStateCommand {};
 using TargetCommand =
     std::variant<std::monostate, StartCallCommand, CancelCallCommand,
                  PauseCallCommand, WriteOrderCommand, ReadStateCommand>;
 /// @}
 
-/// Whether the target can serve, as last seen.
+/// Whether the target can serve, as last observed.
 enum class TargetCondition { kUnknown, kUp, kDown, kChanging };
 
-/// Load figures of the target, with the time to which they apply.
+/// Load figures of the target and the time at which they were measured.
 struct EngineLoad {
   TimePoint measured_at;
   std::uint32_t running = 0;
@@ -60,7 +61,7 @@
   friend bool operator==(const EngineLoad&, const EngineLoad&) = default;
 };
 
-/// What an engine says of itself.
+/// State that an engine reports about itself.
 struct EngineState {
   std::string boot_id;
   std::string role;
@@ -93,8 +94,8 @@
 };
 struct TargetConditionEvent {
   TargetCondition state = TargetCondition::kUnknown;
-  EngineState engine;  ///< As last read; engines only.
-  TimePoint asked_at;  ///< When the target was asked, before its answer.
+  EngineState engine;  ///< Last state read; engines only.
+  TimePoint asked_at;  ///< When the request for the state was sent.
 };
 struct OrderWrittenEvent {
   std::uint64_t ticket = 0;
@@ -104,7 +105,8 @@
 struct EngineLoadEvent {
   EngineLoad load;
 };
-/// Changes of the engine's prefix cache; `gap_before` counts events lost.
+/// Changes of the engine's prefix cache. `gap_before` is the number of events
+/// lost before this one.
 struct CacheChangedEvent {
   std::uint64_t first_sequence = 0;
   std::vector<std::uint64_t> added;
--- a/src/side/target_monitor.cc
+++ b/src/side/target_monitor.cc
@@ -25,7 +25,7 @@
   return {ErrorCode::kProtocol, step, "", detail};
 }
 
-/// Returns the state in `answer`, or why there is none.
+/// Returns the state in `answer`, or the error if it has none.
 Result<EngineState> StateIn(const Result<TargetAnswer>& answer) {
   if (!IsOk(answer)) {
     return ErrorOf(answer);
@@ -148,8 +148,8 @@
 void TargetMonitor::OnStateAnswer(const Result<EngineState>& answer,
                                   TimePoint asked_at) {
   if (!IsOk(answer)) {
-    // A target that answers late may only be busy; one that cannot be reached
-    // is down.
+    // A target that does not answer in time may just be busy; only one that
+    // cannot be reached counts as down.
     if (ErrorOf(answer).code == ErrorCode::kUnavailable) {
       SetState(TargetCondition::kDown, engine_, asked_at);
     }
--- a/src/side/target_monitor.h
+++ b/src/side/target_monitor.h
@@ -16,10 +16,11 @@
 
 namespace indigolead {
 
-/// Watches the health, state and load of one target, on the target's thread.
+/// Polls the health, state and load of one target, on the target's thread.
 ///
-/// Engines are asked for `/state` and `/load`, services for `/health`; any
-/// answer of a service but 503 counts as up, as not all have that path.
+/// Engines are polled at `/state` and `/load`, services at `/health`. Any
+/// answer of a service except 503 counts as up, since not all services have
+/// that path.
 class TargetMonitor {
  public:
   struct Options {
@@ -28,9 +29,9 @@
     Duration deadline = std::chrono::milliseconds(500);
   };
 
-  /// `emit` gets a `TargetConditionEvent` and, of engines, an
-  /// `EngineLoadEvent` after every reading. `io` and `client` must outlive this
-  /// object.
+  /// Calls `emit` with a `TargetConditionEvent` after each poll that shows the
+  /// target's condition and, for engines, with an `EngineLoadEvent` after each
+  /// reading of the load. `io` and `client` must outlive this object.
   TargetMonitor(boost::asio::io_context* io, Options options,
                 TargetClient* client, Clock clock,
                 std::function<void(TargetEvent)> emit);
@@ -45,7 +46,7 @@
   /// `kUnavailable` if no connection could be made.
   void Probe(std::function<void(const Result<EngineState>&)> done);
 
-  /// Returns the state last read.
+  /// Returns the last state read.
   const EngineState& engine() const { return engine_; }
 
  private:
--- a/src/side/target_worker.cc
+++ b/src/side/target_worker.cc
@@ -15,7 +15,7 @@
 constexpr int kOrderStale = 409;
 constexpr int kOrderBusy = 423;
 
-/// Returns the id by which the engine knows the stream of this request.
+/// Returns the id that identifies the stream of this request at the engine.
 std::string StreamIdIn(const std::vector<HttpHeader>& headers) {
   for (const auto& it : headers) {
     if (it.name == kRequestIdHeader) {
@@ -149,8 +149,9 @@
 
 bool TargetWorker::BeforeWrite(const AttemptId& id, TimePoint start_by) {
   RunningCall& call = calls_.at(id);
-  // The process may have been stopped between the decision and this line.
-  // Its entry has given the attempt up by then, and may have run it elsewhere.
+  // The process may have been paused since the attempt was accepted. After
+  // `start_by` the entry has given the attempt up and may have run it
+  // elsewhere.
   if (clock_() >= start_by) {
     call.too_late = true;
     return false;
@@ -204,7 +205,7 @@
 void TargetWorker::OnBroken(BrokenCall broken) {
   if (!options_.is_engine) {
     // A plain service has no boot id to compare, and a supervisor may have
-    // restarted it within a millisecond; a broken answer counts as a death.
+    // restarted it within a millisecond, so a broken call counts as a crash.
     EndCall(broken.id, CallOutcome::kTargetDied, std::move(broken.detail));
     monitor_.PollSoon();
     return;
@@ -219,7 +220,8 @@
 
 void TargetWorker::Probe(int tries_left) {
   monitor_.Probe([this, tries_left](const Result<EngineState>& probe) {
-    // A process on its way down or up may take a connection and drop it.
+    // A process that is stopping or starting may accept a connection and then
+    // drop it.
     const bool broke =
         !IsOk(probe) && ErrorOf(probe).code == ErrorCode::kUnknownEffect;
     if (broke && tries_left > 1) {
@@ -279,8 +281,8 @@
       cleanups_.size() >= kMaxCleanups) {
     return;
   }
-  // Engines keep a stream for resumption when its connection closes, so the
-  // slot is freed only by saying so.
+  // Engines keep a stream for resumption when its connection closes, so an
+  // explicit DELETE is needed to free its slot.
   const auto number = next_cleanup_++;
   TargetRequest request;
   request.method = "DELETE";
@@ -304,7 +306,7 @@
   TargetClient::Hooks hooks;
   auto status = std::make_shared<int>(0);
   hooks.on_before_write = [this, write_by = command.write_by] {
-    // The confirmed number may have aged while this process slept.
+    // The confirmed fencing number may be outdated if the process was paused.
     return clock_() < write_by;
   };
   hooks.on_head = [status](int code, const std::vector<HttpHeader>&) {
@@ -327,7 +329,8 @@
 }
 
 void TargetWorker::Emit(TargetEvent event) {
-  // A refused event is left as it was, so it may be kept for later.
+  // `emit_` leaves an event that it does not accept unchanged, so the event can
+  // be queued.
   if (outbox_.empty() && emit_(std::move(event))) {
     return;
   }
@@ -355,7 +358,8 @@
     });
     return;
   }
-  // Reading may end calls, so the ids are gathered first.
+  // Resuming a read may end calls and change `calls_`, so the ids are collected
+  // first.
   std::vector<AttemptId> ids;
   for (const auto& [id, call] : calls_) {
     if (!call.paused_by_caller) {
--- a/src/side/target_worker.h
+++ b/src/side/target_worker.h
@@ -20,12 +20,13 @@
 
 namespace indigolead {
 
-/// Carries out calls to the target, on the target's thread.
+/// Executes calls to the target, on the target's thread.
 ///
-/// It holds the last check before a request may have run: just before the
-/// first byte it reads the clock again, since the process may have slept
-/// since the attempt was accepted. A call that breaks after that byte ends
-/// only once a probe has told whether the target's process died with it.
+/// It makes the last check before a request can take effect: just before the
+/// first byte it reads the clock again, since the process may have been paused
+/// after the attempt was accepted. If a call to an engine breaks after that
+/// byte, it ends only once a probe has determined whether the engine's process
+/// crashed.
 class TargetWorker {
  public:
   struct Options {
@@ -38,17 +39,17 @@
     Duration emit_retry_interval = std::chrono::milliseconds(1);
   };
 
-  /// `emit` returns false if the event could not be taken now; it is offered
-  /// again, and the calls' answers are not read meanwhile. `io` and `client`
+  /// `emit` returns false if it cannot accept the event yet. The event is then
+  /// retried, and no answers are read until it is accepted. `io` and `client`
   /// must outlive this object.
   TargetWorker(boost::asio::io_context* io, Options options,
                TargetClient* client, Clock clock,
                std::function<bool(TargetEvent&&)> emit, EventLog log);
   ~TargetWorker();
 
-  /// Starts to watch the target.
+  /// Starts to monitor the target.
   void Start();
-  /// Drops every call and stops watching.
+  /// Drops all calls and stops monitoring.
   void Stop();
 
   void Handle(TargetCommand&& command);
@@ -61,7 +62,7 @@
     bool written = false;
     bool too_late = false;
     bool paused_by_caller = false;
-    std::string boot_id;  ///< Of the process that the request was written to.
+    std::string boot_id;  ///< Of the engine process that got the request.
     std::string stream_id;
   };
   struct BrokenCall {
@@ -95,8 +96,8 @@
   std::vector<BrokenCall> broken_;
   bool probing_ = false;
   boost::asio::steady_timer probe_timer_;
-  /// Events that the ring had no room for. Bounded: while any waits, no call
-  /// reads, so each adds at most what its read under way delivers.
+  /// Events waiting for room in the ring. Bounded: calls do not read while an
+  /// event waits, so each adds at most the data of its read in progress.
   std::deque<TargetEvent> outbox_;
   boost::asio::steady_timer outbox_timer_;
   std::unordered_map<std::uint64_t, std::unique_ptr<TargetClient::Call>>
--- a/tests/shell/event_log_test.cc
+++ b/tests/shell/event_log_test.cc
@@ -16,7 +16,7 @@
                                "Something happened."};
 constexpr EventInfo kDetail{7998, "detail", EventSeverity::kDebug, "A detail."};
 
-/// Sends one descriptor of this process to a file while it lives.
+/// Redirects a file descriptor of this process to a file during its lifetime.
 class Redirect {
  public:
   Redirect(int fd, const std::string& path)
@@ -52,9 +52,9 @@
   std::string path_;
 };
 
-// A command's result goes to standard output and may be read by a script; a
-// log line in between would break it.
-TEST_CASE("Events go to standard error and nowhere else") {
+// A script may read a command's result from standard output; a log line in it
+// would break the script.
+TEST_CASE("The standard error log writes nothing to standard output") {
   const testing::ScratchFolder folder;
   const EventLog log = MakeStderrEventLog("test", EventSeverity::kInfo);
   Redirect out(STDOUT_FILENO, folder.Sub("out"));
--- a/tests/shell/line_writer_test.cc
+++ b/tests/shell/line_writer_test.cc
@@ -12,7 +12,7 @@
 namespace indigolead {
 namespace {
 
-/// A pipe whose reader takes what it is told to.
+/// A pipe whose reading end is read only by `ReadAll`.
 class Pipe {
  public:
   Pipe() { REQUIRE(pipe(ends_) == 0); }
@@ -45,7 +45,7 @@
   return options;
 }
 
-TEST_CASE("Lines are written in order by the time the writer is gone") {
+TEST_CASE("The destructor of the writer writes all lines in order") {
   Pipe pipe;
   {
     LineWriter writer(OptionsFor(pipe));
@@ -55,8 +55,8 @@
   CHECK(pipe.ReadAll() == "one\ntwo\n");
 }
 
-// A burst logs far more than anyone reads. The requests must not wait for the
-// log, and the log must say that it has a hole.
+// Requests must not wait for the log during a burst of log lines, and the log
+// must state how many lines are missing.
 TEST_CASE("Lines above the rate are dropped and counted") {
   Pipe pipe;
   LineWriter::Options options = OptionsFor(pipe);
@@ -74,8 +74,8 @@
                            std::string("log-lines-dropped count=7\n").size());
 }
 
-// The reader of the output has stopped. `Push` must return all the same.
-TEST_CASE("A reader that takes nothing blocks nobody") {
+// Guards against `Push` blocking when the reader of the output has stopped.
+TEST_CASE("Push does not block when the reader has stopped") {
   Pipe pipe;
   LineWriter::Options options = OptionsFor(pipe);
   options.max_waiting = 100;
@@ -94,14 +94,14 @@
   CHECK(std::chrono::steady_clock::now() - begin < std::chrono::seconds(8));
 }
 
-/// Guards against a log with a hole that nobody is told of.
-TEST_CASE("Lines that a slow reader did not take are counted") {
+// Guards against lines that are lost without being counted.
+TEST_CASE("Lines lost to a slow reader are counted as dropped") {
   Pipe pipe;
   LineWriter::Options options = OptionsFor(pipe);
   options.max_lines_per_s = 1000;
   LineWriter writer(options);
   const std::string line(999, 'x');
-  for (int n = 0; n < 200; ++n) {  // Three times what a pipe holds.
+  for (int n = 0; n < 200; ++n) {  // Three times the capacity of a pipe.
     writer.Push(line + "\n");
   }
   const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(5);
--- a/tests/shell/mailbox_test.cc
+++ b/tests/shell/mailbox_test.cc
@@ -7,10 +7,10 @@
 namespace indigolead {
 namespace {
 
-TEST_CASE("Mailbox joins two threads in order and within its bound") {
+TEST_CASE("Mailbox is bounded and keeps the order of messages") {
   boost::asio::io_context io;
 
-  SECTION("a full ring refuses instead of waiting") {
+  SECTION("Push returns false when the ring is full") {
     Mailbox<int> mailbox(&io, 2, [](int&&) {});
     CHECK(mailbox.Push(1));
     CHECK(mailbox.Push(2));
@@ -18,7 +18,7 @@
     mailbox.Close();
   }
 
-  SECTION("the reader sees every message in the order sent") {
+  SECTION("the reader receives every message in order") {
     constexpr int kMessages = 20000;
     std::vector<int> seen;
     Mailbox<int> mailbox(&io, 64, [&](int&& n) {
--- a/tests/shell/metrics_test.cc
+++ b/tests/shell/metrics_test.cc
@@ -9,19 +9,19 @@
   return text.find(part) != std::string::npos;
 }
 
-TEST_CASE("A histogram counts durations so that processes can be added up") {
+TEST_CASE("A histogram prints cumulative buckets with fixed bounds") {
   MetricsRegistry registry;
   Histogram& seconds =
       registry.AddHistogram("answer_seconds", "Time.", "service=\"app\"");
 
-  SECTION("empty, it prints every bucket") {
+  SECTION("an empty histogram prints every bucket") {
     const std::string text = registry.ToPrometheusText();
     CHECK(Contains(text, "# TYPE answer_seconds histogram\n"));
     CHECK(Contains(text,
                    "answer_seconds_bucket{service=\"app\",le=\"+Inf\"} 0\n"));
   }
-  SECTION("each bucket has all values up to its bound") {
-    seconds.Record(0.2);  // On a bound: within it.
+  SECTION("each bucket counts all values up to its bound") {
+    seconds.Record(0.2);  // Equal to a bound, so it counts in that bucket.
     seconds.Record(0.25);
     seconds.Record(100);
     seconds.Record(-1);  // A clock that was set back.
--- a/tests/shell/side_orders_test.cc
+++ b/tests/shell/side_orders_test.cc
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-/// A side with an engine, the platform and an entry, all in this process.
+/// Runs a side with an engine, a platform and an entry, all in this process.
 class OrderBench {
  public:
   explicit OrderBench(bool engine_checks_fencing) {
@@ -29,7 +29,7 @@
         "the engine up");
   }
 
-  /// Makes a new holder of the lease; its number is the object's version.
+  /// Writes a new lease and returns its fencing number, the object's version.
   FencingNumber WinLease() {
     LeaseRecord lease;
     lease.holder = "entry-1";
@@ -81,7 +81,7 @@
 const char kLongStream[] =
     R"({"model":"tarifa-llm","prompt":"x","stream":true,"max_tokens":100})";
 
-TEST_CASE("A side changes its engine's role without cutting a stream") {
+TEST_CASE("A side changes its engine's role without cutting off a stream") {
   OrderBench bench(GENERATE(true, false));
   const FencingNumber number = bench.WinLease();
   bench.Notify(number);
@@ -110,11 +110,12 @@
       "the new role");
 }
 
-// The holder of the lease is paused after it sent an order that still drains;
-// another holder wins the lease, which no entry tells the side. Whether or not
-// the engine checks numbers, the side finds the newer one right before it
-// writes, and the old order has no effect.
-TEST_CASE("A side gives an order no effect whose number is old") {
+// Guards against an outdated order taking effect. The holder of the
+// lease is paused while its order drains, another process acquires the lease,
+// and no entry tells the side. The side must read the newer fencing number
+// right before it writes the order, whether or not the engine checks fencing
+// numbers.
+TEST_CASE("A side refuses an order whose fencing number is outdated") {
   OrderBench bench(GENERATE(true, false));
   const FencingNumber number = bench.WinLease();
   bench.Notify(number);
@@ -132,9 +133,9 @@
   CHECK(bench.engine_.orders().size() == 1);
 }
 
-// The store goes away: the order waits, the target serves on. When the store
-// is back, the same order goes through.
-TEST_CASE("A side freezes its engine's role while the store is down") {
+// While the store is down, the order waits and the target keeps serving. Once
+// the store is back, the same order takes effect.
+TEST_CASE("A side keeps its engine's role while the store is down") {
   OrderBench bench(true);
   const FencingNumber number = bench.WinLease();
   bench.Notify(number);
@@ -149,7 +150,8 @@
   bench.WaitForPhase(1, wire::ORDER_IN_FORCE);
 }
 
-TEST_CASE("A side drives an engine on that crashes in its change") {
+TEST_CASE(
+    "A side completes an order after the engine crashes during the change") {
   OrderBench bench(true);
   const FencingNumber number = bench.WinLease();
   bench.Notify(number);
@@ -168,9 +170,10 @@
       "the new role");
 }
 
-// No entry tells the side anything; it finds its entry and its drain in the
-// platform alone.
-TEST_CASE("A side alone finds its entry and its drain in the platform") {
+// Without seeds and relayed notices, the side must find its entry and its own
+// drain through the platform.
+TEST_CASE(
+    "A side without links finds its entry and its drain in the platform") {
   standins::PlatformServer platform;
   standins::EngineServer engine;
   FakeEntry entry;
--- a/tests/shell/side_process_test.cc
+++ b/tests/shell/side_process_test.cc
@@ -26,7 +26,7 @@
   entry.WaitForSide();
   CHECK(entry.hello_.instance() == "bilbao-a-1");
 
-  SECTION("a stream arrives whole, and its end says so") {
+  SECTION("a stream arrives complete, with matching length and checksum") {
     const auto id = entry.Start(1, StreamOf(20));
     entry.RunUntil([&] { return entry.EndOf(id) != nullptr; }, "the end");
     const std::string body = entry.BodyOf(id);
@@ -39,7 +39,7 @@
     CHECK(end->load().started_total() == 1);
   }
 
-  SECTION("heartbeats tell the engine's state and load, with its age") {
+  SECTION("heartbeats carry the engine's state and load") {
     entry.RunUntil(
         [&] {
           return entry.heartbeat_.target().health() == wire::TARGET_UP &&
@@ -63,7 +63,7 @@
     entry.RunUntil([&] { return engine.runs().at(0).cut; }, "the cut run");
   }
 
-  SECTION("a planned stop cuts no stream and refuses what is new") {
+  SECTION("a planned stop finishes running streams and refuses new ones") {
     engine.Change([](auto* it) { it->decode_tokens_per_s = 100; });
     const auto id = entry.Start(1, StreamOf(60));
     entry.RunUntil([&] { return !entry.BodyOf(id).empty(); }, "a token");
@@ -79,7 +79,7 @@
     CHECK(engine.runs().size() == 1);
   }
 
-  SECTION("an operator's drain can be taken back") {
+  SECTION("an operator's drain can be withdrawn") {
     wire::Envelope notice;
     notice.mutable_drain()->set_instance("bilbao-a-1");
     notice.mutable_drain()->set_drain(true);
@@ -96,10 +96,10 @@
   }
 }
 
-// A request kills its engine. Everything in flight there ends with "died", so
-// that the entries can tell suspects from a call that merely broke; afterwards
-// new attempts are refused as not run until the engine is back.
-TEST_CASE("A side tells a dead engine from a broken call") {
+// When an engine crashes, every attempt in flight there must end with
+// END_TARGET_DIED, so that entries can distinguish suspects from calls that
+// only broke. New attempts are refused as not run until the engine is back.
+TEST_CASE("A side reports attempts in flight at a crashed engine as died") {
   standins::EngineServer engine;
   engine.Change([](auto* it) { it->decode_tokens_per_s = 5; });
   FakeEntry entry;
@@ -115,7 +115,7 @@
       [&] { return !entry.BodyOf(one).empty() && !entry.BodyOf(two).empty(); },
       "both streams");
 
-  SECTION("crashed and gone") {
+  SECTION("the engine stays down") {
     engine.Crash();
     entry.RunUntil([&] { return entry.EndOf(one) && entry.EndOf(two); },
                    "both ends");
@@ -139,7 +139,7 @@
     CHECK(entry.EndOf(again)->outcome() == wire::END_COMPLETE);
   }
 
-  SECTION("crashed and back before anybody looked") {
+  SECTION("the engine restarts before it is polled") {
     engine.Crash();
     engine.Restart();
     entry.RunUntil([&] { return entry.EndOf(one) && entry.EndOf(two); },
@@ -149,7 +149,7 @@
   }
 }
 
-TEST_CASE("A side of a plain service passes any call through") {
+TEST_CASE("A side relays calls to a plain service unchanged") {
   ScriptedServer service(std::vector<std::vector<ScriptStep>>{
       {{ScriptStep::Kind::kSend,
         "HTTP/1.1 201 Created\r\nX-Menu: 7\r\nContent-Length: "
--- a/tests/support/side_fixture.h
+++ b/tests/support/side_fixture.h
@@ -17,7 +17,7 @@
 
 namespace indigolead {
 
-/// Plays an entry: accepts links from sides and keeps what they say.
+/// Fake entry: accepts links from sides and records their messages.
 class FakeEntry {
  public:
   explicit FakeEntry(std::uint64_t run = 1,
@@ -61,7 +61,7 @@
 
   std::string address() const { return links_->bound_address(); }
 
-  /// Runs until `done`, or fails the test after a generous time.
+  /// Runs the event loop until `done` returns true. Fails the test after 30 s.
   void RunUntil(const std::function<bool()>& done, const char* what) {
     const auto limit =
         std::chrono::steady_clock::now() + std::chrono::seconds(30);
@@ -101,7 +101,7 @@
     return start->attempt_id();
   }
 
-  /// Returns the end of attempt `id`, or null while it has none.
+  /// Returns the end of attempt `id`, or null if none has arrived.
   const wire::ResponseEnd* EndOf(const std::string& id) const {
     for (const auto& it : messages_) {
       if (it.has_end() && it.end().attempt_id() == id) {
@@ -142,7 +142,7 @@
   std::unique_ptr<Links> links_;
 };
 
-/// Runs a side process on a thread of its own until destroyed.
+/// Runs a side process on its own thread until destroyed.
 class RunningSide {
  public:
   explicit RunningSide(const Settings& settings)
@@ -150,7 +150,7 @@
         thread_([this] { exit_status_ = process_.Run(); }) {}
   ~RunningSide() { Stop(); }
 
-  /// Stops in order and returns the exit status.
+  /// Requests a planned stop and returns the exit status.
   int Stop() {
     process_.RequestStop();
     return Join();
