--- a/src/entry/direct_dispatcher.cc
+++ b/src/entry/direct_dispatcher.cc
@@ -212,7 +212,7 @@
     log_(kRequestAbandoned,
          {{"request", request.caller_id},
           {"route", request.route},
-          {"after_ms", Milliseconds(clock_() - request.received_at)}});
+          {"after_ms", FormatMilliseconds(clock_() - request.received_at)}});
     CloseRequest(id);
   }
   flow_.OnCallerGone(id, clock_());
@@ -335,7 +335,7 @@
   const Duration avoided = guard_.RecordFailure(instance, clock_());
   if (avoided > Duration{0}) {
     log_(kTargetAvoided,
-         {{"target", instance}, {"for_ms", Milliseconds(avoided)}});
+         {{"target", instance}, {"for_ms", FormatMilliseconds(avoided)}});
   }
 }
 
@@ -358,18 +358,19 @@
     it->second.sent_at = now;
     it->second.last_target = side.instance;
   }
-  log_(kRequestPlaced, {{"request", request.caller_id},
-                        {"route", request.route},
-                        {"account", request.client_account},
-                        {"target", side.instance},
-                        {"prefill", prefill},
-                        {"work", work},
-                        {"attempt", std::to_string(number)},
-                        {"config", std::to_string(request.config_revision)},
-                        {"fingerprint", FingerprintText(request.fingerprint)},
-                        {"targets_age_ms", Milliseconds(directory_.Age(now))},
-                        {"after_ms", Milliseconds(now - request.received_at)},
-                        {"left_ms", Milliseconds(request.deadline - now)}});
+  log_(kRequestPlaced,
+       {{"request", request.caller_id},
+        {"route", request.route},
+        {"account", request.client_account},
+        {"target", side.instance},
+        {"prefill", prefill},
+        {"work", work},
+        {"attempt", std::to_string(number)},
+        {"config", std::to_string(request.config_revision)},
+        {"fingerprint", FingerprintText(request.fingerprint)},
+        {"targets_age_ms", FormatMilliseconds(directory_.Age(now))},
+        {"after_ms", FormatMilliseconds(now - request.received_at)},
+        {"left_ms", FormatMilliseconds(request.deadline - now)}});
 }
 
 void DirectDispatcher::OnAttemptEnd(const CallerRequest& request,
--- a/src/entry/direct_dispatcher_crashes.cc
+++ b/src/entry/direct_dispatcher_crashes.cc
@@ -41,7 +41,7 @@
                  "Targets of " + request.deployment +
                      " crashed while they ran this request; no other gets it "
                      "for " +
-                     Milliseconds(*left) + " ms.",
+                     FormatMilliseconds(*left) + " ms.",
                  *left};
 }
 
--- a/src/entry/direct_dispatcher_limits.cc
+++ b/src/entry/direct_dispatcher_limits.cc
@@ -72,8 +72,9 @@
   const TimePoint now = clock_();
   const std::string& key = LimitKeyOf(instance);
   if (const auto change = limits_.OnAnswer(key, notice, now)) {
-    NoteLimitChange(instance, *change,
-                    "answer-after-ms-" + Milliseconds(now - notice.sent_at));
+    NoteLimitChange(
+        instance, *change,
+        "answer-after-ms-" + FormatMilliseconds(now - notice.sent_at));
   }
   const TargetRecord* target = transport_.FindTarget(instance);
   if (target && hooks_.share_limit && limits_.ShouldShare(key, now)) {
--- a/src/entry/direct_dispatcher_log.cc
+++ b/src/entry/direct_dispatcher_log.cc
@@ -99,11 +99,12 @@
                      {"status", std::to_string(status)},
                      {"target", open.last_target},
                      {"attempts", std::to_string(open.attempts)},
-                     {"after_ms", Milliseconds(after)}};
+                     {"after_ms", FormatMilliseconds(after)}};
   if (open.first_at) {
     const Duration first = *open.first_at - open.request->received_at;
-    fields.emplace_back("first_ms", Milliseconds(first));
-    fields.emplace_back("longest_pause_ms", Milliseconds(open.longest_pause));
+    fields.emplace_back("first_ms", FormatMilliseconds(first));
+    fields.emplace_back("longest_pause_ms",
+                        FormatMilliseconds(open.longest_pause));
   }
   log_(kRequestAnswered, fields);
   CloseRequest(id);
@@ -122,16 +123,17 @@
   (refusal.run == RunState::kNotRun ? refused_ : broken_).Add();
   accounts_.OnFailed(open.request->client_account);
   refusal_seconds_.Record(Seconds(after));
-  log_(kRequestRefused, {{"request", open.request->caller_id},
-                         {"route", open.request->route},
-                         {"account", open.request->client_account},
-                         {"code", refusal.code},
-                         {"run", std::string(RunStateName(refusal.run))},
-                         {"target", open.last_target},
-                         {"attempts", std::to_string(open.attempts)},
-                         {"retry_after_ms", Milliseconds(refusal.retry_after)},
-                         {"after_ms", Milliseconds(after)},
-                         {"detail", refusal.message}});
+  log_(kRequestRefused,
+       {{"request", open.request->caller_id},
+        {"route", open.request->route},
+        {"account", open.request->client_account},
+        {"code", refusal.code},
+        {"run", std::string(RunStateName(refusal.run))},
+        {"target", open.last_target},
+        {"attempts", std::to_string(open.attempts)},
+        {"retry_after_ms", FormatMilliseconds(refusal.retry_after)},
+        {"after_ms", FormatMilliseconds(after)},
+        {"detail", refusal.message}});
   CloseRequest(id);
 }
 
@@ -142,7 +144,7 @@
 void DirectDispatcher::LogRetry(const CallerRequest& request, double arrivals,
                                 double left, bool granted) {
   const std::string list_age =
-      entries_.listed_at ? Milliseconds(clock_() - *entries_.listed_at)
+      entries_.listed_at ? FormatMilliseconds(clock_() - *entries_.listed_at)
                          : "none";
   log_(kRetryCharged,
        {{"request", request.caller_id},
--- a/src/entry/direct_dispatcher_notices.cc
+++ b/src/entry/direct_dispatcher_notices.cc
@@ -23,8 +23,8 @@
     const Duration left = rests_.OnCooldownRequested(it, length, clock_());
     log_(kTargetAskedRest, {{"target", it},
                             {"answered", instance},
-                            {"asked_ms", Milliseconds(length)},
-                            {"left_ms", Milliseconds(left)}});
+                            {"asked_ms", FormatMilliseconds(length)},
+                            {"left_ms", FormatMilliseconds(left)}});
   }
   targets_at_rest_.Set(static_cast<std::int64_t>(rests_.size()));
 }
@@ -49,7 +49,7 @@
   }
   const std::string reason = left > Duration{0}
                                  ? "the target accepts no calls for another " +
-                                       Milliseconds(left) + " ms"
+                                       FormatMilliseconds(left) + " ms"
                                  : "the target is leaving";
   calls_held_back_.Add();
   log_(kCallHeldBack, {{"target", instance}, {"reason", reason}});
--- a/src/entry/direct_dispatcher_route.cc
+++ b/src/entry/direct_dispatcher_route.cc
@@ -58,7 +58,7 @@
   log_(kRunnerChosen,
        {{"request", request.caller_id},
         {"target", decode_target.value_or("none")},
-        {"after_ms", Milliseconds(clock_() - request.received_at)}});
+        {"after_ms", FormatMilliseconds(clock_() - request.received_at)}});
   if (decode_target) {
     limits_.OnSent(LimitKeyOf(*decode_target), clock_());
   }
@@ -134,7 +134,7 @@
     return Refusal{
         503, RunState::kNotRun, "engines_busy",
         "No engine could begin the answer in time; the first would in " +
-            Milliseconds(busy->first_event) + " ms.",
+            FormatMilliseconds(busy->first_event) + " ms.",
         busy->retry_after};
   }
   if (std::holds_alternative<EnginesClosed>(decision)) {
@@ -175,7 +175,7 @@
   if (at_rest) {
     return {503, RunState::kNotRun, "targets_at_rest",
             "The targets of " + service + " want no request for " +
-                Milliseconds(wait) + " ms.",
+                FormatMilliseconds(wait) + " ms.",
             wait};
   }
   return {503, RunState::kNotRun, "targets_limited",
--- a/src/entry/roster_keeper.cc
+++ b/src/entry/roster_keeper.cc
@@ -74,7 +74,8 @@
 // among themselves, so it must stop using that share.
 void RosterKeeper::LeaveIfNotRenewed(TimePoint now) {
   if (registered_at_ && now - confirmed_at_ >= roster_.LeaveAfter()) {
-    log_(kRosterLeft, {{"renewed_ms_ago", Milliseconds(now - confirmed_at_)}});
+    log_(kRosterLeft,
+         {{"renewed_ms_ago", FormatMilliseconds(now - confirmed_at_)}});
     registered_at_.reset();
     ReportView();
   }
--- a/src/entry/target_follower.cc
+++ b/src/entry/target_follower.cc
@@ -29,7 +29,7 @@
     if (std::exchange(following_, false)) {
       log_(kStoreLost,
            {{"error", ToString(error)},
-            {"silent_ms", Milliseconds(clock_() - watcher_.heard_at())}});
+            {"silent_ms", FormatMilliseconds(clock_() - watcher_.heard_at())}});
     }
     hooks_.on_lost(watcher_.heard_at());
   };
--- a/src/observe/event_fields.h
+++ b/src/observe/event_fields.h
@@ -10,7 +10,7 @@
 
 /// Returns `length` in whole milliseconds, as the value of an event field whose
 /// name ends in "_ms".
-inline std::string Milliseconds(Duration length) {
+inline std::string FormatMilliseconds(Duration length) {
   return std::to_string(
       std::chrono::duration_cast<std::chrono::milliseconds>(length).count());
 }
--- a/src/observe/line_writer.cc
+++ b/src/observe/line_writer.cc
@@ -13,7 +13,7 @@
 
 /// Longest wait for a reader that accepts no data; after it, the remaining text
 /// is dropped.
-constexpr int kReaderWaitMs = 1000;
+constexpr int kWriteTimeoutMs = 1000;
 
 }  // namespace
 
@@ -39,12 +39,12 @@
     lines_this_second_ = 0;
   }
   if (lines_this_second_ >= options_.max_lines_per_s ||
-      waiting_.size() >= options_.max_waiting) {
+      buffer_.size() >= options_.max_buffered_lines) {
     ++dropped_;
     return;
   }
   ++lines_this_second_;
-  waiting_.push_back(std::move(line));
+  buffer_.push_back(std::move(line));
 }
 
 std::uint64_t LineWriter::dropped() const {
@@ -61,24 +61,24 @@
                                  [this] { return stopping_; });
       stopping = stopping_;
     }
-    const std::string text = TakeWaiting();
-    CountDropped(text, WriteSome(text));
+    const std::string text = TakeBufferedText();
+    CountDropped(text, WriteText(text));
     if (stopping) {
       return;
     }
   }
 }
 
-std::string LineWriter::TakeWaiting() {
+std::string LineWriter::TakeBufferedText() {
   std::vector<std::string> lines;
   std::string text;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    lines.swap(waiting_);
-    if (dropped_ > dropped_told_) {
+    lines.swap(buffer_);
+    if (dropped_ > reported_dropped_) {
       text = "log-lines-dropped count=" +
-             std::to_string(dropped_ - dropped_told_) + "\n";
-      dropped_told_ = dropped_;
+             std::to_string(dropped_ - reported_dropped_) + "\n";
+      reported_dropped_ = dropped_;
     }
   }
   for (const std::string& it : lines) {
@@ -94,18 +94,19 @@
   dropped_ += static_cast<std::uint64_t>(n);
 }
 
-std::size_t LineWriter::WriteSome(const std::string& text) {
+std::size_t LineWriter::WriteText(const std::string& text) {
   std::size_t written = 0;
   while (written < text.size()) {
     pollfd ready{options_.descriptor, POLLOUT, 0};
-    if (poll(&ready, 1, kReaderWaitMs) <= 0) {
+    if (poll(&ready, 1, kWriteTimeoutMs) <= 0) {
       return written;
     }
     // A pipe that polls as writable has room for PIPE_BUF bytes; a longer write
     // could block until the reader catches up.
-    const std::size_t most =
+    const std::size_t chunk_size =
         std::min<std::size_t>(text.size() - written, PIPE_BUF);
-    const auto n = write(options_.descriptor, text.data() + written, most);
+    const auto n =
+        write(options_.descriptor, text.data() + written, chunk_size);
     if (n < 0 && errno != EINTR && errno != EAGAIN) {
       return written;
     }
--- a/src/observe/line_writer.h
+++ b/src/observe/line_writer.h
@@ -23,7 +23,7 @@
   struct Options {
     int descriptor = 1;
     /// Capacity of the buffer in lines; several seconds at the maximum rate.
-    std::size_t max_waiting = 4096;
+    std::size_t max_buffered_lines = 4096;
     /// Above the busiest second observed (four lines for each of 100 requests)
     /// and far below the rate at which formatting takes a fifth of a core.
     std::uint32_t max_lines_per_s = 600;
@@ -46,17 +46,17 @@
 
  private:
   void Run();
-  std::string TakeWaiting();
+  std::string TakeBufferedText();
   /// Returns the number of bytes written.
-  std::size_t WriteSome(const std::string& text);
+  std::size_t WriteText(const std::string& text);
   void CountDropped(const std::string& text, std::size_t written);
 
   Options options_;
   mutable std::mutex mutex_;
   std::condition_variable stopping_changed_;
-  std::vector<std::string> waiting_;
+  std::vector<std::string> buffer_;
   std::uint64_t dropped_ = 0;
-  std::uint64_t dropped_told_ = 0;
+  std::uint64_t reported_dropped_ = 0;
   std::uint32_t lines_this_second_ = 0;
   std::chrono::steady_clock::time_point second_start_;
   bool stopping_ = false;
--- a/src/observe/metrics.cc
+++ b/src/observe/metrics.cc
@@ -50,12 +50,13 @@
 }
 
 // Prints the HELP and TYPE lines once for consecutive metrics of the same name.
-void PrintHeader(std::ostream& os, std::string* last, const std::string& name,
-                 const std::string& help, std::string_view type) {
-  if (*last == name) {
+void PrintHeader(std::ostream& os, std::string* last_name,
+                 const std::string& name, const std::string& help,
+                 std::string_view type) {
+  if (*last_name == name) {
     return;
   }
-  *last = name;
+  *last_name = name;
   os << "# HELP " << name << " " << help << "\n";
   os << "# TYPE " << name << " " << type << "\n";
 }
@@ -101,10 +102,10 @@
 
 Histogram::Snapshot Histogram::snapshot() const {
   Snapshot snapshot;
-  std::uint64_t so_far = 0;
+  std::uint64_t cumulative_count = 0;
   for (std::size_t n = 0; n < counts_.size(); ++n) {
-    so_far += counts_[n].load(std::memory_order_relaxed);
-    snapshot.cumulative[n] = so_far;
+    cumulative_count += counts_[n].load(std::memory_order_relaxed);
+    snapshot.cumulative[n] = cumulative_count;
   }
   snapshot.sum =
       static_cast<double>(sum_microseconds_.load(std::memory_order_relaxed)) /
@@ -147,19 +148,19 @@
 std::string MetricsRegistry::ToPrometheusText() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::ostringstream os;
-  std::string last;
+  std::string last_name;
   for (const auto& it : counters_) {
-    PrintHeader(os, &last, it.name, it.help, "counter");
+    PrintHeader(os, &last_name, it.name, it.help, "counter");
     PrintSample(os, it.name, it.labels, "",
                 static_cast<double>(it.metric.value()));
   }
   for (const auto& it : gauges_) {
-    PrintHeader(os, &last, it.name, it.help, "gauge");
+    PrintHeader(os, &last_name, it.name, it.help, "gauge");
     PrintSample(os, it.name, it.labels, "",
                 static_cast<double>(it.metric.value()));
   }
   for (const auto& it : summaries_) {
-    PrintHeader(os, &last, it.name, it.help, "summary");
+    PrintHeader(os, &last_name, it.name, it.help, "summary");
     const Summary::Snapshot snapshot = it.metric.snapshot();
     PrintSample(os, it.name, it.labels, "quantile=\"0.5\"", snapshot.p50);
     PrintSample(os, it.name, it.labels, "quantile=\"0.95\"", snapshot.p95);
@@ -169,7 +170,7 @@
                 static_cast<double>(snapshot.count));
   }
   for (const auto& it : histograms_) {
-    PrintHeader(os, &last, it.name, it.help, "histogram");
+    PrintHeader(os, &last_name, it.name, it.help, "histogram");
     PrintHistogram(os, it.name, it.labels, it.metric.snapshot());
   }
   return os.str();
--- a/src/runtime/clock.cc
+++ b/src/runtime/clock.cc
@@ -36,19 +36,19 @@
 
 IdSource MakeRandomIdSource() {
   // 256 bytes, the most that getrandom returns without being interrupted.
-  struct Stock {
+  struct Batch {
     std::array<Id128, 16> ids;
     std::size_t next = 16;
   };
-  return [stock = std::make_shared<Stock>()] {
-    if (stock->next == stock->ids.size()) {
-      constexpr auto kBytes = sizeof(stock->ids);
-      if (getrandom(stock->ids.data(), kBytes, 0) != kBytes) {
+  return [batch = std::make_shared<Batch>()] {
+    if (batch->next == batch->ids.size()) {
+      constexpr auto kBytes = sizeof(batch->ids);
+      if (getrandom(batch->ids.data(), kBytes, 0) != kBytes) {
         throw std::system_error(errno, std::generic_category(), "getrandom");
       }
-      stock->next = 0;
+      batch->next = 0;
     }
-    return stock->ids[stock->next++];
+    return batch->ids[batch->next++];
   };
 }
 
--- a/src/runtime/mailbox.cc
+++ b/src/runtime/mailbox.cc
@@ -23,7 +23,7 @@
     : descriptor_(*io, OpenEventFd()),
       fd_(descriptor_.native_handle()),
       on_wake_(std::move(on_wake)) {
-  Arm();
+  StartRead();
 }
 
 void Wakeup::Notify() {
@@ -41,7 +41,7 @@
   descriptor_.cancel(ec);
 }
 
-void Wakeup::Arm() {
+void Wakeup::StartRead() {
   descriptor_.async_read_some(
       boost::asio::buffer(&count_, sizeof(count_)),
       [this](const boost::system::error_code& ec, std::size_t) {
@@ -50,7 +50,7 @@
         }
         on_wake_();
         if (!closed_) {
-          Arm();
+          StartRead();
         }
       });
 }
--- a/src/runtime/mailbox.h
+++ b/src/runtime/mailbox.h
@@ -30,7 +30,7 @@
   void Close();
 
  private:
-  void Arm();
+  void StartRead();
 
   boost::asio::posix::stream_descriptor descriptor_;
   int fd_;
@@ -77,7 +77,7 @@
   }
 
   /// Returns the number of messages that fit, as seen by the writer.
-  std::size_t FreePlaces() const { return ring_.write_available(); }
+  std::size_t FreeCapacity() const { return ring_.write_available(); }
 
   /// Stops delivery. Call on the reader's thread.
   void Close() { wakeup_.Close(); }
--- a/src/side/attempt_codec.cc
+++ b/src/side/attempt_codec.cc
@@ -68,7 +68,7 @@
 /// Replaces the headers that identify and prioritise the attempt at the target,
 /// so that a caller can neither address another caller's stream nor raise its
 /// own priority.
-void SetOwnHeaders(int priority, AttemptStart* start) {
+void SetTargetHeaders(int priority, AttemptStart* start) {
   auto& headers = start->request.headers;
   std::erase_if(headers, [](const auto& it) {
     return EqualsIgnoringCase(it.first, kRequestIdHeader) ||
@@ -110,7 +110,7 @@
     start.request.headers.emplace_back(std::move(*it.mutable_name()),
                                        std::move(*it.mutable_value()));
   }
-  SetOwnHeaders(message.priority(), &start);
+  SetTargetHeaders(message.priority(), &start);
   return start;
 }
 
--- a/src/side/attempt_service.cc
+++ b/src/side/attempt_service.cc
@@ -54,10 +54,10 @@
                StartCallCommand{id, std::move(request), start_by, finish_by});
   };
   hooks.cancel_call = [this](const AttemptId& id) {
-    Command(CancelCallCommand{id});
+    SendCommand(CancelCallCommand{id});
   };
   hooks.pause_call = [this](const AttemptId& id, bool pause) {
-    Command(PauseCallCommand{id, pause});
+    SendCommand(PauseCallCommand{id, pause});
   };
   hooks.check = [this](const AttemptStart& start) { return Check(start); };
   return hooks;
@@ -69,7 +69,7 @@
       clock_() < it->second.until) {
     return RefusalReason::kQuarantined;
   }
-  if (target_state_ == TargetCondition::kDown) {
+  if (target_condition_ == TargetCondition::kDown) {
     return RefusalReason::kTargetDown;
   }
   if (hooks_.closed_for_change && hooks_.closed_for_change()) {
@@ -88,7 +88,7 @@
   return hooks_.send(LinkId{link}, message);
 }
 
-void AttemptService::Command(TargetCommand command) {
+void AttemptService::SendCommand(TargetCommand command) {
   commands_.push_back(std::move(command));
   FlushCommands();
 }
@@ -127,7 +127,7 @@
 void AttemptService::HandleStart(LinkId link, wire::StartAttempt&& message) {
   auto start = ToAttemptStart(std::move(message));
   if (!start) {
-    Malformed("start");
+    LogMalformed("start");
     return;
   }
   table_.OnStart(link.value, std::move(*start), clock_());
@@ -137,7 +137,7 @@
                                      const wire::BodyChunk& message) {
   const auto id = Id128FromBytes(message.attempt_id());
   if (!id) {
-    Malformed("body-chunk");
+    LogMalformed("body-chunk");
     return;
   }
   table_.OnBodyChunk(link.value, AttemptId{*id}, message.sequence(),
@@ -147,7 +147,7 @@
 void AttemptService::HandleCredit(const wire::Credit& message) {
   const auto id = Id128FromBytes(message.attempt_id());
   if (!id) {
-    Malformed("credit");
+    LogMalformed("credit");
     return;
   }
   table_.OnCredit(AttemptId{*id}, message.bytes());
@@ -157,7 +157,7 @@
                                   const wire::CancelAttempt& message) {
   const auto query = ToAttemptQuery(message);
   if (!query) {
-    Malformed("cancel");
+    LogMalformed("cancel");
     return;
   }
   table_.OnCancel(link.value, *query, clock_());
@@ -167,14 +167,14 @@
                                   const wire::ResumeAttempt& message) {
   const auto query = ToAttemptQuery(message);
   if (!query) {
-    Malformed("resume");
+    LogMalformed("resume");
     return;
   }
   table_.OnResume(link.value, *query, message.next_sequence(),
                   message.granted_bytes(), clock_());
 }
 
-void AttemptService::Malformed(const char* kind) {
+void AttemptService::LogMalformed(const char* kind) {
   log_(kSideProtocolError, {{"message", kind}, {"fault", "bad attempt id"}});
 }
 
@@ -212,26 +212,26 @@
         } else if constexpr (std::is_same_v<T, EngineLoadEvent>) {
           load_ = it.load;
         } else if constexpr (std::is_same_v<T, TargetConditionEvent>) {
-          OnTargetState(it);
+          OnTargetCondition(it);
         }
       },
       std::move(event));
 }
 
-void AttemptService::OnTargetState(const TargetConditionEvent& event) {
+void AttemptService::OnTargetCondition(const TargetConditionEvent& event) {
   const bool restarted =
       !engine_.boot_id.empty() && event.engine.boot_id != engine_.boot_id;
   if (restarted) {
     log_(kTargetRestarted, {{"boot_id", event.engine.boot_id}});
     load_.reset();
   }
-  if (event.state != target_state_) {
+  if (event.state != target_condition_) {
     static constexpr const char* kNames[] = {"unknown", "up", "down",
                                              "changing"};
     log_(kTargetHealthChanged,
          {{"state", kNames[static_cast<int>(event.state)]}});
   }
-  target_state_ = event.state;
+  target_condition_ = event.state;
   engine_ = event.engine;
 }
 
@@ -254,11 +254,11 @@
   running_gauge_.Set(static_cast<std::int64_t>(table_.running()));
   buffered_gauge_.Set(static_cast<std::int64_t>(table_.buffered_bytes()));
   const auto& counts = table_.counts();
-  started_counter_.Add(counts.started - exported_.started);
-  refused_counter_.Add(counts.refused - exported_.refused);
-  foreign_counter_.Add(counts.unexpected - exported_.unexpected);
-  resumed_counter_.Add(counts.resumed - exported_.resumed);
-  exported_ = counts;
+  started_counter_.Add(counts.started - exported_counts_.started);
+  refused_counter_.Add(counts.refused - exported_counts_.refused);
+  foreign_counter_.Add(counts.unexpected - exported_counts_.unexpected);
+  resumed_counter_.Add(counts.resumed - exported_counts_.resumed);
+  exported_counts_ = counts;
 }
 
 }  // namespace indigolead
--- a/src/side/attempt_service.h
+++ b/src/side/attempt_service.h
@@ -57,7 +57,7 @@
   void SetLeaving(bool leaving) { table_.SetLeaving(leaving); }
   bool Idle() const { return table_.Idle() && commands_.empty(); }
   std::size_t running() const { return table_.running(); }
-  TargetCondition target_state() const { return target_state_; }
+  TargetCondition target_condition() const { return target_condition_; }
   bool IsRunning(const AttemptId& id) const { return table_.IsRunning(id); }
   const EngineState& engine() const { return engine_; }
 
@@ -70,23 +70,23 @@
   RefusalReason Check(const AttemptStart& start) const;
   bool SendFrame(LinkNumber link, const AttemptId& id,
                  const AttemptFrame& frame);
-  void Command(TargetCommand command);
+  void SendCommand(TargetCommand command);
   void FlushCommands();
-  void OnTargetState(const TargetConditionEvent& event);
+  void OnTargetCondition(const TargetConditionEvent& event);
   void OnQuarantine(const wire::QuarantineNotice& notice);
   void HandleStart(LinkId link, wire::StartAttempt&& message);
   void HandleBodyChunk(LinkId link, const wire::BodyChunk& message);
   void HandleCredit(const wire::Credit& message);
   void HandleCancel(LinkId link, const wire::CancelAttempt& message);
   void HandleResume(LinkId link, const wire::ResumeAttempt& message);
-  void Malformed(const char* kind);
+  void LogMalformed(const char* kind);
 
   Options options_;
   Hooks hooks_;
   Clock clock_;
   EventLog log_;
   AttemptTable table_;
-  TargetCondition target_state_ = TargetCondition::kUnknown;
+  TargetCondition target_condition_ = TargetCondition::kUnknown;
   EngineState engine_;
   std::optional<EngineLoad> load_;
   std::unordered_map<std::uint64_t, Quarantine> quarantines_;
@@ -98,7 +98,7 @@
   Counter& refused_counter_;
   Counter& foreign_counter_;
   Counter& resumed_counter_;
-  AttemptTable::Counts exported_;
+  AttemptTable::Counts exported_counts_;
 };
 
 }  // namespace indigolead
--- a/src/side/claim_home_service.cc
+++ b/src/side/claim_home_service.cc
@@ -23,7 +23,7 @@
                                       "Idempotency keys remembered here.")),
       slots_gauge_(metrics->AddGauge("indigolead_claim_slots",
                                      "Slots that this side decides on.")),
-      gaps_gauge_(metrics->AddGauge(
+      incomplete_slots_gauge_(metrics->AddGauge(
           "indigolead_claim_slots_incomplete",
           "Slots whose unseen keys are answered with unknown.")),
       degraded_gauge_(
@@ -73,7 +73,7 @@
     default:
       return false;
   }
-  Act();
+  ExecuteActions();
   return true;
 }
 
@@ -96,28 +96,28 @@
   }
   const Incarnation entry = it->second;
   entries_.erase(it);
-  const auto held = links_.find(entry);
+  const auto current = links_.find(entry);
   // The process may already have a newer connection, which stays registered.
-  if (held != links_.end() && held->second == link) {
-    links_.erase(held);
+  if (current != links_.end() && current->second == link) {
+    links_.erase(current);
     home_.OnEntryDown(entry, clock_());
-    Act();
+    ExecuteActions();
   }
 }
 
 void ClaimHomeService::Tick(TimePoint now) {
   home_.Tick(now);
-  Act();
+  ExecuteActions();
   SendStateIfChanged(now);
-  Observe();
+  ReportStatus();
 }
 
 void ClaimHomeService::SetLeaving(bool leaving) {
   leaving_ = leaving;
-  next_state_ = TimePoint{};
+  next_state_report_ = TimePoint{};
 }
 
-void ClaimHomeService::Act() {
+void ClaimHomeService::ExecuteActions() {
   for (HomeAction& action : home_.TakeActions()) {
     if (const auto* write = std::get_if<WriteSegment>(&action)) {
       Write(*write);
@@ -126,7 +126,7 @@
     } else if (const auto* segment = std::get_if<DeleteSegment>(&action)) {
       Delete(*segment);
     } else if (const auto* ask = std::get_if<AskWitnesses>(&action)) {
-      Ask(*ask);
+      SendWitnessAsk(*ask);
     } else if (const auto* decision = std::get_if<SendDecision>(&action)) {
       const auto link = links_.find(decision->entry);
       if (link != links_.end()) {
@@ -154,7 +154,7 @@
               [this, ref, alive = alive_](Result<std::uint64_t> result) {
                 if (*alive) {
                   home_.OnWritten(ref, result, clock_());
-                  Act();
+                  ExecuteActions();
                 }
               });
 }
@@ -185,7 +185,7 @@
           }
         }
         home_.OnRead(ref, segments, clock_());
-        Act();
+        ExecuteActions();
       });
 }
 
@@ -195,12 +195,12 @@
                  [](const Result<Unit>&) {});
 }
 
-void ClaimHomeService::Ask(const AskWitnesses& ask) {
+void ClaimHomeService::SendWitnessAsk(const AskWitnesses& ask) {
   wire::Envelope out;
-  wire::WitnessAsk* question = out.mutable_witness_ask();
-  FillJournalRef(ask.ref, question->mutable_ref());
-  question->set_generation(ask.generation);
-  question->set_mark(ToWire(ask.mark));
+  wire::WitnessAsk* witness_ask = out.mutable_witness_ask();
+  FillJournalRef(ask.ref, witness_ask->mutable_ref());
+  witness_ask->set_generation(ask.generation);
+  witness_ask->set_mark(ToWire(ask.mark));
   for (const Incarnation& it : ask.witnesses) {
     const auto link = links_.find(it);
     if (link != links_.end()) {
@@ -221,38 +221,38 @@
 }
 
 void ClaimHomeService::SendStateIfChanged(TimePoint now) {
-  const bool changed =
-      told_ref_ != home_.ref() || told_absorbed_ != home_.absorbed_epoch();
-  if (!changed && now < next_state_) {
+  const bool changed = sent_ref_ != home_.ref() ||
+                       sent_absorbed_epoch_ != home_.absorbed_epoch();
+  if (!changed && now < next_state_report_) {
     return;
   }
-  next_state_ = now + options_.state_interval;
-  told_ref_ = home_.ref();
-  told_absorbed_ = home_.absorbed_epoch();
+  next_state_report_ = now + options_.state_interval;
+  sent_ref_ = home_.ref();
+  sent_absorbed_epoch_ = home_.absorbed_epoch();
   for (const auto& [link, entry] : entries_) {
     SendState(link);
   }
 }
 
-void ClaimHomeService::Observe() {
+void ClaimHomeService::ReportStatus() {
   const std::size_t ready = home_.ready_slots();
-  const std::size_t gaps = home_.incomplete_slots();
+  const std::size_t incomplete = home_.incomplete_slots();
   if (ready != ready_slots_) {
     log_(kClaimHomeChanged, {{"slots", std::to_string(ready)},
                              {"epoch", std::to_string(home_.epoch())}});
   }
-  if (gaps > gaps_) {
-    log_(kClaimGaps, {{"slots", std::to_string(gaps)}});
+  if (incomplete > incomplete_slots_) {
+    log_(kClaimGaps, {{"slots", std::to_string(incomplete)}});
   }
   if (home_.degraded() != degraded_) {
     log_(home_.degraded() ? kClaimHomeDegraded : kClaimHomeRecovered, {});
   }
   ready_slots_ = ready;
-  gaps_ = gaps;
+  incomplete_slots_ = incomplete;
   degraded_ = home_.degraded();
   claims_gauge_.Set(static_cast<std::int64_t>(home_.claims()));
   slots_gauge_.Set(static_cast<std::int64_t>(ready));
-  gaps_gauge_.Set(static_cast<std::int64_t>(gaps));
+  incomplete_slots_gauge_.Set(static_cast<std::int64_t>(incomplete));
   degraded_gauge_.Set(degraded_ ? 1 : 0);
   writes_gauge_.Set(static_cast<std::int64_t>(home_.journal_writes()));
 }
--- a/src/side/claim_home_service.h
+++ b/src/side/claim_home_service.h
@@ -48,14 +48,14 @@
   const ClaimHome& home() const { return home_; }
 
  private:
-  void Act();
+  void ExecuteActions();
   void Write(const WriteSegment& write);
   void Read(const ReadJournal& read);
   void Delete(const DeleteSegment& segment);
-  void Ask(const AskWitnesses& ask);
+  void SendWitnessAsk(const AskWitnesses& ask);
   void SendState(LinkId link);
   void SendStateIfChanged(TimePoint now);
-  void Observe();
+  void ReportStatus();
 
   Options options_;
   ObjectStore* store_;
@@ -66,17 +66,17 @@
   std::map<LinkId, Incarnation> entries_;
   std::map<Incarnation, LinkId> links_;
   bool leaving_ = false;
-  TimePoint next_state_;
-  JournalRef told_ref_;
-  std::uint64_t told_absorbed_ = 0;
+  TimePoint next_state_report_;
+  JournalRef sent_ref_;
+  std::uint64_t sent_absorbed_epoch_ = 0;
   std::size_t ready_slots_ = 0;
-  std::size_t gaps_ = 0;
+  std::size_t incomplete_slots_ = 0;
   bool degraded_ = false;
   /// False once this object is destroyed; callbacks of the store may run later.
   std::shared_ptr<bool> alive_;
   Gauge& claims_gauge_;
   Gauge& slots_gauge_;
-  Gauge& gaps_gauge_;
+  Gauge& incomplete_slots_gauge_;
   Gauge& degraded_gauge_;
   Gauge& writes_gauge_;
 };
--- a/src/side/order_service.cc
+++ b/src/side/order_service.cc
@@ -66,7 +66,7 @@
   // Taken before the read is sent, so that a pause of the process in between
   // counts towards the age of the answer.
   const TimePoint asked_at = clock_();
-  hooks_.read_number(
+  hooks_.read_fencing_number(
       [this, ticket, asked_at](std::optional<FencingNumber> number) {
         executor_.OnConfirmed(ticket, number, asked_at, clock_());
       });
@@ -109,7 +109,7 @@
 
 void OrderService::Tick(TimePoint now) { executor_.Tick(now); }
 
-void OrderService::OnEngine(const TargetConditionEvent& event) {
+void OrderService::OnTargetCondition(const TargetConditionEvent& event) {
   EngineReading reading;
   reading.boot_id = event.engine.boot_id;
   reading.setup = {event.engine.role, event.engine.model, event.engine.version,
--- a/src/side/order_service.h
+++ b/src/side/order_service.h
@@ -24,7 +24,7 @@
     std::function<std::size_t()> running;
     /// Reads the newest fencing number from the store.
     std::function<void(std::function<void(std::optional<FencingNumber>)>)>
-        read_number;
+        read_fencing_number;
   };
 
   OrderService(std::string instance, OrderExecutor::Options options,
@@ -36,7 +36,7 @@
   void OnLinkDown(LinkId link);
   void Tick(TimePoint now);
 
-  void OnEngine(const TargetConditionEvent& event);
+  void OnTargetCondition(const TargetConditionEvent& event);
   void OnWritten(const OrderWrittenEvent& event);
 
   const OrderExecutor& executor() const { return executor_; }
--- a/src/side/platform_reader.cc
+++ b/src/side/platform_reader.cc
@@ -16,8 +16,8 @@
     : options_(std::move(options)), store_(store), hooks_(std::move(hooks)) {}
 
 void PlatformReader::Tick(TimePoint now, bool has_links) {
-  const Duration interval =
-      has_links ? options_.interval_linked : options_.interval_alone;
+  const Duration interval = has_links ? options_.interval_with_links
+                                      : options_.interval_without_links;
   if (last_read_ && now - *last_read_ < interval) {
     return;
   }
@@ -35,7 +35,7 @@
     hooks_.on_instances(ValueOf(answer));
     for (const auto& it : ValueOf(answer).instances) {
       if (it.name == options_.instance) {
-        hooks_.on_listed_leaving(it.state == InstanceState::kLeaving);
+        hooks_.on_instance_leaving(it.state == InstanceState::kLeaving);
       }
     }
   });
@@ -51,7 +51,7 @@
               });
 }
 
-void PlatformReader::ReadNumber(NumberCallback done) {
+void PlatformReader::ReadFencingNumber(FencingNumberCallback done) {
   CallOptions call = options_.call;
   call.priority = CallPriority::kOrder;
   store_->Get(kLeaseKey, call,
--- a/src/side/platform_reader.h
+++ b/src/side/platform_reader.h
@@ -24,18 +24,19 @@
  public:
   struct Options {
     std::string instance;
-    Duration interval_alone = std::chrono::seconds(1);
-    Duration interval_linked = std::chrono::seconds(10);
+    Duration interval_without_links = std::chrono::seconds(1);
+    Duration interval_with_links = std::chrono::seconds(10);
     CallOptions call;
   };
   struct Hooks {
     std::function<void(const InstanceList&)> on_instances;
     /// Called with whether the platform's list marks this instance as leaving.
-    std::function<void(bool)> on_listed_leaving;
+    std::function<void(bool)> on_instance_leaving;
     /// Called with whether the store has a drain record of this instance.
     std::function<void(bool)> on_drain;
   };
-  using NumberCallback = std::function<void(std::optional<FencingNumber>)>;
+  using FencingNumberCallback =
+      std::function<void(std::optional<FencingNumber>)>;
 
   /// `store` must outlive this object.
   PlatformReader(Options options, ObjectStore* store, Hooks hooks);
@@ -44,7 +45,7 @@
 
   /// Reads the newest fencing number. `done` gets 0 if no lease was ever held,
   /// and `std::nullopt` if the lease could not be read.
-  void ReadNumber(NumberCallback done);
+  void ReadFencingNumber(FencingNumberCallback done);
 
  private:
   void ReadInstances();
--- a/src/side/side_process.cc
+++ b/src/side/side_process.cc
@@ -14,7 +14,7 @@
 #include "side/claim_home_service.h"
 #include "side/dispatch_service.h"
 #include "side/events.h"
-#include "side/leaving.h"
+#include "side/leave_reasons.h"
 #include "side/order_service.h"
 #include "side/platform_reader.h"
 #include "side/suspect_service.h"
@@ -39,7 +39,7 @@
 constexpr std::size_t kRingCapacity = 4096;
 constexpr std::uint32_t kProtocolVersion = 1;
 constexpr int kExitClean = 0;
-constexpr int kExitCut = 1;
+constexpr int kExitAttemptsCut = 1;
 constexpr int kExitNotStarted = 2;
 
 bool IsEngine(const Settings& settings) {
@@ -89,8 +89,8 @@
 PlatformReader::Options MakeReaderOptions(const Settings& settings) {
   PlatformReader::Options options;
   options.instance = settings.instance.name;
-  options.interval_alone = settings.store.instance_poll_interval;
-  options.interval_linked =
+  options.interval_without_links = settings.store.instance_poll_interval;
+  options.interval_with_links =
       kLinkedPollFactor * settings.store.instance_poll_interval;
   options.call.deadline = settings.store.call_deadline;
   return options;
@@ -186,7 +186,7 @@
       worker_.Start();
       target_io_.run();
     });
-    ArmTick();
+    ScheduleTick();
     dispatch_io_.run();
     asio::post(target_io_, [this] {
       worker_.Stop();
@@ -198,7 +198,7 @@
 
   void RequestStop() {
     asio::post(dispatch_io_,
-               [this] { SetSign(LeavingSign::kStop, true, "stop"); });
+               [this] { SetLeaveReason(LeaveReason::kStop, true, "stop"); });
   }
 
  private:
@@ -236,9 +236,10 @@
       return to_target_.Push(std::move(command));
     };
     hooks.running = [this] { return attempts_.running(); };
-    hooks.read_number = [this](PlatformReader::NumberCallback done) {
-      platform_.ReadNumber(std::move(done));
-    };
+    hooks.read_fencing_number =
+        [this](PlatformReader::FencingNumberCallback done) {
+          platform_.ReadFencingNumber(std::move(done));
+        };
     return hooks;
   }
 
@@ -247,11 +248,11 @@
     hooks.on_instances = [this](const InstanceList& it) {
       membership_.OnInstances(it);
     };
-    hooks.on_listed_leaving = [this](bool leaving) {
-      SetSign(LeavingSign::kInstanceList, leaving, "instance list");
+    hooks.on_instance_leaving = [this](bool leaving) {
+      SetLeaveReason(LeaveReason::kInstanceList, leaving, "instance list");
     };
     hooks.on_drain = [this](bool drained) {
-      SetSign(LeavingSign::kStore, drained, "drain in the store");
+      SetLeaveReason(LeaveReason::kStore, drained, "drain in the store");
     };
     return hooks;
   }
@@ -263,7 +264,7 @@
     }
     if (const auto* condition = std::get_if<TargetConditionEvent>(&event)) {
       attempts_.OnTargetEvent(TargetConditionEvent(*condition));
-      orders_.OnEngine(*condition);
+      orders_.OnTargetCondition(*condition);
       return;
     }
     attempts_.OnTargetEvent(std::move(event));
@@ -299,7 +300,7 @@
     hooks.make_hello = [this] { return MakeHello(); };
     hooks.fill_heartbeat = [this](wire::Heartbeat* it) { FillHeartbeat(it); };
     hooks.on_up = [this](LinkId link, const wire::Hello& hello) {
-      up_.insert(link.value);
+      up_links_.insert(link.value);
       membership_.OnLinkUp(link, hello);
       attempts_.OnLinkUp(link, hello);
       orders_.OnLinkUp(link, hello);
@@ -310,7 +311,7 @@
       }
     };
     hooks.on_down = [this](LinkId link, const Error&) {
-      up_.erase(link.value);
+      up_links_.erase(link.value);
       membership_.OnLinkDown(link);
       attempts_.OnLinkDown(link);
       orders_.OnLinkDown(link);
@@ -370,7 +371,7 @@
 
   void OnDrainNotice(const wire::DrainNotice& notice) {
     if (notice.instance() == settings_.instance.name) {
-      SetSign(LeavingSign::kNotice, notice.drain(), notice.cause());
+      SetLeaveReason(LeaveReason::kNotice, notice.drain(), notice.cause());
     }
   }
 
@@ -383,14 +384,14 @@
     hello.set_failure_domain(settings_.instance.failure_domain);
     hello.set_region(settings_.instance.region);
     hello.set_link_address(links_.bound_address());
-    hello.set_leaving(signs_.leaving());
+    hello.set_leaving(leave_reasons_.leaving());
     FillTarget(hello.mutable_target());
     revisions_.AddKnownRevisions(hello.mutable_revisions());
     return hello;
   }
 
   void FillHeartbeat(wire::Heartbeat* heartbeat) const {
-    heartbeat->set_leaving(signs_.leaving());
+    heartbeat->set_leaving(leave_reasons_.leaving());
     attempts_.FillLoadReport(heartbeat->mutable_load());
     FillTarget(heartbeat->mutable_target());
   }
@@ -406,23 +407,24 @@
     for (const auto& it : engine.adapters) {
       target->add_adapters(it);
     }
-    const auto health = ToWire(attempts_.target_state());
+    const auto health = ToWire(attempts_.target_condition());
     const bool closed = !orders_.gate_open() && health == wire::TARGET_UP;
     target->set_health(closed ? wire::TARGET_CHANGING : health);
     target->set_order_generation(orders_.executor().generation_in_force());
     target->set_fencing_number(orders_.executor().newest_number());
   }
 
-  void SetSign(LeavingSign sign, bool up, const std::string& cause) {
-    if (up && sign == LeavingSign::kStop && !signs_.stopping()) {
-      stop_by_ = BootTimeNow() + settings_.side.drain_timeout;
+  void SetLeaveReason(LeaveReason reason, bool active,
+                      const std::string& cause) {
+    if (active && reason == LeaveReason::kStop && !leave_reasons_.stopping()) {
+      stop_deadline_ = BootTimeNow() + settings_.side.drain_timeout;
     }
-    if (!signs_.Set(sign, up)) {
+    if (!leave_reasons_.Set(reason, active)) {
       return;
     }
-    attempts_.SetLeaving(signs_.leaving());
-    claims_.SetLeaving(signs_.leaving());
-    log_(signs_.leaving() ? kSideLeaving : kSideStaying,
+    attempts_.SetLeaving(leave_reasons_.leaving());
+    claims_.SetLeaving(leave_reasons_.leaving());
+    log_(leave_reasons_.leaving() ? kSideLeaving : kSideStaying,
          {{"cause", cause}, {"running", std::to_string(attempts_.running())}});
     AnnounceLeaving(cause);
   }
@@ -433,14 +435,14 @@
     wire::Envelope message;
     auto* drain = message.mutable_drain();
     drain->set_instance(settings_.instance.name);
-    drain->set_drain(signs_.leaving());
+    drain->set_drain(leave_reasons_.leaving());
     drain->set_cause(cause);
-    for (const auto& it : up_) {
+    for (const auto& it : up_links_) {
       links_.Send(LinkId{it}, message);
     }
   }
 
-  void ArmTick() {
+  void ScheduleTick() {
     tick_timer_.expires_after(kTickInterval);
     tick_timer_.async_wait([this](const boost::system::error_code& ec) {
       if (!ec) {
@@ -455,23 +457,24 @@
     membership_.Tick(now);
     orders_.Tick(now);
     if (!settings_.store.address.empty()) {
-      platform_.Tick(now, !up_.empty());
+      platform_.Tick(now, !up_links_.empty());
     }
     for (const auto& it : services_) {
       if (it.tick) {
         it.tick(now);
       }
     }
-    if (signs_.stopping() && (attempts_.Idle() || now >= stop_by_)) {
+    if (leave_reasons_.stopping() &&
+        (attempts_.Idle() || now >= stop_deadline_)) {
       FinishStop();
       return;
     }
-    ArmTick();
+    ScheduleTick();
   }
 
   void FinishStop() {
     const auto cut = attempts_.running();
-    exit_status_ = cut == 0 ? kExitClean : kExitCut;
+    exit_status_ = cut == 0 ? kExitClean : kExitAttemptsCut;
     log_(kSideStopped, {{"cut", std::to_string(cut)}});
     links_.Stop("stopped");
     // The last frames may still be queued in the sockets.
@@ -513,9 +516,9 @@
                            &metrics_};
   std::vector<DispatchService> services_{MakeService(&suspects_),
                                          MakeService(&claims_)};
-  std::set<std::uint64_t> up_;
-  LeavingSigns signs_;
-  TimePoint stop_by_;
+  std::set<std::uint64_t> up_links_;
+  LeaveReasons leave_reasons_;
+  TimePoint stop_deadline_;
   int exit_status_ = kExitClean;
 };
 
--- a/src/side/suspect_service.cc
+++ b/src/side/suspect_service.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::uint64_t kRetryAfterMs = 1000;
-constexpr std::size_t kMaxKnown = 4096;
+constexpr std::size_t kMaxNotices = 4096;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
     case wire::Envelope::kStart:
       return RefuseStart(link, message.start());
     case wire::Envelope::kQuarantine:
-      return TakeNotice(link, message);
+      return HandleNotice(link, message);
     default:
       return false;
   }
@@ -41,10 +41,10 @@
   return true;
 }
 
-bool SuspectService::TakeNotice(LinkId link, const wire::Envelope& message) {
+bool SuspectService::HandleNotice(LinkId link, const wire::Envelope& message) {
   const wire::QuarantineNotice& notice = message.quarantine();
   gate_.OnNotice(ReadNotice(notice), clock_());
-  Remember(notice, clock_());
+  StoreNotice(notice, clock_());
   if (notice.relay()) {
     wire::Envelope out = message;
     out.mutable_quarantine()->set_relay(false);
@@ -58,13 +58,13 @@
   return !notice.quarantined() && notice.remaining_ms() != 0;
 }
 
-void SuspectService::Remember(const wire::QuarantineNotice& notice,
-                              TimePoint now) {
-  const auto held = known_.find(notice.fingerprint());
+void SuspectService::StoreNotice(const wire::QuarantineNotice& notice,
+                                 TimePoint now) {
+  const auto stored_notice = notices_.find(notice.fingerprint());
   if (notice.remaining_ms() == 0) {
-    known_.erase(notice.fingerprint());
-  } else if (held != known_.end() || known_.size() < kMaxKnown) {
-    known_[notice.fingerprint()] = {notice, now};
+    notices_.erase(notice.fingerprint());
+  } else if (stored_notice != notices_.end() || notices_.size() < kMaxNotices) {
+    notices_[notice.fingerprint()] = {notice, now};
   }
 }
 
@@ -74,9 +74,9 @@
   }
   entries_.insert(link);
   const TimePoint now = clock_();
-  for (const auto& [fingerprint, known] : known_) {
-    SuspicionNotice notice = ReadNotice(known.notice);
-    const Duration age = now - known.since;
+  for (const auto& [fingerprint, stored] : notices_) {
+    SuspicionNotice notice = ReadNotice(stored.notice);
+    const Duration age = now - stored.received_at;
     notice.remaining -= age;
     notice.in_flight = false;
     for (TargetDeath& it : notice.deaths) {
@@ -92,8 +92,8 @@
 
 void SuspectService::Tick(TimePoint now) {
   gate_.Sweep(hooks_.is_running);
-  std::erase_if(known_, [now](const auto& it) {
-    return now - it.second.since >=
+  std::erase_if(notices_, [now](const auto& it) {
+    return now - it.second.received_at >=
            std::chrono::milliseconds(it.second.notice.remaining_ms());
   });
 }
--- a/src/side/suspect_service.h
+++ b/src/side/suspect_service.h
@@ -33,20 +33,20 @@
 
  private:
   bool RefuseStart(LinkId link, const wire::StartAttempt& start);
-  bool TakeNotice(LinkId link, const wire::Envelope& message);
+  bool HandleNotice(LinkId link, const wire::Envelope& message);
 
-  struct Known {
+  struct StoredNotice {
     wire::QuarantineNotice notice;
-    TimePoint since;
+    TimePoint received_at;
   };
 
-  void Remember(const wire::QuarantineNotice& notice, TimePoint now);
+  void StoreNotice(const wire::QuarantineNotice& notice, TimePoint now);
 
   Hooks hooks_;
   Clock clock_;
   SuspectGate gate_;
   /// Newest notice about each fingerprint, sent to entries that connect later.
-  std::map<Fingerprint, Known> known_;
+  std::map<Fingerprint, StoredNotice> notices_;
   std::set<LinkId> entries_;
 };
 
--- a/src/side/target_monitor.cc
+++ b/src/side/target_monitor.cc
@@ -21,12 +21,12 @@
   return request;
 }
 
-Error NotUnderstood(const char* step, const std::string& detail) {
+Error MakeProtocolError(const char* step, const std::string& detail) {
   return {ErrorCode::kProtocol, step, "", detail};
 }
 
 /// Returns the state in `answer`, or the error if it has none.
-Result<EngineState> StateIn(const Result<TargetAnswer>& answer) {
+Result<EngineState> ParseStateAnswer(const Result<TargetAnswer>& answer) {
   if (!IsOk(answer)) {
     return ErrorOf(answer);
   }
@@ -38,7 +38,7 @@
 Result<EngineState> ParseEngineState(const std::string& json) {
   const auto doc = Json::parse(json, nullptr, false);
   if (!doc.is_object()) {
-    return NotUnderstood("target.state", "expected a JSON object");
+    return MakeProtocolError("target.state", "expected a JSON object");
   }
   try {
     EngineState state;
@@ -53,7 +53,7 @@
     state.checks_fencing = doc.value("checks_fencing", true);
     return state;
   } catch (const Json::exception& error) {
-    return NotUnderstood("target.state", error.what());
+    return MakeProtocolError("target.state", error.what());
   }
 }
 
@@ -70,7 +70,7 @@
 Result<EngineLoad> ParseEngineLoad(const std::string& json, TimePoint now) {
   const auto doc = Json::parse(json, nullptr, false);
   if (!doc.is_object()) {
-    return NotUnderstood("target.load", "expected a JSON object");
+    return MakeProtocolError("target.load", "expected a JSON object");
   }
   try {
     EngineLoad load;
@@ -89,7 +89,7 @@
         doc.value("decode_tokens_per_s", std::uint64_t{0});
     return load;
   } catch (const Json::exception& error) {
-    return NotUnderstood("target.load", error.what());
+    return MakeProtocolError("target.load", error.what());
   }
 }
 
@@ -121,7 +121,7 @@
 
 void TargetMonitor::Poll() {
   polling_ = true;
-  ArmTimer();
+  ScheduleNextPoll();
   if (!options_.is_engine) {
     PollHealth();
     return;
@@ -131,12 +131,12 @@
       client_, GetRequest("/state", options_.deadline), kMaxAnswerBytes,
       [this, asked_at](const Result<TargetAnswer>& answer) {
         polling_ = false;
-        OnStateAnswer(StateIn(answer), asked_at);
+        OnStateAnswer(ParseStateAnswer(answer), asked_at);
       });
   PollLoad();
 }
 
-void TargetMonitor::ArmTimer() {
+void TargetMonitor::ScheduleNextPoll() {
   timer_.expires_after(options_.poll_interval);
   timer_.async_wait([this](const boost::system::error_code& ec) {
     if (!ec && !stopped_) {
@@ -207,7 +207,7 @@
       client_, GetRequest("/state", options_.deadline), kMaxAnswerBytes,
       [this, asked_at](const Result<TargetAnswer>& answer) {
         const auto call = std::move(probe_call_);
-        const auto state = StateIn(answer);
+        const auto state = ParseStateAnswer(answer);
         OnStateAnswer(state, asked_at);
         const auto probes = std::move(probes_);
         probes_.clear();
--- a/src/side/target_monitor.h
+++ b/src/side/target_monitor.h
@@ -51,7 +51,7 @@
 
  private:
   void Poll();
-  void ArmTimer();
+  void ScheduleNextPoll();
   void OnStateAnswer(const Result<EngineState>& answer, TimePoint asked_at);
   void PollLoad();
   void PollHealth();
--- a/src/side/target_worker.cc
+++ b/src/side/target_worker.cc
@@ -9,14 +9,14 @@
 namespace {
 
 constexpr char kRequestIdHeader[] = "X-Request-Id";
-constexpr std::size_t kMaxCleanups = 1024;
+constexpr std::size_t kMaxStreamDeletes = 1024;
 constexpr int kOrderDone = 200;
 constexpr int kOrderAccepted = 202;
 constexpr int kOrderStale = 409;
 constexpr int kOrderBusy = 423;
 
 /// Returns the id that identifies the stream of this request at the engine.
-std::string StreamIdIn(const std::vector<HttpHeader>& headers) {
+std::string FindStreamId(const std::vector<HttpHeader>& headers) {
   for (const auto& it : headers) {
     if (it.name == kRequestIdHeader) {
       return it.value;
@@ -25,8 +25,8 @@
   return "";
 }
 
-OrderWrittenEvent JudgeOrderWrite(std::uint64_t ticket, int status,
-                                  const Status& end) {
+OrderWrittenEvent ClassifyOrderWrite(std::uint64_t ticket, int status,
+                                     const Status& end) {
   OrderWrittenEvent event;
   event.ticket = ticket;
   if (!IsOk(end)) {
@@ -93,7 +93,7 @@
   outbox_timer_.cancel();
   probe_timer_.cancel();
   calls_.clear();
-  cleanups_.clear();
+  stream_deletes_.clear();
   order_call_.reset();
 }
 
@@ -127,7 +127,7 @@
   for (auto& [name, value] : command.request.headers) {
     request.headers.push_back({std::move(name), std::move(value)});
   }
-  const std::string stream = StreamIdIn(request.headers);
+  const std::string stream = FindStreamId(request.headers);
   TargetClient::Hooks hooks;
   hooks.on_before_write = [this, id, start_by] {
     return BeforeWrite(id, start_by);
@@ -193,16 +193,16 @@
     return;
   }
   if (error.code == ErrorCode::kTimeout) {
-    StopEngineStream(it->second.stream_id);
+    DeleteEngineStream(it->second.stream_id);
     EndCall(id, CallOutcome::kTimeout, error.detail);
     return;
   }
   log_(kTargetCallBroke,
        {{"attempt", ToHex(id.value)}, {"error", error.detail}});
-  OnBroken({id, it->second.boot_id, error.detail});
+  OnCallBroken({id, it->second.boot_id, error.detail});
 }
 
-void TargetWorker::OnBroken(BrokenCall broken) {
+void TargetWorker::OnCallBroken(BrokenCall broken) {
   if (!options_.is_engine) {
     // A plain service has no boot id to compare, and a supervisor may have
     // restarted it within a millisecond, so a broken call counts as a crash.
@@ -210,7 +210,7 @@
     monitor_.PollSoon();
     return;
   }
-  broken_.push_back(std::move(broken));
+  broken_calls_.push_back(std::move(broken));
   if (probing_) {
     return;
   }
@@ -222,10 +222,10 @@
   monitor_.Probe([this, tries_left](const Result<EngineState>& probe) {
     // A process that is stopping or starting may accept a connection and then
     // drop it.
-    const bool broke =
+    const bool connection_broke =
         !IsOk(probe) && ErrorOf(probe).code == ErrorCode::kUnknownEffect;
-    if (broke && tries_left > 1) {
-      probe_timer_.expires_after(options_.probe_pause);
+    if (connection_broke && tries_left > 1) {
+      probe_timer_.expires_after(options_.probe_retry_interval);
       probe_timer_.async_wait(
           [this, tries_left](const boost::system::error_code& ec) {
             if (!ec) {
@@ -235,13 +235,13 @@
       return;
     }
     probing_ = false;
-    SettleBroken(probe);
+    ResolveBrokenCalls(probe);
   });
 }
 
-void TargetWorker::SettleBroken(const Result<EngineState>& probe) {
-  const auto broken = std::move(broken_);
-  broken_.clear();
+void TargetWorker::ResolveBrokenCalls(const Result<EngineState>& probe) {
+  const auto broken = std::move(broken_calls_);
+  broken_calls_.clear();
   for (const auto& it : broken) {
     bool died = false;
     if (IsOk(probe)) {
@@ -268,7 +268,7 @@
   }
   const bool written = it->second.written;
   if (written) {
-    StopEngineStream(it->second.stream_id);
+    DeleteEngineStream(it->second.stream_id);
   }
   EndCall(
       id,
@@ -276,14 +276,14 @@
       "");
 }
 
-void TargetWorker::StopEngineStream(const std::string& stream_id) {
+void TargetWorker::DeleteEngineStream(const std::string& stream_id) {
   if (!options_.is_engine || stream_id.empty() ||
-      cleanups_.size() >= kMaxCleanups) {
+      stream_deletes_.size() >= kMaxStreamDeletes) {
     return;
   }
   // Engines keep a stream for resumption when its connection closes, so an
   // explicit DELETE is needed to free its slot.
-  const auto number = next_cleanup_++;
+  const auto number = next_stream_delete_++;
   TargetRequest request;
   request.method = "DELETE";
   request.path = "/v1/streams/" + stream_id;
@@ -291,8 +291,11 @@
   TargetClient::Hooks hooks;
   hooks.on_head = [](int, const std::vector<HttpHeader>&) {};
   hooks.on_body = [](std::string_view) {};
-  hooks.on_end = [this, number](const Status&) { cleanups_.erase(number); };
-  cleanups_[number] = client_->Start(std::move(request), std::move(hooks));
+  hooks.on_end = [this, number](const Status&) {
+    stream_deletes_.erase(number);
+  };
+  stream_deletes_[number] =
+      client_->Start(std::move(request), std::move(hooks));
 }
 
 void TargetWorker::WriteOrder(const WriteOrderCommand& command) {
@@ -314,7 +317,7 @@
   };
   hooks.on_body = [](std::string_view) {};
   hooks.on_end = [this, ticket, status](const Status& end) {
-    Emit(JudgeOrderWrite(ticket, *status, end));
+    Emit(ClassifyOrderWrite(ticket, *status, end));
   };
   order_call_ = client_->Start(std::move(request), std::move(hooks));
 }
--- a/src/side/target_worker.h
+++ b/src/side/target_worker.h
@@ -34,7 +34,7 @@
     Duration poll_interval = std::chrono::milliseconds(500);
     Duration order_deadline = std::chrono::seconds(5);
     Duration probe_deadline = std::chrono::milliseconds(500);
-    Duration probe_pause = std::chrono::milliseconds(20);
+    Duration probe_retry_interval = std::chrono::milliseconds(20);
     int max_probes = 25;
     Duration emit_retry_interval = std::chrono::milliseconds(1);
   };
@@ -78,11 +78,11 @@
   bool BeforeWrite(const AttemptId& id, TimePoint start_by);
   void OnBodyEnd(const AttemptId& id, const AnswerBodyEnd& end);
   void OnEnd(const AttemptId& id, const Status& status);
-  void OnBroken(BrokenCall broken);
+  void OnCallBroken(BrokenCall broken);
   void Probe(int tries_left);
-  void SettleBroken(const Result<EngineState>& probe);
+  void ResolveBrokenCalls(const Result<EngineState>& probe);
   void EndCall(const AttemptId& id, CallOutcome outcome, std::string detail);
-  void StopEngineStream(const std::string& stream_id);
+  void DeleteEngineStream(const std::string& stream_id);
   void Emit(TargetEvent event);
   void FlushOutbox();
 
@@ -93,7 +93,7 @@
   EventLog log_;
   TargetMonitor monitor_;
   std::unordered_map<AttemptId, RunningCall> calls_;
-  std::vector<BrokenCall> broken_;
+  std::vector<BrokenCall> broken_calls_;
   bool probing_ = false;
   boost::asio::steady_timer probe_timer_;
   /// Events waiting for room in the ring. Bounded: calls do not read while an
@@ -101,8 +101,8 @@
   std::deque<TargetEvent> outbox_;
   boost::asio::steady_timer outbox_timer_;
   std::unordered_map<std::uint64_t, std::unique_ptr<TargetClient::Call>>
-      cleanups_;
-  std::uint64_t next_cleanup_ = 0;
+      stream_deletes_;
+  std::uint64_t next_stream_delete_ = 0;
   std::unique_ptr<TargetClient::Call> order_call_;
 };
 
--- a/src/store/list_watcher.cc
+++ b/src/store/list_watcher.cc
@@ -250,11 +250,12 @@
   }
   RecordResponse(started_at);
   const WatchBatch& batch = ValueOf(result);
-  log_(kWatcherResumed, {{"prefix", options_.prefix},
-                         {"held", std::to_string(version_)},
-                         {"told", std::to_string(batch.version)},
-                         {"changes", std::to_string(batch.events.size())},
-                         {"after_ms", Milliseconds(clock_() - started_at)}});
+  log_(kWatcherResumed,
+       {{"prefix", options_.prefix},
+        {"held", std::to_string(version_)},
+        {"told", std::to_string(batch.version)},
+        {"changes", std::to_string(batch.events.size())},
+        {"after_ms", FormatMilliseconds(clock_() - started_at)}});
   ApplyAll(batch.events);
   version_ = std::max(version_, batch.version);
   const auto alive = alive_;
@@ -270,7 +271,7 @@
     log_(kWatcherTryFailed,
          {{"prefix", options_.prefix},
           {"error", ToString(error)},
-          {"after_ms", Milliseconds(clock_() - started_at)}});
+          {"after_ms", FormatMilliseconds(clock_() - started_at)}});
   } else if (!listing_) {
     List();
   }
@@ -298,7 +299,7 @@
                               const Result<WatchBatch>& result) {
   log_(kWatcherAsked,
        {{"prefix", options_.prefix},
-        {"after_ms", Milliseconds(clock_() - requested_at)},
+        {"after_ms", FormatMilliseconds(clock_() - requested_at)},
         {"outcome", IsOk(result) ? "told" : ToString(ErrorOf(result))}});
   // If the watch has ended, a retry reads the changes since then.
   if (!IsOk(result) || !watch_) {
--- a/tests/shell/line_writer_test.cc
+++ b/tests/shell/line_writer_test.cc
@@ -78,7 +78,7 @@
 TEST_CASE("Push does not block when the reader has stopped") {
   Pipe pipe;
   LineWriter::Options options = OptionsFor(pipe);
-  options.max_waiting = 100;
+  options.max_buffered_lines = 100;
   options.max_lines_per_s = 1000000;
   options.flush_interval = std::chrono::milliseconds(5);
   const auto begin = std::chrono::steady_clock::now();
--- a/tests/shell/side_orders_test.cc
+++ b/tests/shell/side_orders_test.cc
@@ -11,9 +11,9 @@
 using std::chrono::milliseconds;
 
 /// Runs a side with an engine, a platform and an entry, all in this process.
-class OrderBench {
+class SideOrderFixture {
  public:
-  explicit OrderBench(bool engine_checks_fencing) {
+  explicit SideOrderFixture(bool engine_checks_fencing) {
     engine_.Change([&](auto* it) {
       it->change_time = milliseconds(200);
       it->check_fencing = engine_checks_fencing;
@@ -30,7 +30,7 @@
   }
 
   /// Writes a new lease and returns its fencing number, the object's version.
-  FencingNumber WinLease() {
+  FencingNumber AcquireLease() {
     LeaseRecord lease;
     lease.holder = "entry-1";
     const auto before = platform_.Peek("control/lease");
@@ -38,14 +38,14 @@
                           before ? before->version : 0);
   }
 
-  void Notify(FencingNumber number) {
+  void SendFencingNumber(FencingNumber number) {
     wire::Envelope message;
     message.mutable_fencing()->set_fencing_number(number);
     entry_.Send(message);
   }
 
-  void Order(FencingNumber number, std::uint64_t generation,
-             const std::string& role) {
+  void SendOrder(FencingNumber number, std::uint64_t generation,
+                 const std::string& role) {
     wire::Envelope message;
     auto* order = message.mutable_order();
     order->set_target("bilbao-a-1");
@@ -58,10 +58,10 @@
   }
 
   void WaitForPhase(std::uint64_t generation, wire::OrderPhase phase) {
-    entry_.RunUntil([&] { return Saw(generation, phase); }, "a phase");
+    entry_.RunUntil([&] { return HasPhase(generation, phase); }, "a phase");
   }
 
-  bool Saw(std::uint64_t generation, wire::OrderPhase phase) const {
+  bool HasPhase(std::uint64_t generation, wire::OrderPhase phase) const {
     for (const auto& it : entry_.messages_) {
       if (it.has_order_status() &&
           it.order_status().generation() == generation &&
@@ -82,30 +82,30 @@
     R"({"model":"tarifa-llm","prompt":"x","stream":true,"max_tokens":100})";
 
 TEST_CASE("A side changes its engine's role without cutting off a stream") {
-  OrderBench bench(GENERATE(true, false));
-  const FencingNumber number = bench.WinLease();
-  bench.Notify(number);
-  const auto id = bench.entry_.Start(1, kLongStream);
-  bench.entry_.RunUntil([&] { return !bench.entry_.BodyOf(id).empty(); },
-                        "a token");
-  bench.Order(number, 1, "decode");
-  bench.WaitForPhase(1, wire::ORDER_DRAINING);
-  const auto late = bench.entry_.Start(2, kLongStream);
-  bench.entry_.RunUntil([&] { return bench.entry_.RefusalOf(late) != nullptr; },
-                        "the refusal");
-  bench.WaitForPhase(1, wire::ORDER_IN_FORCE);
-
-  REQUIRE(bench.entry_.EndOf(id) != nullptr);
-  CHECK(bench.entry_.EndOf(id)->outcome() == wire::END_COMPLETE);
-  REQUIRE(bench.engine_.orders().size() == 1);
-  CHECK(bench.engine_.orders()[0].role == "decode");
-  for (const auto& it : bench.engine_.runs()) {
+  SideOrderFixture fixture(GENERATE(true, false));
+  const FencingNumber number = fixture.AcquireLease();
+  fixture.SendFencingNumber(number);
+  const auto id = fixture.entry_.Start(1, kLongStream);
+  fixture.entry_.RunUntil([&] { return !fixture.entry_.BodyOf(id).empty(); },
+                          "a token");
+  fixture.SendOrder(number, 1, "decode");
+  fixture.WaitForPhase(1, wire::ORDER_DRAINING);
+  const auto late = fixture.entry_.Start(2, kLongStream);
+  fixture.entry_.RunUntil(
+      [&] { return fixture.entry_.RefusalOf(late) != nullptr; }, "the refusal");
+  fixture.WaitForPhase(1, wire::ORDER_IN_FORCE);
+
+  REQUIRE(fixture.entry_.EndOf(id) != nullptr);
+  CHECK(fixture.entry_.EndOf(id)->outcome() == wire::END_COMPLETE);
+  REQUIRE(fixture.engine_.orders().size() == 1);
+  CHECK(fixture.engine_.orders()[0].role == "decode");
+  for (const auto& it : fixture.engine_.runs()) {
     CHECK_FALSE(it.cut);
   }
-  bench.entry_.RunUntil(
+  fixture.entry_.RunUntil(
       [&] {
-        return bench.entry_.heartbeat_.target().role() == "decode" &&
-               bench.entry_.heartbeat_.target().health() == wire::TARGET_UP;
+        return fixture.entry_.heartbeat_.target().role() == "decode" &&
+               fixture.entry_.heartbeat_.target().health() == wire::TARGET_UP;
       },
       "the new role");
 }
@@ -116,57 +116,57 @@
 // right before it writes the order, whether or not the engine checks fencing
 // numbers.
 TEST_CASE("A side refuses an order whose fencing number is outdated") {
-  OrderBench bench(GENERATE(true, false));
-  const FencingNumber number = bench.WinLease();
-  bench.Notify(number);
-  const auto id = bench.entry_.Start(1, kLongStream);
-  bench.entry_.RunUntil([&] { return !bench.entry_.BodyOf(id).empty(); },
-                        "a token");
-  bench.Order(number, 1, "decode");
-  bench.WaitForPhase(1, wire::ORDER_DRAINING);
-  const FencingNumber newer = bench.WinLease();
-  bench.WaitForPhase(1, wire::ORDER_REFUSED_STALE);
-  CHECK(bench.engine_.orders().empty());
-
-  bench.Order(newer, 2, "prefill");
-  bench.WaitForPhase(2, wire::ORDER_IN_FORCE);
-  CHECK(bench.engine_.orders().size() == 1);
+  SideOrderFixture fixture(GENERATE(true, false));
+  const FencingNumber number = fixture.AcquireLease();
+  fixture.SendFencingNumber(number);
+  const auto id = fixture.entry_.Start(1, kLongStream);
+  fixture.entry_.RunUntil([&] { return !fixture.entry_.BodyOf(id).empty(); },
+                          "a token");
+  fixture.SendOrder(number, 1, "decode");
+  fixture.WaitForPhase(1, wire::ORDER_DRAINING);
+  const FencingNumber newer = fixture.AcquireLease();
+  fixture.WaitForPhase(1, wire::ORDER_REFUSED_STALE);
+  CHECK(fixture.engine_.orders().empty());
+
+  fixture.SendOrder(newer, 2, "prefill");
+  fixture.WaitForPhase(2, wire::ORDER_IN_FORCE);
+  CHECK(fixture.engine_.orders().size() == 1);
 }
 
 // While the store is down, the order waits and the target keeps serving. Once
 // the store is back, the same order takes effect.
 TEST_CASE("A side keeps its engine's role while the store is down") {
-  OrderBench bench(true);
-  const FencingNumber number = bench.WinLease();
-  bench.Notify(number);
-  bench.platform_.SetDown(true);
-  bench.Order(number, 1, "decode");
-  bench.WaitForPhase(1, wire::ORDER_ACCEPTED);
-  const auto id = bench.entry_.Start(1, kLongStream);
-  bench.entry_.RunUntil([&] { return bench.entry_.EndOf(id) != nullptr; },
-                        "the answer");
-  CHECK(bench.engine_.orders().empty());
-  bench.platform_.SetDown(false);
-  bench.WaitForPhase(1, wire::ORDER_IN_FORCE);
+  SideOrderFixture fixture(true);
+  const FencingNumber number = fixture.AcquireLease();
+  fixture.SendFencingNumber(number);
+  fixture.platform_.SetDown(true);
+  fixture.SendOrder(number, 1, "decode");
+  fixture.WaitForPhase(1, wire::ORDER_ACCEPTED);
+  const auto id = fixture.entry_.Start(1, kLongStream);
+  fixture.entry_.RunUntil([&] { return fixture.entry_.EndOf(id) != nullptr; },
+                          "the answer");
+  CHECK(fixture.engine_.orders().empty());
+  fixture.platform_.SetDown(false);
+  fixture.WaitForPhase(1, wire::ORDER_IN_FORCE);
 }
 
 TEST_CASE(
     "A side completes an order after the engine crashes during the change") {
-  OrderBench bench(true);
-  const FencingNumber number = bench.WinLease();
-  bench.Notify(number);
-  bench.engine_.Change([](auto* it) { it->crash_in_change = true; });
-  bench.Order(number, 1, "decode");
-  bench.entry_.RunUntil(
+  SideOrderFixture fixture(true);
+  const FencingNumber number = fixture.AcquireLease();
+  fixture.SendFencingNumber(number);
+  fixture.engine_.Change([](auto* it) { it->crash_in_change = true; });
+  fixture.SendOrder(number, 1, "decode");
+  fixture.entry_.RunUntil(
       [&] {
-        return bench.entry_.heartbeat_.target().health() == wire::TARGET_DOWN;
+        return fixture.entry_.heartbeat_.target().health() == wire::TARGET_DOWN;
       },
       "the engine down");
-  bench.engine_.Change([](auto* it) { it->crash_in_change = false; });
-  bench.engine_.Restart();
-  bench.WaitForPhase(1, wire::ORDER_IN_FORCE);
-  bench.entry_.RunUntil(
-      [&] { return bench.entry_.heartbeat_.target().role() == "decode"; },
+  fixture.engine_.Change([](auto* it) { it->crash_in_change = false; });
+  fixture.engine_.Restart();
+  fixture.WaitForPhase(1, wire::ORDER_IN_FORCE);
+  fixture.entry_.RunUntil(
+      [&] { return fixture.entry_.heartbeat_.target().role() == "decode"; },
       "the new role");
 }
 
--- a/tests/support/side_fixture.h
+++ b/tests/support/side_fixture.h
@@ -87,8 +87,8 @@
                     const std::string& deployment = "tarifa-llm") {
     wire::Envelope message;
     auto* start = message.mutable_start();
-    start->set_attempt_id(ToBytes(Id128{run_, n}));
-    start->set_request_id(ToBytes(Id128{run_, n}));
+    start->set_attempt_id(ToBytes(Id128{id_prefix_, n}));
+    start->set_request_id(ToBytes(Id128{id_prefix_, n}));
     start->set_start_sequence(n);
     start->set_deployment(deployment);
     start->set_start_within_us(10'000'000);
@@ -131,7 +131,7 @@
   }
 
   Incarnation incarnation_;
-  std::uint64_t run_ = 77;
+  std::uint64_t id_prefix_ = 77;
   std::optional<LinkId> link_;
   wire::Hello hello_;
   wire::Heartbeat heartbeat_;
