--- a/src/core/config/change_plan.h
+++ b/src/core/config/change_plan.h
@@ -1,8 +1,8 @@
 #ifndef INDIGOLEAD_CORE_CONFIG_CHANGE_PLAN_H_
 #define INDIGOLEAD_CORE_CONFIG_CHANGE_PLAN_H_
 
-// Decides what an operator's edit of one deployment may do, from the revision
-// that is live and the one that the edit was made from.
+// Classifies an operator's edit of a deployment by comparing the live revision
+// with the revision that the edit is based on.
 
 #include <cstdint>
 #include <optional>
@@ -12,27 +12,26 @@
 
 namespace indigolead {
 
-/// What applying an edit comes to.
+/// Result of comparing an edit with the live revision.
 enum class ChangeKind {
-  kNone,      ///< The live revision has this very specification.
+  kNone,      ///< The live revision already has this specification.
   kCreate,    ///< There is no live revision.
-  kUpdate,    ///< The edit was made from the live revision.
-  kConflict,  ///< The edit was made from another revision than the live one.
-  kUnseen,    ///< It isn't known which revision the edit was made from.
+  kUpdate,    ///< The edit is based on the live revision.
+  kConflict,  ///< The edit is based on a revision that is not live.
+  kUnseen,    ///< The base revision of the edit is unknown.
 };
 
-/// Returns what applying `wanted` comes to. `seen` is the number of the
-/// revision that the edit was made from; 0: there was none.
+/// Returns the kind of change that applying `wanted` makes. `seen` is the
+/// number of the revision that the edit is based on, or 0 if there was none.
 ///
-/// The failure prevented: two operators edit the same revision, and the one
-/// who applies last undoes the other's change without a word. A check of the
-/// store's version alone would not do, since both read it just before they
-/// write.
+/// Prevents a lost update: of two operators who edit the same revision, the
+/// second to apply would silently undo the first one's change. Checking the
+/// store's version is not enough, since both read it just before they write.
 ChangeKind PlanChange(const DeploymentSpec& wanted,
                       const std::optional<Revision>& live,
                       const std::optional<std::uint64_t>& seen);
 
-/// Who makes a change, when and why.
+/// Author, time and reason of a change.
 struct ChangeOrigin {
   std::string author;
   WallMicros at = 0;
--- a/src/core/config/config_problem.h
+++ b/src/core/config/config_problem.h
@@ -8,14 +8,13 @@
 
 namespace indigolead {
 
-/// One thing wrong in a settings file or a declaration, for the person who
-/// edits it.
+/// One error in a settings file or a declaration, reported to its editor.
 struct ConfigProblem {
   std::string file;
-  int line = 0;         ///< Counted from 1; 0 if no single line is at fault.
+  int line = 0;         ///< 1-based; 0 if the problem has no single line.
   std::string section;  ///< Without brackets; empty before the first one.
-  std::string key;      ///< Empty if the whole section is at fault.
-  std::string detail;   ///< What was seen and what is accepted.
+  std::string key;      ///< Empty if the problem concerns the whole section.
+  std::string detail;   ///< What was found and what is accepted.
 
   friend bool operator==(const ConfigProblem&, const ConfigProblem&) = default;
 };
@@ -23,11 +22,11 @@
 /// Prints "file:line: [section] key: detail".
 std::ostream& operator<<(std::ostream& os, const ConfigProblem& problem);
 
-/// Returns one line for each problem, each ended by a line break.
+/// Returns one newline-terminated line for each problem.
 std::string ToText(const std::vector<ConfigProblem>& problems);
 
-/// Holds either a value or everything that is wrong with its text, so that a
-/// person mends a file in one pass.
+/// Holds either a value or all problems in its text, so that a user can fix a
+/// file in one pass.
 template <typename T>
 using Checked = std::variant<T, std::vector<ConfigProblem>>;
 
--- a/src/core/config/declaration_checks.cc
+++ b/src/core/config/declaration_checks.cc
@@ -12,7 +12,7 @@
 namespace indigolead::internal {
 namespace {
 
-/// Checks deployments one after the other, remembering what earlier ones use.
+/// Checks deployments in turn and records the routes and API keys in use.
 class TogetherChecker {
  public:
   TogetherChecker(const DeclarationIndex& index,
@@ -50,7 +50,7 @@
     if (spec.path_prefix.empty() && spec.host.empty()) {
       Blame(spec,
             "is a service without path_prefix and host, so that no "
-            "request can reach it; give one of them");
+            "request can reach it; set one of them");
     }
     const auto [it, inserted] =
         routes_.emplace(std::make_pair(spec.host, spec.path_prefix), spec.name);
@@ -60,16 +60,16 @@
     }
   }
 
-  // One key must name one account, or limits and audit would be the wrong
-  // one's. The same account may serve itself from several deployments.
+  // A key must identify one account; otherwise limits and audit records would
+  // apply to the wrong account. One account may use several deployments.
   void CheckKeys(const DeploymentSpec& spec) {
     std::map<std::string, std::string> names;
     for (const ClientAccountSpec& it : spec.client_accounts) {
       const auto [other, inserted] = names.emplace(it.api_key_sha256, it.name);
       if (!inserted && !it.api_key_sha256.empty()) {
         BlameAccount(spec, it, "api_key_sha256",
-                     "is the key of client account " + other->second +
-                         " too; give each its own");
+                     "is also the key of client account " + other->second +
+                         "; give each account its own key");
       }
     }
     if (spec.client_accounts.size() > kMaxClientAccounts) {
@@ -110,7 +110,7 @@
       Blame(spec, "has " + std::to_string(size) +
                       " bytes as JSON; accepted are at most " +
                       std::to_string(kMaxSpecBytes) +
-                      "; divide its client accounts over two deployments");
+                      "; split its client accounts across two deployments");
     }
   }
 
--- a/src/core/config/declaration_checks.h
+++ b/src/core/config/declaration_checks.h
@@ -9,7 +9,7 @@
 
 namespace indigolead::internal {
 
-/// Appends a problem for each deployment whose values are each accepted but
+/// Appends a problem for each deployment whose values are valid one by one but
 /// contradict each other or those of another deployment.
 void CheckTogether(const std::vector<DeploymentSpec>& specs,
                    const DeclarationIndex& index,
--- a/src/core/config/declaration_index.cc
+++ b/src/core/config/declaration_index.cc
@@ -27,7 +27,7 @@
   return words;
 }
 
-/// Sorts sections and keeps what is wrong with them.
+/// Adds sections to the index and collects their problems.
 class Indexer {
  public:
   Indexer(DeclarationIndex* index, std::vector<ConfigProblem>* problems)
@@ -39,7 +39,7 @@
     }
   }
 
-  /// Reports sections that belong to something not declared.
+  /// Reports sections whose deployment or template is not declared.
   void CheckOwners() {
     for (const auto& [file, templates] : index_->templates) {
       for (const auto& [name, sections] : templates) {
--- a/src/core/config/declaration_index.h
+++ b/src/core/config/declaration_index.h
@@ -11,7 +11,7 @@
 
 namespace indigolead::internal {
 
-/// A section and the file that it is in.
+/// A section and the file that contains it.
 struct PlacedSection {
   std::string file;
   IniSection section;
@@ -24,18 +24,19 @@
   std::optional<PlacedSection> client_account;
 };
 
-/// The sections of a directory, by what they declare.
+/// The sections of a directory, grouped by what they declare.
 struct DeclarationIndex {
-  /// By file and name: a file's own template goes before another file's.
+  /// By file and name. A template in the same file takes precedence over one in
+  /// another file.
   std::map<std::string, std::map<std::string, TemplateSections>> templates;
   std::map<std::string, PlacedSection> deployments;
   /// By deployment and name.
   std::map<std::string, std::map<std::string, PlacedSection>> client_accounts;
 };
 
-/// Sorts the sections of `files` into `index`. Appends a problem for each
-/// section that is of no known kind, badly named, declared twice, or belongs
-/// to something that is not declared.
+/// Adds the sections of `files` to `index`. Appends a problem for each section
+/// that has an unknown kind or an invalid name, is declared twice, or refers to
+/// a deployment or template that is not declared.
 void IndexSections(const std::vector<IniFile>& files, DeclarationIndex* index,
                    std::vector<ConfigProblem>* problems);
 
--- a/src/core/config/declaration_keys.cc
+++ b/src/core/config/declaration_keys.cc
@@ -30,7 +30,7 @@
     return *this;
   }
 
-  /// Appends a row for a field of the owner's `part`.
+  /// Appends a row for a field of the owner's member `part`.
   template <typename Part, typename Value>
   Rows& Add(std::string key, Part Owner::*part, Value Part::*field,
             ValueRule rule, std::string meaning) {
--- a/src/core/config/declaration_keys.h
+++ b/src/core/config/declaration_keys.h
@@ -1,8 +1,8 @@
 #ifndef INDIGOLEAD_CORE_CONFIG_DECLARATION_KEYS_H_
 #define INDIGOLEAD_CORE_CONFIG_DECLARATION_KEYS_H_
 
-// Every key of a declaration, once. The reader, the writer, the comparison of
-// two edits and docs/DECLARATIONS.md walk over these tables.
+// Defines every declaration key in one place. The reader, the writer, the
+// comparison of edits and docs/DECLARATIONS.md are driven by these tables.
 
 #include <map>
 #include <string>
@@ -23,7 +23,7 @@
 /// "[template NAME client-account]".
 const std::vector<KeyRow<ClientAccountSpec>>& ClientAccountKeys();
 
-/// Returns the row for `key`, or null.
+/// Returns the row for `key`, or null if there is none.
 template <typename Owner>
 const KeyRow<Owner>* FindKey(const std::vector<KeyRow<Owner>>& rows,
                              const std::string& key) {
@@ -35,7 +35,7 @@
   return nullptr;
 }
 
-/// Returns the keys of `rows` in their order.
+/// Returns the keys of `rows` in table order.
 template <typename Owner>
 std::vector<std::string> KeyNames(const std::vector<KeyRow<Owner>>& rows) {
   std::vector<std::string> names;
@@ -46,8 +46,8 @@
   return names;
 }
 
-/// Returns every field of `spec` as text by its path, such as "deadline",
-/// "model tarifa version" or "client-account gran-via priority".
+/// Returns the text of every field of `spec`, keyed by its path, such as
+/// "deadline", "model tarifa version" or "client-account gran-via priority".
 std::map<std::string, std::string> FlattenSpec(const DeploymentSpec& spec);
 
 /// Returns the reference page of declarations, in Markdown.
--- a/src/core/config/declarations.cc
+++ b/src/core/config/declarations.cc
@@ -14,8 +14,8 @@
 namespace indigolead {
 namespace {
 
-/// Orders problems as a person goes through files, each problem once: one in
-/// a template would else be told for each of its deployments.
+/// Sorts problems by position and removes duplicates: a problem in a template
+/// would otherwise be reported for each deployment that uses it.
 void SortProblems(std::vector<ConfigProblem>* problems) {
   const auto place = [](const ConfigProblem& it) {
     return std::tie(it.file, it.line, it.section, it.key, it.detail);
@@ -61,14 +61,14 @@
     return std::vector<ConfigProblem>{
         {"", 0, "", "",
          "more than " + std::to_string(kMaxDeployments) +
-             " deployments are declared; keep them in several directories"}};
+             " deployments are declared; split them across directories"}};
   }
   std::vector<DeploymentSpec> specs;
   internal::DeploymentBuilder builder(index, &problems);
   for (const auto& [name, placed] : index.deployments) {
     specs.push_back(builder.Build(name));
   }
-  // Contradictions of half-read deployments would only hide the cause.
+  // Contradictions in partially read deployments would obscure the cause.
   if (problems.empty()) {
     internal::CheckTogether(specs, index, &problems);
   }
--- a/src/core/config/declarations.h
+++ b/src/core/config/declarations.h
@@ -1,8 +1,9 @@
 #ifndef INDIGOLEAD_CORE_CONFIG_DECLARATIONS_H_
 #define INDIGOLEAD_CORE_CONFIG_DECLARATIONS_H_
 
-// Turns declarations (templates, deployments and client accounts in INI) into
-// deployment specifications, and back. docs/DECLARATIONS.md shows the form.
+// Converts declarations (templates, deployments and client accounts in INI) to
+// deployment specifications and back. docs/DECLARATIONS.md describes the
+// format.
 
 #include <string>
 #include <vector>
@@ -21,22 +22,23 @@
                          const DeclarationFile&) = default;
 };
 
-/// Most deployments, and most client accounts of one, in a directory.
+/// Maximum number of deployments in a directory and of client accounts in one
+/// deployment.
 inline constexpr std::size_t kMaxDeployments = 1000;
 inline constexpr std::size_t kMaxClientAccounts = 5000;
 
-/// Most bytes of a deployment's JSON: the object API holds values up to
+/// Maximum size of a deployment's JSON. The object API stores values up to
 /// 1 MiB, and the revision adds a little.
 inline constexpr std::size_t kMaxSpecBytes = 1'000'000;
 
 /// Returns the deployments declared in `files`, ordered by name, with their
-/// client accounts ordered by name; or everything that is wrong with them.
-/// Nothing of a directory with a problem is used.
+/// client accounts ordered by name, or all problems found. A directory with
+/// any problem is rejected as a whole.
 Checked<std::vector<DeploymentSpec>> ReadDeclarations(
     const std::vector<DeclarationFile>& files);
 
-/// Returns a declaration that reads back as `spec`. Its template has the
-/// parameters filled in.
+/// Returns a declaration that parses to `spec`. Its template contains the
+/// values of the parameters instead of references.
 std::string WriteDeclaration(const DeploymentSpec& spec);
 
 }  // namespace indigolead
--- a/src/core/config/deployment_builder.cc
+++ b/src/core/config/deployment_builder.cc
@@ -79,7 +79,7 @@
   for (const auto& [file, templates] : index_.templates) {
     for (const auto& [name, sections] : templates) {
       if (sections.main.file.empty()) {
-        continue;  // Only its parts are there, which the index reports.
+        continue;  // Has no main section; the index reports this.
       }
       names.push_back(name);
       if (name == entry->value && file == deployment.file) {
@@ -170,7 +170,7 @@
   Parameters all =
       ReadParameters(defaults, placed, KeyNames(ClientAccountKeys()));
   all.insert(parameters.begin(), parameters.end());
-  // A key that the account gives itself goes before the template's.
+  // A key in the account's own section overrides the template's.
   PlacedSection inherited = defaults;
   std::erase_if(inherited.section.entries, [&](const IniEntry& it) {
     return FindEntry(placed, it.key) != nullptr;
@@ -215,7 +215,7 @@
       std::any_of(expanded.used.begin(), expanded.used.end(),
                   [](const PlacedValue& it) { return it.value.empty(); });
   if (lacks_parameter) {
-    return;  // Reported where the parameter should have been given.
+    return;  // ReadParameters() reports the missing parameter.
   }
   const auto wrong = AssignField(rule, expanded.text, field);
   if (!wrong) {
@@ -225,7 +225,7 @@
     Problem(value, *wrong);
     return;
   }
-  Problem(expanded.used[0], "gives " + value.key + " in " + value.file + ":" +
+  Problem(expanded.used[0], "sets " + value.key + " in " + value.file + ":" +
                                 std::to_string(value.line) + "; " + *wrong);
 }
 
--- a/src/core/config/deployment_builder.h
+++ b/src/core/config/deployment_builder.h
@@ -10,18 +10,18 @@
 
 namespace indigolead::internal {
 
-/// Builds one deployment from its sections and its template's.
+/// Builds one deployment from its own sections and those of its template.
 ///
-/// A wrong value that came from a parameter is reported where the parameter
-/// was given, since that is the line to mend.
+/// An invalid value that comes from a parameter is reported at the line that
+/// sets the parameter, since that is the line to fix.
 class DeploymentBuilder {
  public:
   DeploymentBuilder(const DeclarationIndex& index,
                     std::vector<ConfigProblem>* problems)
       : index_(index), problems_(problems) {}
 
-  /// Returns the deployment `name`, which the index holds. It is whole only
-  /// if no problem was appended.
+  /// Returns the deployment `name`, which must be in the index. The result is
+  /// complete only if no problem was appended.
   DeploymentSpec Build(const std::string& name);
 
  private:
--- a/src/core/config/ini.cc
+++ b/src/core/config/ini.cc
@@ -9,7 +9,7 @@
 namespace indigolead {
 namespace {
 
-/// Reads one file line by line.
+/// Parses one file line by line.
 class IniParser {
  public:
   explicit IniParser(const std::string& file) { ini_.file = file; }
@@ -59,7 +59,7 @@
   void ReadSection(std::string_view text) {
     if (text.back() != ']' || text.size() < 3) {
       AddProblem("",
-                 "expected \"[section]\", seen \"" + std::string(text) + "\"");
+                 "expected \"[section]\", got \"" + std::string(text) + "\"");
       return;
     }
     const std::string_view title = TrimSpaces(text.substr(1, text.size() - 2));
@@ -75,9 +75,9 @@
     keys_.clear();
     const auto [it, inserted] = section_lines_.emplace(full_title, line_);
     if (!inserted) {
-      AddProblem("", "comes twice, first in line " +
+      AddProblem("", "appears twice, first on line " +
                          std::to_string(it->second) +
-                         "; put all its keys into one section");
+                         "; move all its keys into one section");
     }
   }
 
@@ -87,17 +87,18 @@
     if (equals == std::string_view::npos || key.empty()) {
       AddProblem("",
                  "expected \"key = value\", \"[section]\" or a comment, "
-                 "seen \"" +
+                 "got \"" +
                      std::string(text) + "\"");
       return;
     }
     if (ini_.sections.empty()) {
-      AddProblem(key, "comes before the first section; put it below one");
+      AddProblem(key,
+                 "appears before the first section; move it into a section");
       return;
     }
     const auto [it, inserted] = keys_.emplace(key, line_);
     if (!inserted) {
-      AddProblem(key, "comes twice, first in line " +
+      AddProblem(key, "appears twice, first on line " +
                           std::to_string(it->second) + "; keep one of them");
       return;
     }
--- a/src/core/config/ini.h
+++ b/src/core/config/ini.h
@@ -1,12 +1,13 @@
 #ifndef INDIGOLEAD_CORE_CONFIG_INI_H_
 #define INDIGOLEAD_CORE_CONFIG_INI_H_
 
-// Reads INI text and keeps the line of every section and key, which the
-// messages about a wrong one need. The libraries at hand lose them once the
-// text is read; docs/STYLE.md names them.
+// Parses INI text and keeps the line number of every section and key for error
+// messages. The available libraries discard line numbers after parsing;
+// docs/STYLE.md names them.
 //
-// A file has sections ("[title]" or "[kind name]") of lines "key = value".
-// Lines that start with ';' or '#' are comments; there are none after a value.
+// A file consists of sections ("[title]" or "[kind name]") with lines of the
+// form "key = value". Lines that start with ';' or '#' are comments; comments
+// after a value are not supported.
 
 #include <string>
 #include <string_view>
@@ -16,10 +17,10 @@
 
 namespace indigolead {
 
-/// One "key = value".
+/// One "key = value" line.
 struct IniEntry {
   std::string key;
-  std::string value;  ///< Without the spaces round it; may be empty.
+  std::string value;  ///< Without surrounding spaces; may be empty.
   int line = 0;
 
   friend bool operator==(const IniEntry&, const IniEntry&) = default;
@@ -38,7 +39,7 @@
   friend bool operator==(const IniSection&, const IniSection&) = default;
 };
 
-/// One file as read.
+/// One parsed file.
 struct IniFile {
   std::string file;
   std::vector<IniSection> sections;
@@ -46,14 +47,13 @@
   friend bool operator==(const IniFile&, const IniFile&) = default;
 };
 
-/// Most bytes, and most bytes in one line, of a file.
+/// Maximum number of bytes in a file and in one line.
 inline constexpr std::size_t kMaxIniBytes = 1U << 20;
 inline constexpr std::size_t kMaxIniLineBytes = 4096;
 
-/// Returns the sections in `text`, or every line that is neither a section,
-/// a key with a value, a comment nor empty; also a key or section that comes
-/// twice, a key before the first section, and text that is not printable
-/// UTF-8.
+/// Returns the sections in `text`, or all problems: malformed lines, duplicate
+/// keys or sections, keys before the first section, text that is not printable
+/// UTF-8, and a file or line that exceeds its size limit.
 Checked<IniFile> ParseIni(const std::string& file, std::string_view text);
 
 }  // namespace indigolead
--- a/src/core/config/key_rules.cc
+++ b/src/core/config/key_rules.cc
@@ -67,7 +67,7 @@
          std::all_of(items.begin(), items.end(), accepts);
 }
 
-/// Returns true if `rule`, of a kind that is kept as text, accepts `text`.
+/// Returns true if `rule`, of a kind that is stored as text, accepts `text`.
 bool AcceptsText(const ValueRule& rule, const std::string& text) {
   switch (rule.kind) {
     case ValueKind::kName:
@@ -96,7 +96,7 @@
   }
 }
 
-/// Writes an accepted text into a field; false if it does not fit the field.
+/// Stores an accepted text in a field; returns false if the value does not fit.
 class FieldWriter {
  public:
   FieldWriter(const ValueRule& rule, const std::string& text)
@@ -157,7 +157,7 @@
   const std::string& text_;
 };
 
-/// Number of single-character edits that turn `a` into `b`.
+/// Returns the number of single-character edits that turn `a` into `b`.
 std::size_t EditDistance(const std::string& a, const std::string& b) {
   std::vector<std::size_t> row(b.size() + 1);
   std::iota(row.begin(), row.end(), 0);
--- a/src/core/config/key_rules.h
+++ b/src/core/config/key_rules.h
@@ -1,8 +1,8 @@
 #ifndef INDIGOLEAD_CORE_CONFIG_KEY_RULES_H_
 #define INDIGOLEAD_CORE_CONFIG_KEY_RULES_H_
 
-// One description of a key serves the reader of a file, the writer of one and
-// the reference page, so that none of them can differ from another.
+// Describes each key once for the file reader, the file writer and the
+// reference page, so that they cannot disagree.
 
 #include <cstdint>
 #include <functional>
@@ -17,17 +17,17 @@
 
 namespace indigolead {
 
-/// What the text of a value means.
+/// Type of a value.
 enum class ValueKind {
   kText,         ///< Any text.
   kName,         ///< See `IsName`.
-  kModelName,    ///< Letters of both cases, digits and - _ . : /
+  kModelName,    ///< Upper and lower case letters, digits and - _ . : /
   kChoice,       ///< One of `ValueRule::choices`.
   kAddress,      ///< "IP:port".
-  kAddressList,  ///< Addresses between commas.
+  kAddressList,  ///< Comma-separated addresses.
   kModelNameList,
-  kMethodList,  ///< HTTP methods between commas.
-  kPath,        ///< Path of a file.
+  kMethodList,  ///< Comma-separated HTTP methods.
+  kPath,        ///< File path.
   kUrlPrefix,   ///< Begins with a slash; does not end with one.
   kHost,        ///< Host name as in the Host header.
   kSha256,      ///< 64 hexadecimal digits.
@@ -38,8 +38,8 @@
   kDuration,
 };
 
-/// Which texts are accepted for a value. The range is inclusive; it counts
-/// bytes for sizes and nanoseconds for durations.
+/// Accepted texts of a value. The range is inclusive, in bytes for sizes and in
+/// nanoseconds for durations.
 struct ValueRule {
   ValueKind kind = ValueKind::kText;
   double min = 0;
@@ -49,12 +49,12 @@
   friend bool operator==(const ValueRule&, const ValueRule&) = default;
 };
 
-/// Points to the field that a key sets. Not owned.
+/// Non-owning pointer to the field that a key sets.
 using FieldPointer = std::variant<std::string*, bool*, double*, int*,
                                   std::uint32_t*, std::uint64_t*, Duration*,
                                   std::vector<std::string>*, DeploymentKind*>;
 
-/// One key that sets one field of an `Owner`.
+/// A key that sets one field of an `Owner`.
 template <typename Owner>
 struct KeyRow {
   std::string section;
@@ -69,25 +69,25 @@
 /// 500ms or 5s, from 1ms to 1m".
 std::string AcceptedText(const ValueRule& rule);
 
-/// Word that empties a list.
+/// Text that denotes an empty list.
 inline constexpr std::string_view kEmptyListText = "none";
 
-/// Sets `field` from `text`. Returns what is wrong if `rule` refuses it; the
-/// field is then left as it was.
+/// Sets `field` from `text`. If `rule` rejects the text, returns an error
+/// message and leaves the field unchanged.
 std::optional<std::string> AssignField(const ValueRule& rule,
                                        const std::string& text,
                                        const FieldPointer& field);
 
-/// Returns the text that sets `field` to its present value; nothing for empty
-/// text, `kEmptyListText` for an empty list.
+/// Returns the text that sets `field` to its current value: an empty string for
+/// empty text, `kEmptyListText` for an empty list.
 std::string FormatField(const ValueRule& rule, const FieldPointer& field);
 
-/// Returns the known word nearest to `word` if a slip of the hand explains
-/// the difference, else nothing.
+/// Returns the known word closest to `word` if the difference is small enough
+/// for a typing error, or nothing.
 std::optional<std::string> NearestWord(const std::string& word,
                                        const std::vector<std::string>& known);
 
-/// Rules in the words of their rows.
+/// Factory functions for the rules used in the key tables.
 ValueRule TextRule();
 ValueRule NameRule();
 ValueRule ChoiceRule(std::vector<std::string> choices);
--- a/src/core/config/revision_json.cc
+++ b/src/core/config/revision_json.cc
@@ -43,7 +43,7 @@
   return array;
 }
 
-/// Fills one JSON object field by field.
+/// Writes one JSON object field by field.
 struct Writer {
   Json object = Json::object();
 
@@ -84,14 +84,14 @@
 }
 
 std::string Dump(const Json& json) {
-  // Text that is not UTF-8 is replaced: it cannot be written as JSON, and the
-  // checker of declarations refuses it earlier with file and line.
+  // Invalid UTF-8 is replaced, since JSON cannot represent it. The declaration
+  // reader rejects it earlier, with file and line.
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
 // --- Reading ---------------------------------------------------------------
 
-/// Reads one JSON object field by field and keeps the first error.
+/// Reads one JSON object field by field and records the first error.
 class Reader {
  public:
   Reader(const Json& object, std::string path, std::string* error)
@@ -121,7 +121,7 @@
   }
 
  private:
-  // A century; above it a sum of two durations could overflow.
+  // 100 years. The sum of two longer durations could overflow.
   static constexpr std::int64_t kMaxMicros = 3'155'760'000'000'000;
 
   const Json* Find(const std::string& key) const {
@@ -135,7 +135,7 @@
   void Fail(const std::string& key, const std::string& expected,
             const Json& seen) {
     if (error_->empty()) {
-      *error_ = path_ + key + ": expected " + expected + ", seen " +
+      *error_ = path_ + key + ": expected " + expected + ", got " +
                 Dump(seen).substr(0, 60);
     }
   }
@@ -275,7 +275,7 @@
 Result<Revision> RevisionFromJson(std::string_view json) {
   const Json object = Json::parse(json, nullptr, /*allow_exceptions=*/false);
   if (object.is_discarded()) {
-    return ReadError("expected JSON of a revision, seen other text");
+    return ReadError("expected a revision as JSON, got other text");
   }
   Revision revision;
   std::string error;
@@ -291,7 +291,7 @@
   reader("nonce", revision.nonce);
   if (error.empty() && !ParseDigest(digest, &revision.digest)) {
     error =
-        "digest: expected 16 hexadecimal digits, seen " + digest.substr(0, 60);
+        "digest: expected 16 hexadecimal digits, got " + digest.substr(0, 60);
   }
   if (!error.empty()) {
     return ReadError(std::move(error));
--- a/src/core/config/revision_json.h
+++ b/src/core/config/revision_json.h
@@ -1,9 +1,10 @@
 #ifndef INDIGOLEAD_CORE_CONFIG_REVISION_JSON_H_
 #define INDIGOLEAD_CORE_CONFIG_REVISION_JSON_H_
 
-// The JSON form of a revision, as it is kept in the object API and passed
-// between processes. Durations are integers in microseconds and their names
-// end with "_us"; digests are 16 hexadecimal digits.
+// JSON encoding of a revision, as stored in the object API and exchanged
+// between processes. Durations are integers in microseconds with names that end
+// in
+// "_us"; digests are 16 hexadecimal digits.
 
 #include <cstdint>
 #include <string>
@@ -14,19 +15,19 @@
 
 namespace indigolead {
 
-/// Returns `revision` as JSON on one line, its keys in alphabetical order.
+/// Returns `revision` as one line of JSON with keys in alphabetical order.
 std::string ToJson(const Revision& revision);
 
-/// Returns `spec` as JSON on one line, its keys in alphabetical order: equal
-/// specifications give equal text.
+/// Returns `spec` as one line of JSON with keys in alphabetical order, so that
+/// equal specifications give equal text.
 std::string ToJson(const DeploymentSpec& spec);
 
-/// Returns the revision written as `json`.
+/// Parses a revision from `json`.
 ///
 /// Unknown fields are ignored and missing ones keep their defaults, so that
-/// processes of neighbouring versions read each other's revisions. A field of
-/// the wrong type or out of range is an error that names it: a value read
-/// wrongly would be in force everywhere within seconds.
+/// processes of adjacent versions can read each other's revisions. A field of
+/// the wrong type or out of range is an error that names the field, since a
+/// misread value would take effect on every instance within seconds.
 Result<Revision> RevisionFromJson(std::string_view json);
 
 /// Returns the XXH64 hash of the JSON form of `spec`.
--- a/src/core/config/settings.h
+++ b/src/core/config/settings.h
@@ -9,13 +9,13 @@
 
 namespace indigolead {
 
-/// Section [instance]: who and where this process is. Every process learns its
-/// address and failure domain from here, never by probing.
+/// Section [instance]: identity and location of this process. A process takes
+/// its address and failure domain only from here and never probes for them.
 struct InstanceSettings {
   std::string name;
   std::string failure_domain;
   std::string region;
-  std::string link_address = "127.0.0.1:0";  ///< Where peers connect.
+  std::string link_address = "127.0.0.1:0";  ///< Listening address for peers.
 
   friend bool operator==(const InstanceSettings&,
                          const InstanceSettings&) = default;
@@ -34,7 +34,7 @@
   friend bool operator==(const StoreSettings&, const StoreSettings&) = default;
 };
 
-/// Section [links]: connections between our own processes.
+/// Section [links]: connections between indigolead processes.
 struct LinkSettings {
   Duration heartbeat_interval = std::chrono::milliseconds(500);
   Duration silence_timeout = std::chrono::milliseconds(1500);
@@ -44,13 +44,13 @@
   std::string public_key_file;
   std::string secret_key_file;
   std::string trusted_keys_file;
-  /// Entries to try while the instance list is out of reach: "IP:port".
+  /// Entries to try while the instance list is unavailable, as "IP:port".
   std::vector<std::string> seeds;
 
   friend bool operator==(const LinkSettings&, const LinkSettings&) = default;
 };
 
-/// Section [entry]: the callers' side.
+/// Section [entry]: the process that accepts requests from callers.
 struct EntrySettings {
   std::string http_address = "127.0.0.1:0";
   std::uint32_t max_connections = 4096;
@@ -70,7 +70,7 @@
   friend bool operator==(const EntrySettings&, const EntrySettings&) = default;
 };
 
-/// Section [side]: the process beside one target.
+/// Section [side]: the process that runs next to one target.
 struct SideSettings {
   std::string deployment;
   std::string target_kind = "engine";  ///< "engine" or "service".
@@ -96,8 +96,8 @@
   friend bool operator==(const LogSettings&, const LogSettings&) = default;
 };
 
-/// Every setting of a process. Sections that its command does not use are
-/// left at their defaults and refused if present in its file.
+/// All settings of a process. Sections that its command does not use keep their
+/// defaults and are rejected if present in the file.
 struct Settings {
   InstanceSettings instance;
   StoreSettings store;
--- a/src/core/config/settings_reader.cc
+++ b/src/core/config/settings_reader.cc
@@ -34,7 +34,7 @@
   return std::find(words.begin(), words.end(), word) != words.end();
 }
 
-/// Fills settings from one parsed file and collects what is wrong with it.
+/// Fills settings from one parsed file and collects its problems.
 class SettingsReader {
  public:
   SettingsReader(const IniFile& ini, SettingsRole role)
@@ -104,7 +104,7 @@
     }
   }
 
-  /// Checks values that are each accepted but contradict each other.
+  /// Checks for values that are valid one by one but contradict each other.
   void CheckTogether() {
     const LinkSettings& links = settings_.links;
     if (links.silence_timeout < 2 * links.heartbeat_interval) {
@@ -112,7 +112,7 @@
           FormatDuration(links.silence_timeout) +
               " is less than two heartbeat intervals (" +
               FormatDuration(links.heartbeat_interval) +
-              " each), so that one late heartbeat closes a good connection; "
+              " each), so one late heartbeat would close a healthy connection; "
               "accepted is at least " +
               FormatDuration(2 * links.heartbeat_interval));
     }
@@ -130,7 +130,7 @@
     const auto absent = std::find_if_not(keys.begin(), keys.end(), given);
     if (first != keys.end() && absent != keys.end()) {
       Add(LineOf(section, *first), section, *absent,
-          "is missing beside " + *first + "; give all or none of " +
+          "is missing although " + *first + " is set; set all or none of " +
               JoinList(keys));
     }
   }
--- a/src/core/config/settings_table.cc
+++ b/src/core/config/settings_table.cc
@@ -14,7 +14,7 @@
 constexpr std::uint64_t kMiB = 1ULL << 20;
 constexpr std::uint64_t kGiB = 1ULL << 30;
 
-/// Returns the function that finds `field` of `part` in the settings.
+/// Returns a function that points to `field` of `part` in the settings.
 template <typename Part, typename Value>
 std::function<FieldPointer(Settings&)> FieldOf(Part Settings::*part,
                                                Value Part::*field) {
@@ -225,8 +225,8 @@
 }
 
 bool IsRequired(const KeyRow<Settings>& row, SettingsRole role) {
-  // A side reaches the store only through entries unless it is told where the
-  // store is.
+  // A side process reaches the store through entries unless its settings give
+  // the store's address.
   const bool side_without_store =
       role == SettingsRole::kSide && row.section == "store";
   return row.required && !side_without_store;
--- a/src/core/config/settings_table.h
+++ b/src/core/config/settings_table.h
@@ -1,8 +1,8 @@
 #ifndef INDIGOLEAD_CORE_CONFIG_SETTINGS_TABLE_H_
 #define INDIGOLEAD_CORE_CONFIG_SETTINGS_TABLE_H_
 
-// Every setting of a process, once: its section, unit, range, default and
-// meaning. docs/SETTINGS.md is printed from it.
+// Defines every setting of a process in one place: section, unit, range,
+// default and meaning. docs/SETTINGS.md is generated from this table.
 
 #include <string>
 #include <string_view>
@@ -23,12 +23,12 @@
 /// Returns the sections that `role` reads.
 std::vector<std::string> SectionsOf(SettingsRole role);
 
-/// Returns true if `role` cannot start without `row`.
+/// Returns true if `role` cannot start without the setting `row`.
 bool IsRequired(const KeyRow<Settings>& row, SettingsRole role);
 
-/// Returns the settings in `text`, or everything that is wrong with it:
-/// unknown section or key, value of another unit or out of range, missing
-/// required value, duplicate, and keys that contradict each other.
+/// Returns the settings in `text`, or all problems in it: unknown sections and
+/// keys, values with the wrong unit or out of range, missing required values,
+/// duplicates, and keys that contradict each other.
 Checked<Settings> ReadSettings(const std::string& file, std::string_view text,
                                SettingsRole role);
 
--- a/src/core/config/spec_diff.cc
+++ b/src/core/config/spec_diff.cc
@@ -11,7 +11,8 @@
 
 using Fields = std::map<std::string, std::string>;
 
-/// A deployment that does not exist yet has no fields, not default ones.
+/// Returns the fields of `spec`. A deployment that does not exist yet has no
+/// fields rather than default ones.
 Fields FieldsOf(const DeploymentSpec& spec) {
   return spec == DeploymentSpec{} ? Fields{} : FlattenSpec(spec);
 }
--- a/src/core/config/spec_diff.h
+++ b/src/core/config/spec_diff.h
@@ -1,7 +1,7 @@
 #ifndef INDIGOLEAD_CORE_CONFIG_SPEC_DIFF_H_
 #define INDIGOLEAD_CORE_CONFIG_SPEC_DIFF_H_
 
-// Compares deployments field by field, for people.
+// Compares deployments field by field for display to operators.
 
 #include <string>
 #include <vector>
@@ -10,7 +10,7 @@
 
 namespace indigolead {
 
-/// One field that differs. Empty text: the field is absent there.
+/// One field that differs. An empty text means that the field is absent.
 struct FieldChange {
   std::string path;  ///< See `FlattenSpec`.
   std::string before;
@@ -19,18 +19,19 @@
   friend bool operator==(const FieldChange&, const FieldChange&) = default;
 };
 
-/// Returns the fields that differ between `before` and `after`, by path.
+/// Returns the fields that differ between `before` and `after`, ordered by
+/// path.
 std::vector<FieldChange> DiffSpecs(const DeploymentSpec& before,
                                    const DeploymentSpec& after);
 
-/// One field that two racing edits of the same revision leave unequal, or
-/// that one of them changed.
+/// One field that at least one of two concurrent edits of a revision changed.
 struct EditConflict {
   std::string path;
-  std::string base;    ///< In the revision that the edit was made from.
-  std::string yours;   ///< In the edit that was refused.
-  std::string theirs;  ///< In the revision that is live.
-  bool both = false;   ///< Both edits changed it, to different values.
+  std::string base;    ///< In the common base revision.
+  std::string yours;   ///< In the rejected edit.
+  std::string theirs;  ///< In the live revision.
+  /// Both edits changed the field, to different values.
+  bool both = false;
 
   friend bool operator==(const EditConflict&, const EditConflict&) = default;
 };
--- a/src/core/config/spec_fields.h
+++ b/src/core/config/spec_fields.h
@@ -1,17 +1,16 @@
 #ifndef INDIGOLEAD_CORE_CONFIG_SPEC_FIELDS_H_
 #define INDIGOLEAD_CORE_CONFIG_SPEC_FIELDS_H_
 
-// Lists the fields of the configuration types once, for everything that walks
-// over them: the JSON writer, the JSON reader and the comparison of two edits.
-// A field added to a type and forgotten here is caught by a test that counts
-// the fields of each type.
+// Lists the fields of the configuration types in one place for the code that
+// iterates over them, such as the JSON writer and reader. A test counts the
+// fields of each type and fails if one is missing here.
 
 #include "core/config/deployment.h"
 
 namespace indigolead::internal {
 
 /// Calls `visit(name, field)` for each field of `spec`, which may be const.
-/// Durations are visited as they are; their names carry no unit.
+/// Durations are passed unconverted, and their names have no unit suffix.
 template <typename Visitor, typename Spec>
 void VisitModel(Spec& spec, Visitor&& visit) {
   visit("name", spec.name);
@@ -58,7 +57,7 @@
   visit("max_queue_tokens", spec.max_queue_tokens);
 }
 
-/// See `VisitModel`. The nested types are visited as fields of their own.
+/// See `VisitModel`. Nested types are passed as single fields.
 template <typename Visitor, typename Spec>
 void VisitDeployment(Spec& spec, Visitor&& visit) {
   visit("name", spec.name);
--- a/src/core/config/template_expansion.h
+++ b/src/core/config/template_expansion.h
@@ -8,7 +8,7 @@
 
 namespace indigolead::internal {
 
-/// A value with the place that it was written in.
+/// A value and its location in a file.
 struct PlacedValue {
   std::string file;
   int line = 0;
@@ -20,15 +20,15 @@
 /// Parameters by name.
 using Parameters = std::map<std::string, PlacedValue>;
 
-/// A template's value with its parameters filled in.
+/// A template value after parameter substitution.
 struct ExpandedValue {
   std::string text;
-  std::vector<PlacedValue> used;       ///< Parameters in it.
-  std::optional<std::string> problem;  ///< Set if it could not be filled in.
+  std::vector<PlacedValue> used;       ///< Parameters in the text.
+  std::optional<std::string> problem;  ///< Set if the expansion failed.
 };
 
-/// Replaces each "${NAME}" in `text` by the parameter of that name. A value
-/// that is put in is not searched again, so expansion always ends.
+/// Replaces each "${NAME}" in `text` with the value of that parameter.
+/// Substituted values are not expanded again, so expansion always terminates.
 ExpandedValue Expand(const std::string& text, const Parameters& parameters);
 
 }  // namespace indigolead::internal
--- a/src/core/config/value_text.cc
+++ b/src/core/config/value_text.cc
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kSpaces = " \t\r";
 
-/// One unit and how many of the smallest unit it holds.
+/// A unit and its size in the smallest unit.
 struct AmountUnit {
   std::string_view suffix;
   std::uint64_t factor;
@@ -32,7 +32,7 @@
     {"B", 1},
 }};
 
-// Far above any accepted range, and low enough for nanoseconds in 64 bits.
+// Well above every accepted range, yet small enough for 64-bit nanoseconds.
 constexpr std::uint64_t kMaxAmount = 1ULL << 50;
 
 template <std::size_t kCount>
@@ -85,7 +85,7 @@
       return 0;
     }
   }
-  // Overlong forms, surrogates and values above U+10FFFF.
+  // Rejects overlong forms, surrogates and values above U+10FFFF.
   const bool wrong =
       (first == 0xE0 && byte(1) < 0xA0) || (first == 0xED && byte(1) > 0x9F) ||
       (first == 0xF0 && byte(1) < 0x90) || (first == 0xF4 && byte(1) > 0x8F);
--- a/src/core/config/value_text.h
+++ b/src/core/config/value_text.h
@@ -1,9 +1,9 @@
 #ifndef INDIGOLEAD_CORE_CONFIG_VALUE_TEXT_H_
 #define INDIGOLEAD_CORE_CONFIG_VALUE_TEXT_H_
 
-// The text forms of single values in settings and declarations. Amounts carry
-// their unit ("500ms", "64MiB"): a bare number is refused, since a timeout of
-// "5" that was meant as seconds and read as milliseconds does harm silently.
+// Parses and formats single values of settings and declarations. Amounts have a
+// unit ("500ms", "64MiB"). A bare number is rejected, since a timeout of "5"
+// meant as seconds but read as milliseconds would fail silently.
 
 #include <cstdint>
 #include <optional>
@@ -15,43 +15,44 @@
 
 namespace indigolead {
 
-/// Returns `text` without spaces, tabs and carriage returns at its ends.
+/// Returns `text` without leading and trailing spaces, tabs and carriage
+/// returns.
 std::string_view TrimSpaces(std::string_view text);
 
-/// Returns true if `text` is UTF-8 without control characters, tabs aside.
+/// Returns true if `text` is UTF-8 without control characters other than tabs.
 bool IsPrintableUtf8(std::string_view text);
 
-/// Returns the parts of `text` between commas, trimmed; empty parts included.
-/// Empty text has no parts.
+/// Splits `text` at commas and trims the parts, keeping empty ones. Empty text
+/// has no parts.
 std::vector<std::string> SplitList(std::string_view text);
 
 /// Returns `items` joined by ", ".
 std::string JoinList(const std::vector<std::string>& items);
 
-/// Returns the duration written as digits and "us", "ms", "s", "m" or "h".
+/// Parses a duration of digits followed by "us", "ms", "s", "m" or "h".
 std::optional<Duration> ParseDuration(std::string_view text);
 
-/// Returns `duration`, in whole microseconds, with the largest unit that
-/// writes it without a fraction.
+/// Formats `duration`, in whole microseconds, with the largest unit that needs
+/// no fraction.
 std::string FormatDuration(Duration duration);
 
-/// Returns the bytes written as digits and "B", "KiB", "MiB" or "GiB".
+/// Parses a size of digits followed by "B", "KiB", "MiB" or "GiB".
 std::optional<std::uint64_t> ParseSize(std::string_view text);
 
-/// Returns `bytes` with the largest unit that writes it without a fraction.
+/// Formats `bytes` with the largest unit that needs no fraction.
 std::string FormatSize(std::uint64_t bytes);
 
-/// Returns the integer written in decimal, or nothing if it has other
-/// characters or does not fit.
+/// Parses a decimal integer. Returns nothing if it has other characters or does
+/// not fit.
 std::optional<std::int64_t> ParseInteger(std::string_view text);
 
-/// Returns the number written with digits and at most one point.
+/// Parses a number of digits and at most one decimal point.
 std::optional<double> ParseNumber(std::string_view text);
 
-/// Returns the shortest text that reads back as `number`.
+/// Returns the shortest text that parses to `number`.
 std::string FormatNumber(double number);
 
-/// Returns "true" and "false" as bool, and nothing for any other text.
+/// Parses "true" or "false". Returns nothing for any other text.
 std::optional<bool> ParseFlag(std::string_view text);
 
 /// Returns true if `text` is an IPv4 address and a port, such as
--- a/tests/core/config/declarations_test.cc
+++ b/tests/core/config/declarations_test.cc
@@ -45,8 +45,8 @@
   return read.index() == 0 ? "" : ToText(std::get<1>(read));
 }
 
-/// Checks the two good files with `added` at the end of the second, whose
-/// eight lines are those of `Deployment`.
+/// Returns the problems of the two valid files with `added` appended to the
+/// second, whose first eight lines are those of `Deployment`.
 std::string ProblemsWith(const std::string& added) {
   return ProblemsOf({{"t.ini", kTemplates}, {"d.ini", Deployment() + added}});
 }
@@ -66,21 +66,21 @@
   return spec;
 }
 
-TEST_CASE("A deployment is its template with the parameters filled in") {
-  SECTION("defaults, parameters and account values come together") {
+TEST_CASE("A deployment is built from its template and parameters") {
+  SECTION("defaults, parameters and account values are combined") {
     const auto read =
         ReadDeclarations({{"t.ini", kTemplates}, {"d.ini", Deployment()}});
     REQUIRE(read.index() == 0);
     REQUIRE(std::get<0>(read).size() == 1);
     CHECK(std::get<0>(read)[0] == ExpectedSpec());
   }
-  SECTION("an account's own key goes before the template's") {
+  SECTION("an account's own key overrides the template's") {
     const auto read = ReadDeclarations(
         {{"t.ini", kTemplates}, {"d.ini", Deployment() + "priority = -5\n"}});
     REQUIRE(read.index() == 0);
     CHECK(std::get<0>(read)[0].client_accounts[0].priority == -5);
   }
-  SECTION("a template in the same file goes before another file's") {
+  SECTION("a template in the same file takes precedence") {
     std::string own = kTemplates;
     own.replace(own.find("30s"), 3, "31s");
     const auto read = ReadDeclarations(
@@ -90,7 +90,7 @@
   }
 }
 
-TEST_CASE("What is written from a specification reads back as the same") {
+TEST_CASE("A written declaration parses to the same specification") {
   DeploymentSpec spec = ExpectedSpec();
   SECTION("with models and client accounts") {}
   SECTION("with empty lists and amounts of every unit") {
@@ -112,7 +112,8 @@
   CHECK(std::get<0>(read) == std::vector<DeploymentSpec>{spec});
 }
 
-TEST_CASE("A wrong declaration is named with file, line, key and remedy") {
+TEST_CASE(
+    "An invalid declaration is reported with file, line, key and remedy") {
   struct Case {
     std::string added;
     const char* message;
@@ -132,10 +133,10 @@
        "missing; accepted is 64"},
       {account + "api_key_sha256 = 12\n", "api_key_sha256: \"12\" is not"},
       {account + "api_key_sha256 = " + HashOf('a') + "\n",
-       "d.ini:6: [client-account tarifa-llm gran-via] api_key_sha256: is the "
-       "key of client account b too; give each its own"},
+       "d.ini:6: [client-account tarifa-llm gran-via] api_key_sha256: is also "
+       "the key of client account b; give each account its own key"},
       {account + key_b + "salons = 0\n",
-       "d.ini:10: [client-account tarifa-llm b] salons: gives max_concurrent "
+       "d.ini:10: [client-account tarifa-llm b] salons: sets max_concurrent "
        "in t.ini:14; \"0\" is not accepted; accepted is an integer from 1"},
       {account + key_b + "models = trifa\n",
        "d.ini:10: [client-account tarifa-llm b] models: \"trifa\" is not "
@@ -143,8 +144,8 @@
       {"[client-account salon-app b]\n" + key_b,
        "belongs to [deployment salon-app], which is not declared"},
       {"[deployment tarifa-llm]\n",
-       "d.ini:8: [deployment tarifa-llm] comes "
-       "twice, first in line 1"},
+       "d.ini:8: [deployment tarifa-llm] appears "
+       "twice, first on line 1"},
       {"[deployment B]\n", "d.ini:8: [deployment B] \"B\" is not accepted"},
       {"[deploiment b]\n",
        "[deploiment b] is not a known section; did you "
@@ -161,7 +162,7 @@
        "d.ini:11: [deployment b] deadline: is not a known key; accepted are "
        "template, model_version, adapters"},
       {"[deployment b]\ntemplate = price-rules\nadapters = a b\n",
-       "d.ini:10: [deployment b] adapters: gives adapters in t.ini:9"},
+       "d.ini:10: [deployment b] adapters: sets adapters in t.ini:9"},
       {"[template x model m]\nversion = 1\n",
        "belongs to [template x], which this file lacks"},
       {"[template x model m]\nversion = 1\n[deployment b]\ntemplate = x\n",
@@ -188,7 +189,7 @@
   }
 }
 
-/// Returns the declarations of the example `name`.
+/// Returns the declaration files of the example `name`.
 std::vector<DeclarationFile> ExampleFiles(const std::string& name) {
   const std::filesystem::path dir = INDIGOLEAD_SOURCE_DIR "/examples/" + name;
   std::vector<DeclarationFile> files;
@@ -200,7 +201,7 @@
   return files;
 }
 
-TEST_CASE("The examples are good declarations") {
+TEST_CASE("The example declarations are valid") {
   for (const char* name : {"unas-del-norte", "flashwatch"}) {
     INFO(name << "\n" << ProblemsOf(ExampleFiles(name)));
     const auto read = ReadDeclarations(ExampleFiles(name));
@@ -209,11 +210,13 @@
   }
 }
 
-TEST_CASE("docs/DECLARATIONS.md is the page that the tables print") {
+TEST_CASE("docs/DECLARATIONS.md matches the key tables") {
   const std::ifstream file(INDIGOLEAD_SOURCE_DIR "/docs/DECLARATIONS.md");
   std::ostringstream page;
   page << file.rdbuf();
-  INFO("To mend: build/indigolead help declarations > docs/DECLARATIONS.md");
+  INFO(
+      "To regenerate: build/indigolead help declarations > "
+      "docs/DECLARATIONS.md");
   CHECK(page.str() == DeclarationsMarkdown());
 }
 
--- a/tests/core/config/parser_fuzz_test.cc
+++ b/tests/core/config/parser_fuzz_test.cc
@@ -1,6 +1,7 @@
-// Feeds the parsers of text that comes from outside with damaged text: bytes
-// changed, cut, doubled and joined from good examples. Seeded, so that a
-// failure can be repeated; bounded, so that it is part of every run.
+// Feeds the parsers of external text with random corruptions of valid examples:
+// bytes changed, removed, inserted or duplicated. The random seeds are fixed so
+// that failures are reproducible, and the number of rounds is bounded so that
+// the test can be part of every run.
 
 #include <catch2/catch.hpp>
 #include <filesystem>
@@ -29,7 +30,7 @@
   return limit == 0 ? 0 : (*random)() % limit;
 }
 
-/// Returns `text` with one damage.
+/// Returns `text` with one random corruption.
 std::string Damage(std::string text, Random* random) {
   const std::size_t at = Below(random, text.size());
   const std::size_t length = Below(random, 40);
@@ -62,7 +63,7 @@
   return damaged;
 }
 
-/// Checks that every problem says where and what.
+/// Checks that every problem names its file and has a description.
 void CheckProblems(const std::vector<ConfigProblem>& problems) {
   REQUIRE_FALSE(problems.empty());
   for (const ConfigProblem& it : problems) {
@@ -71,7 +72,7 @@
   }
 }
 
-TEST_CASE("Damaged declarations are refused or read, never worse") {
+TEST_CASE("Corrupted declarations are either rejected or parsed") {
   const std::string example =
       ReadFile(INDIGOLEAD_SOURCE_DIR "/examples/unas-del-norte/templates.ini") +
       ReadFile(INDIGOLEAD_SOURCE_DIR
@@ -85,7 +86,7 @@
       CheckProblems(std::get<1>(read));
       continue;
     }
-    // What was accepted must survive being written and read back.
+    // An accepted declaration must round-trip through the writer.
     for (const DeploymentSpec& it : std::get<0>(read)) {
       const auto again = ReadDeclarations({{"x.ini", WriteDeclaration(it)}});
       REQUIRE(again.index() == 0);
@@ -94,7 +95,7 @@
   }
 }
 
-TEST_CASE("Damaged settings are refused or read, never worse") {
+TEST_CASE("Corrupted settings are either rejected or parsed") {
   const std::string example =
       "[instance]\nname = entry-1\nfailure_domain = bilbao-a\nregion = norte\n"
       "[store]\naddress = 127.0.0.1:7000\ncall_deadline = 1500ms\n"
@@ -111,7 +112,7 @@
   }
 }
 
-TEST_CASE("Damaged revisions are refused or read, never worse") {
+TEST_CASE("Corrupted revisions are either rejected or parsed") {
   Revision revision;
   revision.number = 7;
   revision.spec.name = "tarifa-llm";
--- a/tests/core/config/revision_json_test.cc
+++ b/tests/core/config/revision_json_test.cc
@@ -49,20 +49,20 @@
   return IsOk(result) ? "no error" : ErrorOf(result).detail;
 }
 
-TEST_CASE("A revision keeps its meaning as JSON") {
+TEST_CASE("A revision round-trips through JSON") {
   const Revision revision = FullRevision();
 
-  SECTION("what is written reads back as the same revision") {
+  SECTION("a revision with every field set") {
     const Result<Revision> read = RevisionFromJson(ToJson(revision));
     REQUIRE(IsOk(read));
     CHECK(ValueOf(read) == revision);
   }
-  SECTION("a default revision reads back too") {
+  SECTION("a default revision") {
     const Result<Revision> read = RevisionFromJson(ToJson(Revision{}));
     REQUIRE(IsOk(read));
     CHECK(ValueOf(read) == Revision{});
   }
-  SECTION("fields of a newer version are ignored, absent ones default") {
+  SECTION("unknown fields are ignored and missing ones get defaults") {
     const Result<Revision> read = RevisionFromJson(
         R"({"number":3,"new":[1],"spec":{"name":"a","newer":{"x":1}}})");
     REQUIRE(IsOk(read));
@@ -73,7 +73,7 @@
   }
 }
 
-TEST_CASE("A revision that was damaged is refused with the field's name") {
+TEST_CASE("An invalid revision is rejected with the name of the field") {
   struct Case {
     const char* json;
     const char* message;
@@ -105,23 +105,23 @@
   }
 }
 
-TEST_CASE("The digest stands for the specification alone") {
+TEST_CASE("The digest depends only on the specification") {
   const Revision revision = FullRevision();
 
   SECTION("equal specifications have equal digests") {
     CHECK(SpecDigest(FullRevision().spec) == revision.digest);
   }
-  SECTION("one changed field changes it") {
+  SECTION("one changed field changes the digest") {
     DeploymentSpec changed = revision.spec;
     changed.client_accounts[0].max_concurrent += 1;
     CHECK(SpecDigest(changed) != revision.digest);
   }
-  SECTION("its text has sixteen digits") {
+  SECTION("the digest text has sixteen digits") {
     CHECK(DigestText(0xab) == "00000000000000ab");
   }
 }
 
-/// Counts the fields that a visitor is shown.
+/// Visitor that counts the fields it is called with.
 struct FieldCounter {
   std::size_t* count;
 
@@ -131,9 +131,9 @@
   }
 };
 
-// A field that is added to a type but not to spec_fields.h would be lost on
-// its way through the store without a word.
-TEST_CASE("Every field of the configuration types is listed") {
+// A field that is added to a type but not to spec_fields.h would be silently
+// lost when a revision passes through the store.
+TEST_CASE("Every field of the configuration types is listed in spec_fields.h") {
   using testing::FieldCount;
   std::size_t count = 0;
   const FieldCounter counter{&count};
--- a/tests/core/config/settings_table_test.cc
+++ b/tests/core/config/settings_table_test.cc
@@ -36,7 +36,7 @@
 }
 
 TEST_CASE("Settings are read from INI") {
-  SECTION("what is absent keeps its default") {
+  SECTION("absent settings keep their defaults") {
     const Checked<Settings> read =
         ReadSettings("e.ini", kEntryText, SettingsRole::kEntry);
     REQUIRE(read.index() == 0);
@@ -47,7 +47,7 @@
     expected.store.address = "127.0.0.1:7000";
     CHECK(std::get<0>(read) == expected);
   }
-  SECTION("amounts are read by their units") {
+  SECTION("amounts are converted by unit") {
     const std::string text = std::string(kEntryText) +
                              "call_deadline = 1500ms\n"
                              "[links]\nmax_message_bytes = 64MiB\n"
@@ -61,7 +61,7 @@
     CHECK(settings.links.seeds ==
           std::vector<std::string>{"10.0.0.1:70", "10.0.0.2:71"});
   }
-  SECTION("a side does without the store's address") {
+  SECTION("a side does not need the store's address") {
     CHECK(ProblemsOf("[instance]\nname = s\nfailure_domain = d\nregion = r\n"
                      "[side]\ndeployment = m\ntarget_address = 127.0.0.1:1\n",
                      SettingsRole::kSide)
@@ -69,9 +69,9 @@
   }
 }
 
-TEST_CASE("A wrong setting is named with file, line, key and remedy") {
+TEST_CASE("An invalid setting is reported with file, line, key and remedy") {
   struct Case {
-    const char* added;  ///< Below the eight lines of a good file.
+    const char* added;  ///< Appended to the eight lines of a valid file.
     const char* message;
   };
   const Case cases[] = {
@@ -92,14 +92,15 @@
       {"[side]\n", "[side] is not a section of this command"},
       {"[links]\nmax_links =\n", "max_links: has no value"},
       {"[links]\nmax_links = 1\nmax_links = 1\n",
-       "e.ini:11: [links] max_links: comes twice, first in line 10"},
-      {"[instance]\n", "e.ini:9: [instance] comes twice, first in line 2"},
+       "e.ini:11: [links] max_links: appears twice, first on line 10"},
+      {"[instance]\n", "e.ini:9: [instance] appears twice, first on line 2"},
       {"[links]\nmax_links\n", "e.ini:10: [links] expected \"key = value\""},
       {"[links\n", "expected \"[section]\""},
       {"[links]\nsilence_timeout = 600ms\n",
        "e.ini:10: [links] silence_timeout: 600ms is less than two heartbeat"},
       {"[links]\npublic_key_file = a\n",
-       "e.ini:10: [links] secret_key_file: is missing beside public_key_file"},
+       "e.ini:10: [links] secret_key_file: is missing although "
+       "public_key_file is set"},
       {"[entry]\ntls_key_file = a\n", "tls_certificate_file: is missing"},
       {"[entry]\nhttp_address = localhost:80\n",
        "accepted is an IP number and port"},
@@ -116,17 +117,17 @@
   }
 }
 
-TEST_CASE("All problems of a file are told at once") {
+TEST_CASE("All problems of a file are reported together") {
   const std::string problems = ProblemsOf("key = 1\n[instance]\nname = A\n");
-  CHECK_THAT(problems, Contains("e.ini:1: key: comes before"));
+  CHECK_THAT(problems, Contains("e.ini:1: key: appears before"));
   const std::string missing = ProblemsOf("[instance]\nname = A\n");
   CHECK_THAT(missing, Contains("e.ini:2: [instance] name: \"A\" is not"));
   CHECK_THAT(missing, Contains("[instance] region: is missing"));
   CHECK_THAT(missing, Contains("[store] address: is missing"));
 }
 
-// A field without a row could be set by nobody, and its default would be in
-// force without being written down anywhere.
+// A field without a row could not be set, and its default would apply without
+// being documented.
 TEST_CASE("Every field of the settings has a row") {
   using testing::FieldCount;
   CHECK(RowsOf("instance") == FieldCount<InstanceSettings>());
@@ -149,11 +150,11 @@
   }
 }
 
-TEST_CASE("docs/SETTINGS.md is the page that the table prints") {
+TEST_CASE("docs/SETTINGS.md matches the settings table") {
   const std::ifstream file(INDIGOLEAD_SOURCE_DIR "/docs/SETTINGS.md");
   std::ostringstream page;
   page << file.rdbuf();
-  INFO("To mend: build/indigolead help settings > docs/SETTINGS.md");
+  INFO("To regenerate: build/indigolead help settings > docs/SETTINGS.md");
   CHECK(page.str() == SettingsMarkdown());
 }
 
--- a/tests/core/config/spec_diff_test.cc
+++ b/tests/core/config/spec_diff_test.cc
@@ -18,10 +18,10 @@
   const DeploymentSpec before = BaseSpec();
   DeploymentSpec after = before;
 
-  SECTION("equal ones have no changes") {
+  SECTION("equal deployments have no changes") {
     CHECK(DiffSpecs(before, after).empty());
   }
-  SECTION("a changed field is named by its path") {
+  SECTION("a changed field is reported by its path") {
     after.client_accounts[0].priority = 7;
     after.request.deadline = std::chrono::seconds(5);
     const std::vector<FieldChange> expected = {
@@ -29,7 +29,7 @@
         {"deadline", "1m", "5s"}};
     CHECK(DiffSpecs(before, after) == expected);
   }
-  SECTION("a removed model shows its fields as gone") {
+  SECTION("fields of a removed model are reported as absent") {
     after.models.clear();
     const std::vector<FieldChange> expected = {
         {"model tarifa adapters", "none", ""},
@@ -38,7 +38,7 @@
   }
 }
 
-TEST_CASE("Racing edits of one revision are shown side by side") {
+TEST_CASE("Concurrent edits of one revision are shown side by side") {
   const DeploymentSpec base = BaseSpec();
   DeploymentSpec yours = base;
   DeploymentSpec theirs = base;
