--- a/src/cli/declaration_dir.cc
+++ b/src/cli/declaration_dir.cc
@@ -104,7 +104,7 @@
       err << "indigolead: " << ErrorOf(text) << "\n";
       return std::nullopt;
     }
-    const Checked<IniFile> ini = ParseIni(path, ValueOf(text));
+    const ValueOrProblems<IniFile> ini = ParseIni(path, ValueOf(text));
     if (ini.index() == 1) {
       err << ToText(std::get<1>(ini));
       return std::nullopt;
--- a/src/cli/revision_commands.cc
+++ b/src/cli/revision_commands.cc
@@ -116,7 +116,7 @@
     if (it.kind == ChangeKind::kConflict) {
       PrintConflict(os, store, it.wanted, *it.seen, it.live);
       refused = true;
-    } else if (it.kind == ChangeKind::kUnseen) {
+    } else if (it.kind == ChangeKind::kUnknownBase) {
       PrintUnseen(os, it);
       refused = true;
     }
@@ -205,7 +205,7 @@
       os << change.wanted.name << ": new\n";
       break;
     case ChangeKind::kUpdate:
-    case ChangeKind::kUnseen:
+    case ChangeKind::kUnknownBase:
       os << change.wanted.name << ": revision " << NumberOf(change.live)
          << " -> yours\n";
       break;
--- a/src/cli/settings_file.cc
+++ b/src/cli/settings_file.cc
@@ -35,7 +35,7 @@
     err << path << ": " << ErrorOf(text).detail << "\n";
     return std::nullopt;
   }
-  Checked<Settings> settings = ReadSettings(path, ValueOf(text), role);
+  ValueOrProblems<Settings> settings = ReadSettings(path, ValueOf(text), role);
   if (settings.index() == 1) {
     err << ToText(std::get<1>(settings));
     return std::nullopt;
--- a/src/core/config/change_plan.cc
+++ b/src/core/config/change_plan.cc
@@ -6,18 +6,18 @@
 
 ChangeKind PlanChange(const DeploymentSpec& wanted,
                       const std::optional<Revision>& live,
-                      const std::optional<std::uint64_t>& seen) {
+                      const std::optional<std::uint64_t>& base_number) {
   if (live && live->spec == wanted) {
     return ChangeKind::kNone;
   }
   const std::uint64_t live_number = live ? live->number : 0;
-  if (seen) {
-    if (*seen != live_number) {
+  if (base_number) {
+    if (*base_number != live_number) {
       return ChangeKind::kConflict;
     }
     return live ? ChangeKind::kUpdate : ChangeKind::kCreate;
   }
-  return live ? ChangeKind::kUnseen : ChangeKind::kCreate;
+  return live ? ChangeKind::kUnknownBase : ChangeKind::kCreate;
 }
 
 Revision NextRevision(const DeploymentSpec& wanted,
--- a/src/core/config/change_plan.h
+++ b/src/core/config/change_plan.h
@@ -14,22 +14,23 @@
 
 /// Result of comparing an edit with the live revision.
 enum class ChangeKind {
-  kNone,      ///< The live revision already has this specification.
-  kCreate,    ///< There is no live revision.
-  kUpdate,    ///< The edit is based on the live revision.
-  kConflict,  ///< The edit is based on a revision that is not live.
-  kUnseen,    ///< The base revision of the edit is unknown.
+  kNone,         ///< The live revision already has this specification.
+  kCreate,       ///< There is no live revision.
+  kUpdate,       ///< The edit is based on the live revision.
+  kConflict,     ///< The edit is based on a revision that is not live.
+  kUnknownBase,  ///< The base revision of the edit is unknown.
 };
 
-/// Returns the kind of change that applying `wanted` makes. `seen` is the
-/// number of the revision that the edit is based on, or 0 if there was none.
+/// Returns the kind of change that applying `wanted` makes. `base_number` is
+/// the number of the revision that the edit is based on, or 0 if there was
+/// none.
 ///
 /// Prevents a lost update: of two operators who edit the same revision, the
 /// second to apply would silently undo the first one's change. Checking the
 /// store's version is not enough, since both read it just before they write.
 ChangeKind PlanChange(const DeploymentSpec& wanted,
                       const std::optional<Revision>& live,
-                      const std::optional<std::uint64_t>& seen);
+                      const std::optional<std::uint64_t>& base_number);
 
 /// Author, time and reason of a change.
 struct ChangeOrigin {
--- a/src/core/config/config_problem.h
+++ b/src/core/config/config_problem.h
@@ -28,7 +28,7 @@
 /// Holds either a value or all problems in its text, so that a user can fix a
 /// file in one pass.
 template <typename T>
-using Checked = std::variant<T, std::vector<ConfigProblem>>;
+using ValueOrProblems = std::variant<T, std::vector<ConfigProblem>>;
 
 }  // namespace indigolead
 
--- a/src/core/config/declaration_checks.h
+++ b/src/core/config/declaration_checks.h
@@ -11,9 +11,9 @@
 
 /// Appends a problem for each deployment whose values are valid one by one but
 /// contradict each other or those of another deployment.
-void CheckTogether(const std::vector<DeploymentSpec>& specs,
-                   const DeclarationIndex& index,
-                   std::vector<ConfigProblem>* problems);
+void CheckConsistency(const std::vector<DeploymentSpec>& specs,
+                      const DeclarationIndex& index,
+                      std::vector<ConfigProblem>* problems);
 
 }  // namespace indigolead::internal
 
--- a/src/core/config/declaration_index.cc
+++ b/src/core/config/declaration_index.cc
@@ -35,7 +35,7 @@
 
   void AddFile(const IniFile& ini) {
     for (const IniSection& it : ini.sections) {
-      Add({ini.file, it});
+      AddSection({ini.file, it});
     }
   }
 
@@ -48,35 +48,36 @@
     }
     for (const auto& [deployment, accounts] : index_->client_accounts) {
       if (!index_->deployments.contains(deployment)) {
-        for (const auto& [name, placed] : accounts) {
-          Problem(placed, "belongs to [deployment " + deployment +
-                              "], which is not declared");
+        for (const auto& [name, located] : accounts) {
+          AddProblem(located, "belongs to [deployment " + deployment +
+                                  "], which is not declared");
         }
       }
     }
   }
 
  private:
-  void Add(const PlacedSection& placed) {
-    const std::string& kind = placed.section.kind;
-    const std::vector<std::string> words = WordsOf(placed.section.name);
-    if (kind == "template" && AddTemplate(placed, words)) {
+  void AddSection(const LocatedSection& located) {
+    const std::string& kind = located.section.kind;
+    const std::vector<std::string> words = WordsOf(located.section.name);
+    if (kind == "template" && AddTemplate(located, words)) {
       return;
     }
-    if (kind == "deployment" && words.size() == 1 && CheckName(placed, words)) {
-      Keep(placed, &index_->deployments, words[0]);
+    if (kind == "deployment" && words.size() == 1 &&
+        CheckName(located, words)) {
+      InsertUnique(located, &index_->deployments, words[0]);
       return;
     }
     if (kind == "client-account" && words.size() == 2 &&
-        CheckName(placed, words)) {
-      Keep(placed, &index_->client_accounts[words[0]], words[1]);
+        CheckName(located, words)) {
+      InsertUnique(located, &index_->client_accounts[words[0]], words[1]);
       return;
     }
-    if (!named_wrongly_) {
-      Problem(placed, "is not a known section" + Suggestion(kind) +
-                          "; accepted are " + JoinList(SectionForms()));
+    if (!has_invalid_name_) {
+      AddProblem(located, "is not a known section" + Suggestion(kind) +
+                              "; accepted are " + JoinList(SectionForms()));
     }
-    named_wrongly_ = false;
+    has_invalid_name_ = false;
   }
 
   static std::string Suggestion(const std::string& kind) {
@@ -86,45 +87,45 @@
                                        : "";
   }
 
-  bool AddTemplate(const PlacedSection& placed,
+  bool AddTemplate(const LocatedSection& located,
                    const std::vector<std::string>& words) {
     const bool main = words.size() == 1;
     const bool model = words.size() == 3 && words[1] == "model";
     const bool account = words.size() == 2 && words[1] == "client-account";
-    if (!(main || model || account) || !CheckName(placed, {words[0]})) {
+    if (!(main || model || account) || !CheckName(located, {words[0]})) {
       return false;
     }
-    TemplateSections& sections = index_->templates[placed.file][words[0]];
+    TemplateSections& sections = index_->templates[located.file][words[0]];
     if (main) {
-      sections.main = placed;
+      sections.main = located;
     } else if (model) {
-      Keep(placed, &sections.models, words[2]);
+      InsertUnique(located, &sections.models, words[2]);
     } else {
-      sections.client_account = placed;
+      sections.client_account = located;
     }
     return true;
   }
 
-  bool CheckName(const PlacedSection& placed,
+  bool CheckName(const LocatedSection& located,
                  const std::vector<std::string>& names) {
     for (const std::string& it : names) {
       if (!IsName(it)) {
-        Problem(placed, "\"" + it + "\" is not accepted; accepted is " +
-                            AcceptedText(NameRule()));
-        named_wrongly_ = true;
+        AddProblem(located, "\"" + it + "\" is not accepted; accepted is " +
+                                AcceptedText(NameRule()));
+        has_invalid_name_ = true;
         return false;
       }
     }
     return true;
   }
 
-  void Keep(const PlacedSection& placed,
-            std::map<std::string, PlacedSection>* sections,
-            const std::string& name) {
-    const auto [it, inserted] = sections->emplace(name, placed);
+  void InsertUnique(const LocatedSection& located,
+                    std::map<std::string, LocatedSection>* sections,
+                    const std::string& name) {
+    const auto [it, inserted] = sections->emplace(name, located);
     if (!inserted) {
-      Problem(placed, "is declared twice, first in " + it->second.file + ":" +
-                          std::to_string(it->second.section.line));
+      AddProblem(located, "is declared twice, first in " + it->second.file +
+                              ":" + std::to_string(it->second.section.line));
     }
   }
 
@@ -133,21 +134,21 @@
     if (!sections.main.file.empty()) {
       return;
     }
-    const PlacedSection& orphan = sections.client_account
-                                      ? *sections.client_account
-                                      : sections.models.begin()->second;
-    Problem(orphan,
-            "belongs to [template " + name + "], which this file lacks");
+    const LocatedSection& orphan = sections.client_account
+                                       ? *sections.client_account
+                                       : sections.models.begin()->second;
+    AddProblem(orphan,
+               "belongs to [template " + name + "], which this file lacks");
   }
 
-  void Problem(const PlacedSection& placed, std::string detail) {
-    problems_->push_back({placed.file, placed.section.line,
-                          placed.section.title(), "", std::move(detail)});
+  void AddProblem(const LocatedSection& located, std::string detail) {
+    problems_->push_back({located.file, located.section.line,
+                          located.section.title(), "", std::move(detail)});
   }
 
   DeclarationIndex* index_;
   std::vector<ConfigProblem>* problems_;
-  bool named_wrongly_ = false;
+  bool has_invalid_name_ = false;
 };
 
 }  // namespace
--- a/src/core/config/declaration_index.h
+++ b/src/core/config/declaration_index.h
@@ -12,16 +12,16 @@
 namespace indigolead::internal {
 
 /// A section and the file that contains it.
-struct PlacedSection {
+struct LocatedSection {
   std::string file;
   IniSection section;
 };
 
 /// The sections of one template.
 struct TemplateSections {
-  PlacedSection main;
-  std::map<std::string, PlacedSection> models;  ///< By model name.
-  std::optional<PlacedSection> client_account;
+  LocatedSection main;
+  std::map<std::string, LocatedSection> models;  ///< By model name.
+  std::optional<LocatedSection> client_account;
 };
 
 /// The sections of a directory, grouped by what they declare.
@@ -29,9 +29,9 @@
   /// By file and name. A template in the same file takes precedence over one in
   /// another file.
   std::map<std::string, std::map<std::string, TemplateSections>> templates;
-  std::map<std::string, PlacedSection> deployments;
+  std::map<std::string, LocatedSection> deployments;
   /// By deployment and name.
-  std::map<std::string, std::map<std::string, PlacedSection>> client_accounts;
+  std::map<std::string, std::map<std::string, LocatedSection>> client_accounts;
 };
 
 /// Adds the sections of `files` to `index`. Appends a problem for each section
--- a/src/core/config/declaration_keys.cc
+++ b/src/core/config/declaration_keys.cc
@@ -59,7 +59,7 @@
            NumberRule(0, 1), "Retries allowed, as a share of first attempts.")
       .Add("max_attempts", kPart, &P::max_attempts, IntegerRule(1, 10),
            "Attempts of one request at most.")
-      .Add("idempotent", kPart, &P::idempotent, KindRule(ValueKind::kFlag),
+      .Add("idempotent", kPart, &P::idempotent, KindRule(ValueKind::kBool),
            "Calls without an Idempotency-Key may be repeated.")
       .Add("idempotent_methods", kPart, &P::idempotent_methods,
            KindRule(ValueKind::kMethodList),
@@ -80,7 +80,7 @@
             "Engines kept in the prefill role.")
       .Add("min_decode", kPart, &P::min_decode, IntegerRule(0, 100000),
            "Engines kept in the decode role.")
-      .Add("automatic_roles", kPart, &P::automatic, KindRule(ValueKind::kFlag),
+      .Add("automatic_roles", kPart, &P::automatic, KindRule(ValueKind::kBool),
            "The controller may change roles with the token mix.")
       .Add("role_change_cost", kPart, &P::role_change_cost,
            NumberRule(0.01, 1000),
@@ -108,7 +108,7 @@
   AddRequestKeys(&rows);
   AddRoleKeys(&rows);
   rows.Add("targets_check_fencing", &S::targets_check_fencing,
-           KindRule(ValueKind::kFlag),
+           KindRule(ValueKind::kBool),
            "The targets refuse orders with an old fencing number.")
       .Add("max_change_share", &S::max_change_share, NumberRule(0.01, 1),
            "Share of the engines that are in change at once at most.")
--- a/src/core/config/declarations.cc
+++ b/src/core/config/declarations.cc
@@ -42,12 +42,12 @@
 
 }  // namespace
 
-Checked<std::vector<DeploymentSpec>> ReadDeclarations(
+ValueOrProblems<std::vector<DeploymentSpec>> ReadDeclarations(
     const std::vector<DeclarationFile>& files) {
   std::vector<ConfigProblem> problems;
   std::vector<IniFile> parsed;
   for (const DeclarationFile& it : files) {
-    Checked<IniFile> ini = ParseIni(it.file, it.text);
+    ValueOrProblems<IniFile> ini = ParseIni(it.file, it.text);
     if (ini.index() == 0) {
       parsed.push_back(std::get<0>(std::move(ini)));
     } else {
@@ -65,12 +65,12 @@
   }
   std::vector<DeploymentSpec> specs;
   internal::DeploymentBuilder builder(index, &problems);
-  for (const auto& [name, placed] : index.deployments) {
+  for (const auto& [name, located] : index.deployments) {
     specs.push_back(builder.Build(name));
   }
   // Contradictions in partially read deployments would obscure the cause.
   if (problems.empty()) {
-    internal::CheckTogether(specs, index, &problems);
+    internal::CheckConsistency(specs, index, &problems);
   }
   if (!problems.empty()) {
     SortProblems(&problems);
--- a/src/core/config/declarations.h
+++ b/src/core/config/declarations.h
@@ -34,7 +34,7 @@
 /// Returns the deployments declared in `files`, ordered by name, with their
 /// client accounts ordered by name, or all problems found. A directory with
 /// any problem is rejected as a whole.
-Checked<std::vector<DeploymentSpec>> ReadDeclarations(
+ValueOrProblems<std::vector<DeploymentSpec>> ReadDeclarations(
     const std::vector<DeclarationFile>& files);
 
 /// Returns a declaration that parses to `spec`. Its template contains the
--- a/src/core/config/deployment_builder.cc
+++ b/src/core/config/deployment_builder.cc
@@ -20,8 +20,9 @@
   return key.substr(kParameterPrefix.size());
 }
 
-const IniEntry* FindEntry(const PlacedSection& placed, const std::string& key) {
-  for (const IniEntry& it : placed.section.entries) {
+const IniEntry* FindEntry(const LocatedSection& located,
+                          const std::string& key) {
+  for (const IniEntry& it : located.section.entries) {
     if (it.key == key) {
       return &it;
     }
@@ -29,8 +30,9 @@
   return nullptr;
 }
 
-PlacedValue Place(const PlacedSection& placed, const IniEntry& entry) {
-  return {placed.file, entry.line, placed.section.title(), entry.key,
+LocatedValue LocatedValueOf(const LocatedSection& located,
+                            const IniEntry& entry) {
+  return {located.file, entry.line, located.section.title(), entry.key,
           entry.value};
 }
 
@@ -49,16 +51,16 @@
 }  // namespace
 
 DeploymentSpec DeploymentBuilder::Build(const std::string& name) {
-  const PlacedSection& placed = index_.deployments.at(name);
+  const LocatedSection& located = index_.deployments.at(name);
   DeploymentSpec spec;
   spec.name = name;
-  const TemplateSections* sections = FindTemplate(placed);
+  const TemplateSections* sections = FindTemplate(located);
   if (sections == nullptr) {
     return spec;
   }
-  spec.template_name = FindEntry(placed, kTemplateKey)->value;
+  spec.template_name = FindEntry(located, kTemplateKey)->value;
   const Parameters parameters =
-      ReadParameters(sections->main, placed, {kTemplateKey});
+      ReadParameters(sections->main, located, {kTemplateKey});
   Assign(DeploymentKeys(), sections->main, parameters, &spec);
   CheckRequired(DeploymentKeys(), {&sections->main}, sections->main);
   BuildModels(*sections, parameters, &spec);
@@ -67,11 +69,11 @@
 }
 
 const TemplateSections* DeploymentBuilder::FindTemplate(
-    const PlacedSection& deployment) {
+    const LocatedSection& deployment) {
   const IniEntry* entry = FindEntry(deployment, kTemplateKey);
   if (entry == nullptr || entry->value.empty()) {
-    Problem(deployment, kTemplateKey,
-            "is missing; accepted is the name of a template");
+    AddProblem(deployment, kTemplateKey,
+               "is missing; accepted is the name of a template");
     return nullptr;
   }
   std::vector<const TemplateSections*> found;
@@ -94,41 +96,42 @@
     return found[0];
   }
   const auto nearest = NearestWord(entry->value, names);
-  Problem(Place(deployment, *entry),
-          found.empty()
-              ? "\"" + entry->value + "\" is not a template" +
-                    (nearest ? "; did you mean " + *nearest + "?" : "") +
-                    "; accepted are " + JoinList(names)
-              : "\"" + entry->value + "\" is a template in " +
-                    found[0]->main.file + " and in " + found[1]->main.file +
-                    "; keep one of them");
+  AddProblem(LocatedValueOf(deployment, *entry),
+             found.empty()
+                 ? "\"" + entry->value + "\" is not a template" +
+                       (nearest ? "; did you mean " + *nearest + "?" : "") +
+                       "; accepted are " + JoinList(names)
+                 : "\"" + entry->value + "\" is a template in " +
+                       found[0]->main.file + " and in " + found[1]->main.file +
+                       "; keep one of them");
   return nullptr;
 }
 
 Parameters DeploymentBuilder::ReadParameters(
-    const PlacedSection& declared_in, const PlacedSection& given_in,
+    const LocatedSection& declared_in, const LocatedSection& given_in,
     const std::vector<std::string>& own_keys) {
   Parameters parameters;
   std::vector<std::string> accepted = own_keys;
   for (const IniEntry& it : declared_in.section.entries) {
     if (const auto name = ParameterName(it.key)) {
-      parameters[*name] = Place(declared_in, it);
+      parameters[*name] = LocatedValueOf(declared_in, it);
       accepted.push_back(*name);
     }
   }
   for (const IniEntry& it : given_in.section.entries) {
     const auto declared = parameters.find(it.key);
     if (declared != parameters.end()) {
-      declared->second = Place(given_in, it);
+      declared->second = LocatedValueOf(given_in, it);
     } else if (!Contains(own_keys, it.key)) {
-      Problem(Place(given_in, it), UnknownKeyText(it.key, accepted));
+      AddProblem(LocatedValueOf(given_in, it),
+                 UnknownKeyText(it.key, accepted));
     }
   }
   for (const auto& [name, value] : parameters) {
     if (value.value.empty()) {
-      Problem(given_in, name,
-              "is missing; it is a parameter without default of [" +
-                  declared_in.section.title() + "]");
+      AddProblem(given_in, name,
+                 "is missing; it is a parameter without default of [" +
+                     declared_in.section.title() + "]");
     }
   }
   return parameters;
@@ -137,11 +140,11 @@
 void DeploymentBuilder::BuildModels(const TemplateSections& sections,
                                     const Parameters& parameters,
                                     DeploymentSpec* spec) {
-  for (const auto& [name, placed] : sections.models) {
+  for (const auto& [name, located] : sections.models) {
     ModelSpec model;
     model.name = name;
-    Assign(ModelKeys(), placed, parameters, &model);
-    CheckRequired(ModelKeys(), {&placed}, placed);
+    Assign(ModelKeys(), located, parameters, &model);
+    CheckRequired(ModelKeys(), {&located}, located);
     spec->models.push_back(std::move(model));
   }
 }
@@ -153,108 +156,112 @@
   if (accounts == index_.client_accounts.end()) {
     return;
   }
-  for (const auto& [name, placed] : accounts->second) {
+  for (const auto& [name, located] : accounts->second) {
     spec->client_accounts.push_back(
-        BuildClientAccount(sections, parameters, name, placed));
+        BuildClientAccount(sections, parameters, name, located));
   }
 }
 
 ClientAccountSpec DeploymentBuilder::BuildClientAccount(
     const TemplateSections& sections, const Parameters& parameters,
-    const std::string& name, const PlacedSection& placed) {
-  const PlacedSection none;
-  const PlacedSection& defaults =
+    const std::string& name, const LocatedSection& located) {
+  const LocatedSection none;
+  const LocatedSection& defaults =
       sections.client_account ? *sections.client_account : none;
   ClientAccountSpec account;
   account.name = name;
   Parameters all =
-      ReadParameters(defaults, placed, KeyNames(ClientAccountKeys()));
+      ReadParameters(defaults, located, KeyNames(ClientAccountKeys()));
   all.insert(parameters.begin(), parameters.end());
   // A key in the account's own section overrides the template's.
-  PlacedSection inherited = defaults;
+  LocatedSection inherited = defaults;
   std::erase_if(inherited.section.entries, [&](const IniEntry& it) {
-    return FindEntry(placed, it.key) != nullptr;
+    return FindEntry(located, it.key) != nullptr;
   });
-  PlacedSection given = placed;
+  LocatedSection given = located;
   std::erase_if(given.section.entries, [&](const IniEntry& it) {
     return FindKey(ClientAccountKeys(), it.key) == nullptr;
   });
   Assign(ClientAccountKeys(), inherited, all, &account);
   Assign(ClientAccountKeys(), given, {}, &account);
-  CheckRequired(ClientAccountKeys(), {&defaults, &placed}, placed);
+  CheckRequired(ClientAccountKeys(), {&defaults, &located}, located);
   return account;
 }
 
 template <typename Owner>
 void DeploymentBuilder::Assign(const std::vector<KeyRow<Owner>>& rows,
-                               const PlacedSection& placed,
+                               const LocatedSection& located,
                                const Parameters& parameters, Owner* owner) {
-  for (const IniEntry& it : placed.section.entries) {
+  for (const IniEntry& it : located.section.entries) {
     if (ParameterName(it.key)) {
       continue;
     }
     const KeyRow<Owner>* row = FindKey(rows, it.key);
     if (row == nullptr) {
-      Problem(Place(placed, it), UnknownKeyText(it.key, KeyNames(rows)));
+      AddProblem(LocatedValueOf(located, it),
+                 UnknownKeyText(it.key, KeyNames(rows)));
       continue;
     }
-    AssignValue(row->rule, Place(placed, it), parameters, row->field(*owner));
+    AssignValue(row->rule, LocatedValueOf(located, it), parameters,
+                row->field(*owner));
   }
 }
 
 void DeploymentBuilder::AssignValue(const ValueRule& rule,
-                                    const PlacedValue& value,
+                                    const LocatedValue& value,
                                     const Parameters& parameters,
                                     const FieldPointer& field) {
   const ExpandedValue expanded = Expand(value.value, parameters);
   if (expanded.problem) {
-    Problem(value, *expanded.problem);
+    AddProblem(value, *expanded.problem);
     return;
   }
   const bool lacks_parameter =
-      std::any_of(expanded.used.begin(), expanded.used.end(),
-                  [](const PlacedValue& it) { return it.value.empty(); });
+      std::any_of(expanded.substituted.begin(), expanded.substituted.end(),
+                  [](const LocatedValue& it) { return it.value.empty(); });
   if (lacks_parameter) {
     return;  // ReadParameters() reports the missing parameter.
   }
-  const auto wrong = AssignField(rule, expanded.text, field);
-  if (!wrong) {
+  const auto error = AssignField(rule, expanded.text, field);
+  if (!error) {
     return;
   }
-  if (expanded.used.empty()) {
-    Problem(value, *wrong);
+  if (expanded.substituted.empty()) {
+    AddProblem(value, *error);
     return;
   }
-  Problem(expanded.used[0], "sets " + value.key + " in " + value.file + ":" +
-                                std::to_string(value.line) + "; " + *wrong);
+  AddProblem(expanded.substituted[0],
+             "sets " + value.key + " in " + value.file + ":" +
+                 std::to_string(value.line) + "; " + *error);
 }
 
 template <typename Owner>
 void DeploymentBuilder::CheckRequired(
     const std::vector<KeyRow<Owner>>& rows,
-    const std::vector<const PlacedSection*>& sources,
-    const PlacedSection& blamed) {
+    const std::vector<const LocatedSection*>& sources,
+    const LocatedSection& reported_section) {
   for (const KeyRow<Owner>& it : rows) {
     const bool given = std::any_of(
-        sources.begin(), sources.end(), [&](const PlacedSection* placed) {
-          return FindEntry(*placed, it.key) != nullptr;
+        sources.begin(), sources.end(), [&](const LocatedSection* located) {
+          return FindEntry(*located, it.key) != nullptr;
         });
     if (it.required && !given) {
-      Problem(blamed, it.key,
-              "is missing; accepted is " + AcceptedText(it.rule));
+      AddProblem(reported_section, it.key,
+                 "is missing; accepted is " + AcceptedText(it.rule));
     }
   }
 }
 
-void DeploymentBuilder::Problem(const PlacedValue& value, std::string detail) {
+void DeploymentBuilder::AddProblem(const LocatedValue& value,
+                                   std::string detail) {
   problems_->push_back(
       {value.file, value.line, value.section, value.key, std::move(detail)});
 }
 
-void DeploymentBuilder::Problem(const PlacedSection& placed,
-                                const std::string& key, std::string detail) {
-  problems_->push_back({placed.file, placed.section.line,
-                        placed.section.title(), key, std::move(detail)});
+void DeploymentBuilder::AddProblem(const LocatedSection& located,
+                                   const std::string& key, std::string detail) {
+  problems_->push_back({located.file, located.section.line,
+                        located.section.title(), key, std::move(detail)});
 }
 
 }  // namespace indigolead::internal
--- a/src/core/config/deployment_builder.h
+++ b/src/core/config/deployment_builder.h
@@ -25,9 +25,9 @@
   DeploymentSpec Build(const std::string& name);
 
  private:
-  const TemplateSections* FindTemplate(const PlacedSection& deployment);
-  Parameters ReadParameters(const PlacedSection& declared_in,
-                            const PlacedSection& given_in,
+  const TemplateSections* FindTemplate(const LocatedSection& deployment);
+  Parameters ReadParameters(const LocatedSection& declared_in,
+                            const LocatedSection& given_in,
                             const std::vector<std::string>& own_keys);
   void BuildModels(const TemplateSections& sections,
                    const Parameters& parameters, DeploymentSpec* spec);
@@ -36,20 +36,20 @@
   ClientAccountSpec BuildClientAccount(const TemplateSections& sections,
                                        const Parameters& parameters,
                                        const std::string& name,
-                                       const PlacedSection& placed);
+                                       const LocatedSection& located);
   template <typename Owner>
   void Assign(const std::vector<KeyRow<Owner>>& rows,
-              const PlacedSection& placed, const Parameters& parameters,
+              const LocatedSection& located, const Parameters& parameters,
               Owner* owner);
-  void AssignValue(const ValueRule& rule, const PlacedValue& value,
+  void AssignValue(const ValueRule& rule, const LocatedValue& value,
                    const Parameters& parameters, const FieldPointer& field);
   template <typename Owner>
   void CheckRequired(const std::vector<KeyRow<Owner>>& rows,
-                     const std::vector<const PlacedSection*>& sources,
-                     const PlacedSection& blamed);
-  void Problem(const PlacedValue& value, std::string detail);
-  void Problem(const PlacedSection& placed, const std::string& key,
-               std::string detail);
+                     const std::vector<const LocatedSection*>& sources,
+                     const LocatedSection& reported_section);
+  void AddProblem(const LocatedValue& value, std::string detail);
+  void AddProblem(const LocatedSection& located, const std::string& key,
+                  std::string detail);
 
   const DeclarationIndex& index_;
   std::vector<ConfigProblem>* problems_;
--- a/src/core/config/ini.cc
+++ b/src/core/config/ini.cc
@@ -14,7 +14,7 @@
  public:
   explicit IniParser(const std::string& file) { ini_.file = file; }
 
-  Checked<IniFile> Parse(std::string_view text) {
+  ValueOrProblems<IniFile> Parse(std::string_view text) {
     if (text.size() > kMaxIniBytes) {
       AddProblem("", "has " + std::to_string(text.size()) +
                          " bytes; accepted are at most " +
@@ -125,7 +125,8 @@
   return name.empty() ? kind : kind + " " + name;
 }
 
-Checked<IniFile> ParseIni(const std::string& file, std::string_view text) {
+ValueOrProblems<IniFile> ParseIni(const std::string& file,
+                                  std::string_view text) {
   return IniParser(file).Parse(text);
 }
 
--- a/src/core/config/ini.h
+++ b/src/core/config/ini.h
@@ -54,7 +54,8 @@
 /// Returns the sections in `text`, or all problems: malformed lines, duplicate
 /// keys or sections, keys before the first section, text that is not printable
 /// UTF-8, and a file or line that exceeds its size limit.
-Checked<IniFile> ParseIni(const std::string& file, std::string_view text);
+ValueOrProblems<IniFile> ParseIni(const std::string& file,
+                                  std::string_view text);
 
 }  // namespace indigolead
 
--- a/src/core/config/key_rules.cc
+++ b/src/core/config/key_rules.cc
@@ -125,8 +125,8 @@
     return kind && (*field = *kind, true);
   }
   bool operator()(bool* field) const {
-    const auto flag = ParseFlag(text_);
-    return flag && (*field = *flag, true);
+    const auto parsed = ParseBool(text_);
+    return parsed && (*field = *parsed, true);
   }
   bool operator()(Duration* field) const {
     const auto duration = ParseDuration(text_);
@@ -201,7 +201,7 @@
       return "a host name in lower case, without a port";
     case ValueKind::kSha256:
       return "64 lower-case hexadecimal digits (printf %s KEY | sha256sum)";
-    case ValueKind::kFlag:
+    case ValueKind::kBool:
       return "true or false";
     case ValueKind::kInteger:
       return "an integer " + RangeText(rule, FormatNumber);
--- a/src/core/config/key_rules.h
+++ b/src/core/config/key_rules.h
@@ -31,7 +31,7 @@
   kUrlPrefix,   ///< Begins with a slash; does not end with one.
   kHost,        ///< Host name as in the Host header.
   kSha256,      ///< 64 hexadecimal digits.
-  kFlag,        ///< "true" or "false".
+  kBool,        ///< "true" or "false".
   kInteger,
   kNumber,
   kSize,
--- a/src/core/config/revision_json.cc
+++ b/src/core/config/revision_json.cc
@@ -133,10 +133,10 @@
   }
 
   void Fail(const std::string& key, const std::string& expected,
-            const Json& seen) {
+            const Json& actual) {
     if (error_->empty()) {
       *error_ = path_ + key + ": expected " + expected + ", got " +
-                Dump(seen).substr(0, 60);
+                Dump(actual).substr(0, 60);
     }
   }
 
--- a/src/core/config/settings_page.cc
+++ b/src/core/config/settings_page.cc
@@ -11,7 +11,7 @@
   return text.empty() ? "none" : "`" + text + "`";
 }
 
-std::string NeededText(const KeyRow<Settings>& row) {
+std::string DefaultOrRequired(const KeyRow<Settings>& row) {
   if (!row.required) {
     return DefaultText(row);
   }
@@ -38,7 +38,7 @@
          << "| key | default | accepted | meaning |\n"
          << "| --- | --- | --- | --- |\n";
     }
-    os << "| `" << it.key << "` | " << NeededText(it) << " | "
+    os << "| `" << it.key << "` | " << DefaultOrRequired(it) << " | "
        << AcceptedText(it.rule) << " | " << it.meaning << " |\n";
   }
   return os.str();
--- a/src/core/config/settings_reader.cc
+++ b/src/core/config/settings_reader.cc
@@ -40,12 +40,12 @@
   SettingsReader(const IniFile& ini, SettingsRole role)
       : ini_(ini), role_(role), sections_(SectionsOf(role)) {}
 
-  Checked<Settings> Read() {
+  ValueOrProblems<Settings> Read() {
     for (const IniSection& it : ini_.sections) {
       ReadSection(it);
     }
     CheckRequired();
-    CheckTogether();
+    CheckConsistency();
     if (!problems_.empty()) {
       return std::move(problems_);
     }
@@ -57,7 +57,7 @@
     const std::string title = section.title();
     section_lines_[title] = section.line;
     if (!Contains(sections_, title)) {
-      Add(section.line, title, "", UnknownSectionText(title));
+      AddProblem(section.line, title, "", UnknownSectionText(title));
       return;
     }
     for (const IniEntry& it : section.entries) {
@@ -79,17 +79,17 @@
     if (row == nullptr) {
       const auto keys = KeysOf(section);
       const auto nearest = NearestWord(entry.key, keys);
-      Add(entry.line, section, entry.key,
-          "is not a known key" +
-              (nearest ? "; did you mean " + *nearest + "?" : "") +
-              "; accepted are " + JoinList(keys));
+      AddProblem(entry.line, section, entry.key,
+                 "is not a known key" +
+                     (nearest ? "; did you mean " + *nearest + "?" : "") +
+                     "; accepted are " + JoinList(keys));
       return;
     }
     key_lines_[{section, entry.key}] = entry.line;
-    const auto wrong =
+    const auto error =
         AssignField(row->rule, entry.value, row->field(settings_));
-    if (wrong) {
-      Add(entry.line, section, entry.key, *wrong);
+    if (error) {
+      AddProblem(entry.line, section, entry.key, *error);
     }
   }
 
@@ -98,17 +98,18 @@
       if (IsRequired(it, role_) && Contains(sections_, it.section) &&
           !key_lines_.contains({it.section, it.key})) {
         const auto line = section_lines_.find(it.section);
-        Add(line == section_lines_.end() ? 0 : line->second, it.section, it.key,
-            "is missing; accepted is " + AcceptedText(it.rule));
+        AddProblem(line == section_lines_.end() ? 0 : line->second, it.section,
+                   it.key, "is missing; accepted is " + AcceptedText(it.rule));
       }
     }
   }
 
   /// Checks for values that are valid one by one but contradict each other.
-  void CheckTogether() {
+  void CheckConsistency() {
     const LinkSettings& links = settings_.links;
     if (links.silence_timeout < 2 * links.heartbeat_interval) {
-      Add(LineOf("links", "silence_timeout"), "links", "silence_timeout",
+      AddProblem(
+          LineOf("links", "silence_timeout"), "links", "silence_timeout",
           FormatDuration(links.silence_timeout) +
               " is less than two heartbeat intervals (" +
               FormatDuration(links.heartbeat_interval) +
@@ -129,9 +130,9 @@
     const auto first = std::find_if(keys.begin(), keys.end(), given);
     const auto absent = std::find_if_not(keys.begin(), keys.end(), given);
     if (first != keys.end() && absent != keys.end()) {
-      Add(LineOf(section, *first), section, *absent,
-          "is missing although " + *first + " is set; set all or none of " +
-              JoinList(keys));
+      AddProblem(LineOf(section, *first), section, *absent,
+                 "is missing although " + *first +
+                     " is set; set all or none of " + JoinList(keys));
     }
   }
 
@@ -140,8 +141,8 @@
     return it == key_lines_.end() ? 0 : it->second;
   }
 
-  void Add(int line, const std::string& section, const std::string& key,
-           std::string detail) {
+  void AddProblem(int line, const std::string& section, const std::string& key,
+                  std::string detail) {
     problems_.push_back({ini_.file, line, section, key, std::move(detail)});
   }
 
@@ -156,9 +157,10 @@
 
 }  // namespace
 
-Checked<Settings> ReadSettings(const std::string& file, std::string_view text,
-                               SettingsRole role) {
-  Checked<IniFile> ini = ParseIni(file, text);
+ValueOrProblems<Settings> ReadSettings(const std::string& file,
+                                       std::string_view text,
+                                       SettingsRole role) {
+  ValueOrProblems<IniFile> ini = ParseIni(file, text);
   if (ini.index() == 1) {
     return std::get<1>(std::move(ini));
   }
--- a/src/core/config/settings_table.cc
+++ b/src/core/config/settings_table.cc
@@ -140,7 +140,7 @@
       .Add("resume_timeout", &S::resume_timeout,
            DurationRule(milliseconds(100), minutes(5)),
            "Longest time that a broken stream is tried to be resumed.")
-      .Add("run_controller", &S::run_controller, KindRule(ValueKind::kFlag),
+      .Add("run_controller", &S::run_controller, KindRule(ValueKind::kBool),
            "Lets this entry become the holder of the control lease.")
       .Add("tls_certificate_file", &S::tls_certificate_file,
            KindRule(ValueKind::kPath),
--- a/src/core/config/settings_table.h
+++ b/src/core/config/settings_table.h
@@ -29,8 +29,9 @@
 /// Returns the settings in `text`, or all problems in it: unknown sections and
 /// keys, values with the wrong unit or out of range, missing required values,
 /// duplicates, and keys that contradict each other.
-Checked<Settings> ReadSettings(const std::string& file, std::string_view text,
-                               SettingsRole role);
+ValueOrProblems<Settings> ReadSettings(const std::string& file,
+                                       std::string_view text,
+                                       SettingsRole role);
 
 /// Returns the reference page of all settings, in Markdown.
 std::string SettingsMarkdown();
--- a/src/core/config/spec_diff.cc
+++ b/src/core/config/spec_diff.cc
@@ -22,7 +22,7 @@
   return it == fields.end() ? "" : it->second;
 }
 
-std::string Shown(const std::string& value) {
+std::string ValueOrNone(const std::string& value) {
   return value.empty() ? "(none)" : value;
 }
 
@@ -61,7 +61,8 @@
                           ValueIn(their_fields, path), false};
     const bool by_you = conflict.yours != conflict.base;
     const bool by_them = conflict.theirs != conflict.base;
-    conflict.both = by_you && by_them && conflict.yours != conflict.theirs;
+    conflict.changed_by_both =
+        by_you && by_them && conflict.yours != conflict.theirs;
     if (by_you || by_them) {
       conflicts.push_back(std::move(conflict));
     }
@@ -72,8 +73,8 @@
 std::string ToText(const std::vector<FieldChange>& changes) {
   std::string text;
   for (const FieldChange& it : changes) {
-    text += "  " + it.path + ": " + Shown(it.before) + " -> " +
-            Shown(it.after) + "\n";
+    text += "  " + it.path + ": " + ValueOrNone(it.before) + " -> " +
+            ValueOrNone(it.after) + "\n";
   }
   return text;
 }
@@ -81,8 +82,9 @@
 std::string ToText(const std::vector<EditConflict>& conflicts) {
   TextTable table({"field", "was", "yours", "theirs", ""});
   for (const EditConflict& it : conflicts) {
-    table.AddRow({it.path, Shown(it.base), Shown(it.yours), Shown(it.theirs),
-                  it.both ? "both changed it" : ""});
+    table.AddRow({it.path, ValueOrNone(it.base), ValueOrNone(it.yours),
+                  ValueOrNone(it.theirs),
+                  it.changed_by_both ? "both changed it" : ""});
   }
   return table.ToText();
 }
--- a/src/core/config/spec_diff.h
+++ b/src/core/config/spec_diff.h
@@ -31,7 +31,7 @@
   std::string yours;   ///< In the rejected edit.
   std::string theirs;  ///< In the live revision.
   /// Both edits changed the field, to different values.
-  bool both = false;
+  bool changed_by_both = false;
 
   friend bool operator==(const EditConflict&, const EditConflict&) = default;
 };
--- a/src/core/config/template_expansion.cc
+++ b/src/core/config/template_expansion.cc
@@ -40,7 +40,7 @@
       return expanded;
     }
     expanded.text += it->second.value;
-    expanded.used.push_back(it->second);
+    expanded.substituted.push_back(it->second);
     from = close + 1;
   }
   if (expanded.text.size() > kMaxExpandedBytes) {
--- a/src/core/config/template_expansion.h
+++ b/src/core/config/template_expansion.h
@@ -9,7 +9,7 @@
 namespace indigolead::internal {
 
 /// A value and its location in a file.
-struct PlacedValue {
+struct LocatedValue {
   std::string file;
   int line = 0;
   std::string section;
@@ -18,13 +18,13 @@
 };
 
 /// Parameters by name.
-using Parameters = std::map<std::string, PlacedValue>;
+using Parameters = std::map<std::string, LocatedValue>;
 
 /// A template value after parameter substitution.
 struct ExpandedValue {
   std::string text;
-  std::vector<PlacedValue> used;       ///< Parameters in the text.
-  std::optional<std::string> problem;  ///< Set if the expansion failed.
+  std::vector<LocatedValue> substituted;  ///< Parameters in the text.
+  std::optional<std::string> problem;     ///< Set if the expansion failed.
 };
 
 /// Replaces each "${NAME}" in `text` with the value of that parameter.
--- a/src/core/config/value_text.cc
+++ b/src/core/config/value_text.cc
@@ -86,10 +86,10 @@
     }
   }
   // Rejects overlong forms, surrogates and values above U+10FFFF.
-  const bool wrong =
+  const bool invalid =
       (first == 0xE0 && byte(1) < 0xA0) || (first == 0xED && byte(1) > 0x9F) ||
       (first == 0xF0 && byte(1) < 0x90) || (first == 0xF4 && byte(1) > 0x8F);
-  return wrong ? 0 : length;
+  return invalid ? 0 : length;
 }
 
 bool IsIpV4(std::string_view text) {
@@ -211,7 +211,7 @@
   return {buf.data(), written.ptr};
 }
 
-std::optional<bool> ParseFlag(std::string_view text) {
+std::optional<bool> ParseBool(std::string_view text) {
   if (text == "true") {
     return true;
   }
--- a/src/core/config/value_text.h
+++ b/src/core/config/value_text.h
@@ -53,7 +53,7 @@
 std::string FormatNumber(double number);
 
 /// Parses "true" or "false". Returns nothing for any other text.
-std::optional<bool> ParseFlag(std::string_view text);
+std::optional<bool> ParseBool(std::string_view text);
 
 /// Returns true if `text` is an IPv4 address and a port, such as
 /// "127.0.0.1:8080".
--- a/src/entry/usage_service.cc
+++ b/src/entry/usage_service.cc
@@ -286,10 +286,10 @@
       [this, ticket, send](const Result<TargetAnswer>& answer) {
         OnSent(ticket, send, answer);
       },
-      // Checked at the last moment before anything is sent: if the process is
-      // suspended, or connecting takes long, another entry may hold the lease
-      // and have reported under a higher number. The receiver would then see
-      // numbers fall.
+      // ValueOrProblems at the last moment before anything is sent: if the
+      // process is suspended, or connecting takes long, another entry may hold
+      // the lease and have reported under a higher number. The receiver would
+      // then see numbers fall.
       [this, number = send.number] { return hooks_.authority() == number; });
 }
 
--- a/tests/core/config/parser_fuzz_test.cc
+++ b/tests/core/config/parser_fuzz_test.cc
@@ -26,41 +26,41 @@
   return text.str();
 }
 
-std::size_t Below(Random* random, std::size_t limit) {
+std::size_t RandomBelow(Random* random, std::size_t limit) {
   return limit == 0 ? 0 : (*random)() % limit;
 }
 
 /// Returns `text` with one random corruption.
-std::string Damage(std::string text, Random* random) {
-  const std::size_t at = Below(random, text.size());
-  const std::size_t length = Below(random, 40);
-  switch (Below(random, 5)) {
+std::string Corrupt(std::string text, Random* random) {
+  const std::size_t at = RandomBelow(random, text.size());
+  const std::size_t length = RandomBelow(random, 40);
+  switch (RandomBelow(random, 5)) {
     case 0:
       text.erase(at, length);
       break;
     case 1:
-      text.insert(at, text.substr(Below(random, text.size()), length));
+      text.insert(at, text.substr(RandomBelow(random, text.size()), length));
       break;
     case 2:
-      text.insert(at, 1, static_cast<char>(Below(random, 256)));
+      text.insert(at, 1, static_cast<char>(RandomBelow(random, 256)));
       break;
     case 3:
       text.resize(at);
       break;
     default:
       if (!text.empty()) {
-        text[at] = static_cast<char>(Below(random, 256));
+        text[at] = static_cast<char>(RandomBelow(random, 256));
       }
   }
   return text;
 }
 
-std::string DamageSome(const std::string& text, Random* random) {
-  std::string damaged = text;
-  for (std::size_t i = 0; i <= Below(random, 4); ++i) {
-    damaged = Damage(std::move(damaged), random);
+std::string CorruptRepeatedly(const std::string& text, Random* random) {
+  std::string corrupted = text;
+  for (std::size_t i = 0; i <= RandomBelow(random, 4); ++i) {
+    corrupted = Corrupt(std::move(corrupted), random);
   }
-  return damaged;
+  return corrupted;
 }
 
 /// Checks that every problem names its file and has a description.
@@ -79,7 +79,7 @@
                "/examples/unas-del-norte/deployments.ini");
   Random random(20261202);
   for (int i = 0; i < kRounds; ++i) {
-    const std::string text = DamageSome(example, &random);
+    const std::string text = CorruptRepeatedly(example, &random);
     INFO("round " << i << "\n" << text);
     const auto read = ReadDeclarations({{"x.ini", text}});
     if (read.index() == 1) {
@@ -103,7 +103,7 @@
       "[entry]\nrun_controller = true\n[log]\nminimum = info\n";
   Random random(20261203);
   for (int i = 0; i < kRounds; ++i) {
-    const std::string text = DamageSome(example, &random);
+    const std::string text = CorruptRepeatedly(example, &random);
     INFO("round " << i << "\n" << text);
     const auto read = ReadSettings("x.ini", text, SettingsRole::kEntry);
     if (read.index() == 1) {
@@ -121,7 +121,7 @@
   const std::string example = ToJson(revision);
   Random random(20261204);
   for (int i = 0; i < kRounds; ++i) {
-    const std::string text = DamageSome(example, &random);
+    const std::string text = CorruptRepeatedly(example, &random);
     INFO("round " << i << "\n" << text);
     const Result<Revision> read = RevisionFromJson(text);
     if (IsOk(read)) {
--- a/tests/core/config/settings_table_test.cc
+++ b/tests/core/config/settings_table_test.cc
@@ -24,7 +24,7 @@
 
 std::string ProblemsOf(const std::string& text,
                        SettingsRole role = SettingsRole::kEntry) {
-  const Checked<Settings> read = ReadSettings("e.ini", text, role);
+  const ValueOrProblems<Settings> read = ReadSettings("e.ini", text, role);
   return read.index() == 0 ? "" : ToText(std::get<1>(read));
 }
 
@@ -37,7 +37,7 @@
 
 TEST_CASE("Settings are read from INI") {
   SECTION("absent settings keep their defaults") {
-    const Checked<Settings> read =
+    const ValueOrProblems<Settings> read =
         ReadSettings("e.ini", kEntryText, SettingsRole::kEntry);
     REQUIRE(read.index() == 0);
     Settings expected;
@@ -52,7 +52,7 @@
                              "call_deadline = 1500ms\n"
                              "[links]\nmax_message_bytes = 64MiB\n"
                              "seeds = 10.0.0.1:70, 10.0.0.2:71\n";
-    const Checked<Settings> read =
+    const ValueOrProblems<Settings> read =
         ReadSettings("e.ini", text, SettingsRole::kEntry);
     REQUIRE(read.index() == 0);
     const Settings& settings = std::get<0>(read);
