--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -10,15 +10,15 @@
 
 /// Exit codes of every command.
 inline constexpr int kExitOk = 0;
-inline constexpr int kExitFailed = 1;      ///< The work could not be done.
-inline constexpr int kExitUsage = 2;       ///< Wrong arguments or files.
-inline constexpr int kExitConflict = 3;    ///< Another edit came first.
-inline constexpr int kExitNotInForce = 4;  ///< `--wait` ran out of time.
+inline constexpr int kExitFailed = 1;    ///< The command failed.
+inline constexpr int kExitUsage = 2;     ///< Invalid arguments or input files.
+inline constexpr int kExitConflict = 3;  ///< Conflicts with another edit.
+inline constexpr int kExitNotInForce = 4;  ///< `--wait` timed out.
 
-/// What a command works with. Results go to `out`; everything that is said to
-/// a person goes to `err`.
+/// Arguments and output streams of a command. Results go to `out`, diagnostics
+/// to `err`.
 struct CommandContext {
-  std::vector<std::string> arguments;  ///< After the command's name.
+  std::vector<std::string> arguments;  ///< Those after the command name.
   std::ostream* out;
   std::ostream* err;
 };
@@ -26,10 +26,10 @@
 /// One command of the command line.
 struct Command {
   std::string name;
-  std::string arguments;           ///< As shown in its usage line.
-  std::string summary;             ///< One line.
+  std::string arguments;           ///< Synopsis for the usage line.
+  std::string summary;             ///< One line for the command list.
   std::string details;             ///< Paragraph for `--help`; may be empty.
-  std::vector<std::string> flags;  ///< Flags that it accepts.
+  std::vector<std::string> flags;  ///< Names of accepted flags.
   std::size_t min_arguments = 0;
   std::size_t max_arguments = 0;
   std::function<int(const CommandContext&)> run;  ///< Returns the exit code.
--- a/src/cli/commands.cc
+++ b/src/cli/commands.cc
@@ -35,7 +35,8 @@
                         *context.err);
 }
 
-/// Flags of every command that reads the store, then `more`.
+/// Returns the flags common to all commands that use the store, followed by
+/// `more`.
 std::vector<std::string> StoreFlags(std::vector<std::string> more) {
   std::vector<std::string> flags = {"store", "settings"};
   flags.insert(flags.end(), more.begin(), more.end());
@@ -48,7 +49,7 @@
        "",
        "Serve callers; run on each thin instance.",
        "Prints \"listening http=IP:PORT link=IP:PORT\" once ready. SIGTERM or "
-       "SIGINT stops it\nafter the requests in work have ended.",
+       "SIGINT stops it\nafter the requests in flight have finished.",
        {"settings"},
        0,
        0,
@@ -56,9 +57,9 @@
   commands->push_back(
       {"side",
        "",
-       "Run beside one target and speak for it.",
+       "Run as the sidecar of one target.",
        "Prints \"listening link=IP:PORT\" once ready. SIGTERM or SIGINT stops "
-       "it after the\nattempts in work have ended.",
+       "it after the\nattempts in flight have finished.",
        {"settings"},
        0,
        0,
@@ -71,7 +72,7 @@
        "",
        "Serve callers on the users' platform.",
        "Reads the settings file that the platform names in the environment. "
-       "SIGTERM stops it\nafter the requests in work have ended.",
+       "SIGTERM stops it\nafter the requests in flight have finished.",
        {"metrics_port"},
        0,
        0,
@@ -82,7 +83,7 @@
   commands->push_back(
       {"check",
        "[DIR]",
-       "Check settings or declarations; touches nothing.",
+       "Check settings or declarations without changing anything.",
        "With --settings FILE --as entry|side|platform-entry, checks a settings "
        "file. With "
        "DIR, checks the\ndeclarations in its *.ini files.",
@@ -97,7 +98,7 @@
        "Each deployment changes as a whole, and only if the live revision is "
        "the one that DIR was\nedited from (seen.ini or --seen). With --wait, "
        "returns once it is in force everywhere\nas seen by the entries in "
-       "--entry, or names who is missing.",
+       "--entry, or lists what is missing.",
        StoreFlags({"seen", "author", "source_version", "note", "wait", "entry",
                    "timeout"}),
        1, 1, RunApply});
@@ -122,15 +123,16 @@
        "",
        "Show the state of the fleet as an entry sees it.",
        "Works while the object API is down. --entry may name several; the "
-       "first that answers\ntells.",
+       "first that responds\nis used.",
        {"entry", "output"},
        0,
        0,
        RunStatus});
   commands->push_back({"drain", "INSTANCE", "Give an instance no new work.",
-                       "Requests in work end, streams too.",
+                       "Requests in flight finish, including streams.",
                        StoreFlags({"author", "note"}), 1, 1, RunDrain});
-  commands->push_back({"undrain", "INSTANCE", "Let an instance work again.", "",
+  commands->push_back({"undrain", "INSTANCE",
+                       "Let an instance take new work again.", "",
                        StoreFlags({"author", "note"}), 1, 1, RunUndrain});
   commands->push_back({"quarantines", "", "List the quarantined requests.", "",
                        StoreFlags({"output"}), 0, 0, RunQuarantines});
@@ -149,9 +151,9 @@
   commands.push_back(
       {"replay",
        "TRACE [POLICY] | generate SCENARIO [SEED]",
-       "Run a recorded trace against the decisions under load.",
+       "Replay a recorded trace through the decisions made under load.",
        "Time is virtual and every draw is seeded, so the outcome repeats. "
-       "Fails if the outcome\nthat the trace states is not reached.",
+       "Fails if an expectation\nof the trace is not met.",
        {"output"},
        1,
        3,
@@ -159,7 +161,7 @@
   commands.push_back(
       {"report",
        "LOG...",
-       "Add up entries' logs: where requests' time went, and why some failed.",
+       "Summarize entry logs: where requests spent time and why some failed.",
        "Lines that cannot be read are counted and skipped. With --csv and "
        "--svg "
        "the figures of\neach second are written to files as well.",
@@ -217,8 +219,9 @@
     name.resize(std::max(kNameWidth, name.size() + 1), ' ');
     os << "  " << name << it.summary << "\n";
   }
-  os << "\nindigolead COMMAND --help explains one. Exit codes: 0 done, 1 not "
-        "done,\n2 wrong arguments or files, 3 conflict with another edit, 4 "
+  os << "\nindigolead COMMAND --help explains one. Exit codes: 0 success, 1 "
+        "failure,\n2 invalid arguments or files, 3 conflict with another edit, "
+        "4 "
         "not in force in time.\n";
   return os.str();
 }
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -8,20 +8,20 @@
 
 namespace indigolead::cli {
 
-/// Returns every command, in the order in which `help` lists them.
+/// Returns all commands in the order listed by `help`.
 const std::vector<Command>& Commands();
 
-/// Runs the command that `arguments` begin with and returns the exit code.
+/// Runs the command named by the first argument and returns its exit code.
 int RunCommandLine(const std::vector<std::string>& arguments, std::ostream& out,
                    std::ostream& err);
 
-/// Returns the text of `indigolead help`.
+/// Returns the output of `indigolead help`.
 std::string HelpText();
 
-/// Returns the text of `indigolead COMMAND --help`.
+/// Returns the output of `indigolead COMMAND --help`.
 std::string HelpText(const Command& command);
 
-// The commands, by the file that holds them.
+// Entry points of the commands, grouped by source file.
 int RunEntry(const CommandContext& context);
 int RunSide(const CommandContext& context);
 int RunCheck(const CommandContext& context);
--- a/src/cli/declaration_dir.h
+++ b/src/cli/declaration_dir.h
@@ -1,8 +1,8 @@
 #ifndef INDIGOLEAD_CLI_DECLARATION_DIR_H_
 #define INDIGOLEAD_CLI_DECLARATION_DIR_H_
 
-// A directory of declarations on the operator's machine, with the file that
-// says from which revisions it was edited.
+// Reads and writes a local directory of deployment declarations and its
+// seen.ini, which records the revision that each declaration was edited from.
 
 #include <cstdint>
 #include <map>
@@ -16,27 +16,27 @@
 
 namespace indigolead::cli {
 
-/// Name of the file with the revisions seen; not a declaration.
+/// Name of the file that records the seen revisions. It is not a declaration.
 inline constexpr char kSeenFile[] = "seen.ini";
 
-/// Numbers of the revisions that an edit was made from, by deployment.
+/// Revision number that each deployment was edited from, by deployment name.
 using SeenRevisions = std::map<std::string, std::uint64_t>;
 
-/// Returns the deployments declared in `directory`. On any problem writes it
-/// to `err` and returns nothing.
+/// Returns the deployments declared in `directory`. On failure, writes the
+/// error to `err` and returns nullopt.
 std::optional<std::vector<DeploymentSpec>> LoadDeclarations(
     const std::string& directory, std::ostream& err);
 
-/// Returns the revisions named in the directory's seen.ini, those in --seen
-/// going first. On a problem writes it to `err` and returns nothing.
+/// Returns the revisions in the directory's seen.ini, overridden by those in
+/// --seen. On failure, writes the error to `err` and returns nullopt.
 std::optional<SeenRevisions> LoadSeen(const std::string& directory,
                                       std::ostream& err);
 
-/// Records `seen` in the directory.
+/// Writes `seen` to the directory's seen.ini.
 Status SaveSeen(const std::string& directory, const SeenRevisions& seen);
 
-/// Writes `text` to `path` as a whole: a file that is there is replaced in one
-/// step, so that a crash leaves the old or the new one.
+/// Writes `text` to `path` atomically: a crash leaves either the old or the new
+/// file.
 Status WriteTextFile(const std::string& path, const std::string& text);
 
 }  // namespace indigolead::cli
--- a/src/cli/flags.cc
+++ b/src/cli/flags.cc
@@ -8,29 +8,30 @@
 DEFINE_string(settings, "",
               "Settings file (INI); docs/SETTINGS.md has its keys");
 DEFINE_string(as, "", "Command whose settings are checked: entry or side");
-DEFINE_string(store, "", "Object API at IP:PORT, in place of [store] address");
+DEFINE_string(store, "", "Object API at IP:PORT, overrides [store] address");
 DEFINE_string(entry, "", "HTTP address IP:PORT of any entry");
-DEFINE_string(output, "table", "Form of the result: table or json");
+DEFINE_string(output, "table", "Output format: table or json");
 DEFINE_string(seen, "",
               "Revisions that the edit was made from, as NAME=NUMBER,...; 0: "
-              "none. In place of those in seen.ini");
-DEFINE_string(author, "", "Who makes the change; default: $USER");
+              "none. Overrides seen.ini");
+DEFINE_string(author, "", "Author of the change; default: $USER");
 DEFINE_string(source_version, "", "Version-control revision of the edit");
-DEFINE_string(note, "", "Why the change is made");
-DEFINE_string(since, "", "Only records younger than this, such as 30m or 24h");
-DEFINE_string(timeout, "30s", "Longest wait with --wait");
+DEFINE_string(note, "", "Reason for the change");
+DEFINE_string(since, "", "Only records newer than this, such as 30m or 24h");
+DEFINE_string(timeout, "30s", "Timeout of --wait");
 DEFINE_bool(wait, false, "Wait until the change is in force everywhere");
-DEFINE_string(csv, "", "File for the figures of each second");
-DEFINE_string(svg, "", "File for a picture of each second's requests");
+DEFINE_string(csv, "", "CSV file to write with the figures of each second");
+DEFINE_string(svg, "",
+              "SVG file to write with a chart of the requests in each second");
 DEFINE_int32(metrics_port, 0,
-             "Port of GET /metrics; 0: it is on the address of readiness only");
+             "Port of GET /metrics; 0: served only on the readiness address");
 
 namespace indigolead::cli {
 namespace {
 
 using Info = google::CommandLineFlagInfo;
 
-/// One argument that begins with a dash, taken apart.
+/// Name and value of an argument that begins with a dash.
 struct FlagText {
   std::string name;
   std::optional<std::string> value;
@@ -51,7 +52,8 @@
   return argument.size() > 1 && argument[0] == '-';
 }
 
-/// Sets `names` back, so that one process can run several command lines.
+/// Resets `names` to their defaults, so that one process can run several
+/// command lines.
 void ResetFlags(const std::vector<std::string>& names) {
   for (const std::string& it : names) {
     Info info;
@@ -86,9 +88,9 @@
   return line;
 }
 
-// gflags ends the process with code 1 at a flag it doesn't know, and its own
-// --flagfile would be a second form of settings. So the arguments are taken
-// apart here, and gflags keeps what it is good at: flags, types and values.
+// The arguments are parsed here because gflags exits with code 1 on an unknown
+// flag, and its --flagfile would be a second way to give settings. gflags only
+// defines the flags and checks their types and values.
 std::variant<std::vector<std::string>, std::string> ParseFlags(
     const std::vector<std::string>& arguments,
     const std::vector<std::string>& accepted) {
--- a/src/cli/flags.h
+++ b/src/cli/flags.h
@@ -1,7 +1,7 @@
 #ifndef INDIGOLEAD_CLI_FLAGS_H_
 #define INDIGOLEAD_CLI_FLAGS_H_
 
-// The flags of all commands, defined with gflags. Each command names the ones
+// Flags of all commands, defined with gflags. Each command lists the flags
 // that it accepts.
 
 #include <gflags/gflags_declare.h>
@@ -29,13 +29,13 @@
 
 namespace indigolead::cli {
 
-/// Returns the line that describes a flag in help texts.
+/// Returns the help line of a flag.
 std::string FlagHelp(const std::string& name);
 
-/// Sets the flags found in `arguments` and returns the other ones, or the
-/// message about a flag that is unknown, not in `accepted`, or has a wrong
-/// value. `--` ends the flags. "help" is always accepted and returned as
-/// "--help".
+/// Sets the flags found in `arguments` and returns the positional arguments, or
+/// an error message for a flag that is unknown, not in `accepted`, or has an
+/// invalid value. `--` ends the flags. "help" is always accepted and returned
+/// as "--help".
 std::variant<std::vector<std::string>, std::string> ParseFlags(
     const std::vector<std::string>& arguments,
     const std::vector<std::string>& accepted);
--- a/src/cli/fleet_commands.cc
+++ b/src/cli/fleet_commands.cc
@@ -38,11 +38,12 @@
     return false;
   }
   *context.err << "indigolead " << command
-               << ": --note is missing; say why, for those who find it later\n";
+               << ": --note is missing; give the reason for the change\n";
   return true;
 }
 
-/// Deletes the object at `key` and records that. Returns the exit code.
+/// Deletes the object at `key` and appends an audit record. Returns the exit
+/// code.
 int DeleteAndRecord(const CommandContext& context, const std::string& key,
                     AuditRecord record) {
   const auto store = OpenStore(context);
@@ -54,7 +55,7 @@
     return Fail(context, ErrorOf(object));
   }
   if (!ValueOf(object)) {
-    *context.err << "indigolead: there is no " << key << "\n";
+    *context.err << "indigolead: " << key << " does not exist\n";
     return kExitUsage;
   }
   const Status deleted = store->Delete(key, ValueOf(object)->version);
@@ -104,7 +105,7 @@
                  [&value](const std::string& found) { return found == value; });
   if (!IsOk(written)) {
     if (ErrorOf(written).code == ErrorCode::kConflict) {
-      *context.out << instance << ": is drained already\n";
+      *context.out << instance << ": already drained\n";
       return kExitOk;
     }
     return Fail(context, ErrorOf(written));
@@ -112,7 +113,7 @@
   AppendAudit(context, store.get(),
               RecordOf(AuditKind::kDrain, instance, origin, "", "drained"));
   *context.out << instance << ": drained; no new work after 2 s, requests in "
-               << "work end\n";
+               << "flight finish\n";
   return kExitOk;
 }
 
@@ -149,7 +150,7 @@
   for (const StoredObject& it : ValueOf(listing).objects) {
     Json object = Json::parse(it.value, nullptr, false);
     if (!object.is_object()) {
-      *context.err << "indigolead: " << it.key << " is not understood\n";
+      *context.err << "indigolead: " << it.key << " cannot be parsed\n";
       continue;
     }
     table.AddRow({it.key.substr(std::string(kQuarantinePrefix).size()),
--- a/src/cli/http_get.cc
+++ b/src/cli/http_get.cc
@@ -20,7 +20,7 @@
 
 constexpr std::uint64_t kMaxAnswerBytes = 64ULL << 20;
 
-/// One GET on a connection of its own.
+/// A single GET request on its own connection.
 class GetCall {
  public:
   GetCall(const std::string& address, const std::string& path)
--- a/src/cli/http_get.h
+++ b/src/cli/http_get.h
@@ -8,8 +8,8 @@
 
 namespace indigolead::cli {
 
-/// Returns the body of `GET path` at `address` ("IP:port"); an error if the
-/// answer is not 200 or not whole within `deadline`.
+/// Returns the body of `GET path` at `address` ("IP:port"). Fails if the status
+/// is not 200 or the response is not complete within `deadline`.
 Result<std::string> HttpGet(const std::string& address, const std::string& path,
                             Duration deadline);
 
--- a/src/cli/in_force.cc
+++ b/src/cli/in_force.cc
@@ -32,7 +32,8 @@
   return nullptr;
 }
 
-/// Appends what the entry at `address` still waits for.
+/// Adds what revision `number` still waits for, as reported in the `status` of
+/// the entry at `address`.
 void AddMissing(const std::string& address, const std::string& name,
                 std::uint64_t number, const Json& status,
                 std::set<std::string>* missing) {
@@ -46,7 +47,7 @@
   }
   const Json unknown = deployment->value("unknown", Json::object());
   for (const auto& it : unknown.items()) {
-    missing->insert(name + ": " + it.key() + " (silent)");
+    missing->insert(name + ": " + it.key() + " (not reporting)");
   }
 }
 
@@ -67,14 +68,13 @@
         AddMissing(address, name, number, status, &missing);
       }
     } catch (const Json::exception& e) {
-      missing.insert("entry " + address +
-                     ": status not understood: " + e.what());
+      missing.insert("entry " + address + ": cannot parse status: " + e.what());
     }
   }
   return missing;
 }
 
-/// Returns the time since `start` in whole milliseconds, as text.
+/// Formats the time since `start` in whole milliseconds.
 std::string TimeSince(TimePoint start) {
   return FormatDuration(std::chrono::duration_cast<std::chrono::milliseconds>(
       BootTimeNow() - start));
--- a/src/cli/in_force.h
+++ b/src/cli/in_force.h
@@ -9,9 +9,9 @@
 
 namespace indigolead::cli {
 
-/// Waits until each revision in `numbers`, by deployment, is in force
-/// everywhere, as the entries named by --entry see it, and says how long that
-/// took. After --timeout names who is missing and returns `kExitNotInForce`.
+/// Polls the entries in --entry until they report every revision in `numbers`
+/// (by deployment) as in force everywhere, then prints the time it took. After
+/// --timeout, prints what is missing and returns `kExitNotInForce`.
 int WaitInForce(const CommandContext& context,
                 const std::map<std::string, std::uint64_t>& numbers);
 
--- a/src/cli/operator_audit.cc
+++ b/src/cli/operator_audit.cc
@@ -5,13 +5,13 @@
 namespace indigolead::cli {
 namespace {
 
-// Entries write segments of their own; operators share this one, so each
+// Each entry has its own segment, but all operators share this one, so each
 // append is conditional on the version read.
 constexpr char kOperator[] = "operator";
 constexpr std::size_t kMaxSegmentBytes = 256U << 10;
 constexpr int kMaxTries = 10;
 
-/// Drops whole lines from the front until `text` is within the bound.
+/// Removes whole lines from the front until `text` fits `kMaxSegmentBytes`.
 void DropOldest(std::string* text) {
   while (text->size() > kMaxSegmentBytes) {
     text->erase(0, text->find('\n') + 1);
--- a/src/cli/operator_audit.h
+++ b/src/cli/operator_audit.h
@@ -6,9 +6,9 @@
 
 namespace indigolead::cli {
 
-/// Appends `record` to the operators' segment of the audit trail, whose oldest
-/// records go when it is full. Says so on `context.err` if that failed: the
-/// change itself stands.
+/// Appends `record` to the operators' segment of the audit trail and drops the
+/// oldest records when the segment is full. A failure is only reported on
+/// `context.err`, since the change itself is already made.
 void AppendAudit(const CommandContext& context, OperatorStore* store,
                  const AuditRecord& record);
 
--- a/src/cli/operator_store.h
+++ b/src/cli/operator_store.h
@@ -14,7 +14,7 @@
 
 namespace indigolead::cli {
 
-/// The object API for one command: each call waits for its answer.
+/// Blocking client of the object API for a single command.
 class OperatorStore {
  public:
   /// `address` is "IP:port".
@@ -23,8 +23,9 @@
   Result<std::optional<StoredObject>> Get(const std::string& key);
   Result<ObjectStore::Listing> List(const std::string& prefix);
 
-  /// Writes `value` if the object's version is `expected`, and settles a lost
-  /// answer; `is_ours` recognises the value by its nonce.
+  /// Writes `value` if the object's version is `expected`. If the response is
+  /// lost, finds out whether the write took effect; `is_ours` tells whether a
+  /// stored value is the one written here.
   Result<std::uint64_t> Put(
       const std::string& key, const std::string& value,
       ExpectedVersion expected,
@@ -42,11 +43,12 @@
   IdempotentWriter writer_;
 };
 
-/// Returns the store that --store or [store] in --settings names. On a problem
-/// says so and returns null; the command then ends with `kExitUsage`.
+/// Returns a client for the address in --store, or else in [store] of the
+/// --settings file. On failure, writes the error to `context.err` and returns
+/// null; the command then exits with `kExitUsage`.
 std::unique_ptr<OperatorStore> OpenStore(const CommandContext& context);
 
-/// Says that `error` ended the command. Returns its exit code.
+/// Writes `error` to `context.err` and returns the exit code for it.
 int Fail(const CommandContext& context, const Error& error);
 
 }  // namespace indigolead::cli
--- a/src/cli/replay_command.cc
+++ b/src/cli/replay_command.cc
@@ -53,7 +53,7 @@
   }
 }
 
-/// Returns true if the outcome is what the trace states.
+/// Returns true if `outcome` meets every expectation of the trace.
 bool CheckExpectations(const Trace& trace, const ReplayOutcome& outcome,
                        std::ostream* err) {
   bool met = true;
@@ -101,7 +101,7 @@
   const ReplayOutcome outcome = Replay(ValueOf(trace), *policy);
   FLAGS_output == "json" ? PrintJson(outcome, context.out)
                          : PrintTable(outcome, context.out);
-  // Only the product's own decisions have to reach the stated outcome.
+  // The expectations of a trace apply only to the production policy.
   const bool met =
       name != "own" || CheckExpectations(ValueOf(trace), outcome, context.err);
   return met ? kExitOk : kExitFailed;
--- a/src/cli/report_command.cc
+++ b/src/cli/report_command.cc
@@ -9,7 +9,7 @@
 namespace indigolead::cli {
 namespace {
 
-/// Writes `text` to the file that `path` names; nothing if it names none.
+/// Writes `text` to the file at `path`; does nothing if `path` is empty.
 bool WriteFile(const std::string& path, const std::string& text,
                std::ostream* err) {
   if (path.empty()) {
--- a/src/cli/revision_commands.cc
+++ b/src/cli/revision_commands.cc
@@ -14,7 +14,7 @@
 namespace indigolead::cli {
 namespace {
 
-/// One deployment of a directory against the store.
+/// A declared deployment compared with its live revision in the store.
 struct PlannedChange {
   DeploymentSpec wanted;
   std::optional<LiveRevision> live;
@@ -54,8 +54,8 @@
   return changes;
 }
 
-/// Returns the specification of revision `number`; nothing if it is no longer
-/// kept.
+/// Returns the specification of revision `number`, or nullopt if it is no
+/// longer kept.
 std::optional<DeploymentSpec> ReadSeenSpec(OperatorStore* store,
                                            const std::string& name,
                                            std::uint64_t number) {
@@ -93,7 +93,7 @@
     os << "revision " << seen << " is no longer kept; live -> yours:\n"
        << ToText(DiffSpecs(live->revision.spec, wanted));
   }
-  os << "Nothing of yours was written. Take the other edit into your files, "
+  os << "Your edit was not written. Merge the other edit into your files, "
         "then apply with --seen="
      << wanted.name << "=" << live->revision.number << "\n";
 }
@@ -101,14 +101,14 @@
 void PrintUnseen(std::ostream& os, const PlannedChange& change) {
   os << change.wanted.name << ": revision " << NumberOf(change.live) << " by "
      << change.live->revision.author
-     << " is live, and these files don't say from which revision they were "
-        "edited; live -> yours:\n"
+     << " is live, and these files don't record which revision they were "
+        "edited from; live -> yours:\n"
      << ToText(DiffSpecs(SpecOf(change.live), change.wanted))
-     << "If that is what you mean, use --seen=" << change.wanted.name << "="
+     << "If this is intended, use --seen=" << change.wanted.name << "="
      << NumberOf(change.live) << "\n";
 }
 
-/// Prints the changes that cannot be applied. Returns true if there are any.
+/// Prints the changes that cannot be applied and returns true if there are any.
 bool PrintRefused(std::ostream& os, OperatorStore* store,
                   const std::vector<PlannedChange>& changes) {
   bool refused = false;
@@ -137,7 +137,7 @@
   return record;
 }
 
-/// Writes one planned change. Returns the exit code.
+/// Writes one planned change and returns the exit code.
 int WriteChange(const CommandContext& context, OperatorStore* store,
                 const PlannedChange& change, const ChangeOrigin& origin) {
   const Revision next =
@@ -154,7 +154,7 @@
   if (ErrorOf(written).code != ErrorCode::kConflict) {
     return Fail(context, ErrorOf(written));
   }
-  // Another edit won between our read and our write.
+  // Another edit was accepted between the read and the write above.
   const auto live = ReadLive(store, change.wanted.name);
   if (!IsOk(live)) {
     return Fail(context, ErrorOf(live));
--- a/src/cli/revision_store.cc
+++ b/src/cli/revision_store.cc
@@ -37,8 +37,9 @@
   return LiveRevision{ValueOf(std::move(revision)), object};
 }
 
-/// Keeps the revision that is about to be replaced. It may be there already:
-/// another edit of it, refused or not, came as far as this.
+/// Copies the revision that is about to be replaced to the history. The copy
+/// may already exist, written by another edit of the same revision whether or
+/// not that edit was accepted.
 Status KeepInHistory(OperatorStore* store, const LiveRevision& live) {
   const std::string key =
       HistoryKey(live.revision.spec.name, live.revision.number);
@@ -52,8 +53,8 @@
   return Unit{};
 }
 
-/// Deletes the one revision that has become too old. A failure leaves it for
-/// good, which does no harm.
+/// Deletes the one revision that exceeds `kHistoryKept`. On failure the
+/// revision is never deleted, which is harmless.
 void PruneHistory(OperatorStore* store, const Revision& next) {
   if (next.number <= kHistoryKept) {
     return;
@@ -66,8 +67,8 @@
   }
 }
 
-/// Returns true if `next` was the newest revision at some time. Whoever
-/// replaced it has kept it in the history first.
+/// Returns true if `next` was once the newest revision: the edit that replaced
+/// it first copied it to the history.
 Result<bool> WasAccepted(OperatorStore* store, const Revision& next) {
   const auto object = store->Get(HistoryKey(next.spec.name, next.number));
   if (!IsOk(object)) {
@@ -138,7 +139,7 @@
   std::sort(
       revisions.begin(), revisions.end(),
       [](const Revision& a, const Revision& b) { return a.number > b.number; });
-  // A refused edit leaves the live revision in the history as well.
+  // A rejected edit leaves a copy of the live revision in the history.
   revisions.erase(std::unique(revisions.begin(), revisions.end(),
                               [](const Revision& a, const Revision& b) {
                                 return a.number == b.number;
@@ -168,8 +169,8 @@
   if (error.code != ErrorCode::kUnknownEffect) {
     return error;
   }
-  // Our answer was lost and another edit stands there now: it was made either
-  // instead of ours or on top of it.
+  // The response was lost and the object now holds another edit, which was made
+  // either instead of this one or on top of it.
   const Result<bool> accepted = WasAccepted(store, next);
   if (!IsOk(accepted)) {
     return ErrorOf(accepted);
--- a/src/cli/revision_store.h
+++ b/src/cli/revision_store.h
@@ -1,7 +1,7 @@
 #ifndef INDIGOLEAD_CLI_REVISION_STORE_H_
 #define INDIGOLEAD_CLI_REVISION_STORE_H_
 
-// Reads and writes the revisions of deployments in the object API.
+// Reads and writes deployment revisions through the object API.
 
 #include <optional>
 #include <string>
@@ -13,34 +13,35 @@
 
 namespace indigolead::cli {
 
-/// Earlier revisions of a deployment that are kept.
+/// Number of earlier revisions kept for each deployment.
 inline constexpr std::uint64_t kHistoryKept = 100;
 
-/// The newest revision of a deployment with the object that holds it.
+/// Newest revision of a deployment and the object that stores it.
 struct LiveRevision {
   Revision revision;
   StoredObject object;
 };
 
-/// Returns the newest revision of `deployment`; nothing if there is none.
+/// Returns the newest revision of `deployment`, or nullopt if there is none.
 Result<std::optional<LiveRevision>> ReadLive(OperatorStore* store,
                                              const std::string& deployment);
 
-/// Returns the newest revision of every deployment, by name.
+/// Returns the newest revision of every deployment, sorted by name.
 Result<std::vector<LiveRevision>> ReadAllLive(OperatorStore* store);
 
-/// Returns the newest and the earlier revisions of `deployment`, newest first.
+/// Returns all kept revisions of `deployment`, newest first.
 Result<std::vector<Revision>> ReadHistory(OperatorStore* store,
                                           const std::string& deployment);
 
-/// Makes `next` the newest revision if `live` still is, and keeps `live` in
-/// the history. Fails with `kConflict`, without effect, if it is not.
+/// Replaces the newest revision `live` by `next` and keeps `live` in the
+/// history. Fails with `kConflict`, without replacing it, if `live` is no
+/// longer the newest.
 Status WriteNext(OperatorStore* store, const std::optional<LiveRevision>& live,
                  const Revision& next);
 
-/// Returns who changes what from the flags: --author, --note,
-/// --source_version. `directory` may be empty; else its version-control
-/// revision is taken if the flag is absent.
+/// Returns the origin of a change from --author, --note and --source_version.
+/// Without --source_version, uses the version-control revision of `directory`,
+/// which may be empty.
 ChangeOrigin OriginFromFlags(const std::string& directory);
 
 }  // namespace indigolead::cli
--- a/src/cli/settings_file.cc
+++ b/src/cli/settings_file.cc
@@ -18,7 +18,8 @@
     return Error{ErrorCode::kInvalidInput, "file.read", path,
                  std::string("cannot be read: ") + std::strerror(errno)};
   }
-  // One byte above the limit is kept, so that the checker sees the excess.
+  // Keep one byte beyond the limit so that the size check can detect the
+  // excess.
   text.resize(static_cast<std::size_t>(file.gcount()));
   return text;
 }
--- a/src/cli/settings_file.h
+++ b/src/cli/settings_file.h
@@ -10,12 +10,12 @@
 
 namespace indigolead::cli {
 
-/// Returns the text of the file at `path`, or an error if it cannot be read
-/// or is larger than any file of settings or declarations may be.
+/// Returns the content of the file at `path`, or an error if it cannot be read
+/// or exceeds the size limit of settings and declaration files.
 Result<std::string> ReadTextFile(const std::string& path);
 
-/// Returns the settings in the file at `path`. On any problem writes it to
-/// `err` and returns nothing; the command then ends with `kExitUsage`.
+/// Returns the settings in the file at `path`. On failure, writes the error to
+/// `err` and returns nullopt; the command then exits with `kExitUsage`.
 std::optional<Settings> LoadSettings(const std::string& path, SettingsRole role,
                                      std::ostream& err);
 
--- a/src/cli/source_version.cc
+++ b/src/cli/source_version.cc
@@ -25,7 +25,7 @@
   return text.substr(prefix.size());
 }
 
-/// Returns the ".git" folder of the work tree that `path` is in.
+/// Returns the ".git" directory of the work tree that contains `path`.
 fs::path FindGitFolder(fs::path path) {
   std::error_code ec;
   while (!path.empty()) {
@@ -33,7 +33,7 @@
     if (fs::is_directory(candidate, ec)) {
       return candidate;
     }
-    // A linked work tree has a file that names its folder.
+    // In a linked work tree, ".git" is a file that names the directory.
     if (const auto linked = AfterPrefix(FirstLine(candidate), "gitdir: ")) {
       return path / *linked;
     }
--- a/src/cli/source_version.h
+++ b/src/cli/source_version.h
@@ -5,8 +5,9 @@
 
 namespace indigolead::cli {
 
-/// Returns the Git revision that the work tree round `directory` has checked
-/// out; empty if there is none. Reads the files: no process is started.
+/// Returns the Git revision checked out in the work tree that contains
+/// `directory`, or an empty string if there is none. Reads Git's files directly
+/// and starts no process.
 std::string FindSourceVersion(const std::string& directory);
 
 }  // namespace indigolead::cli
--- a/src/cli/status_command.cc
+++ b/src/cli/status_command.cc
@@ -19,7 +19,7 @@
                     "missing\n";
     return kExitUsage;
   }
-  // Any entry can tell; the first that answers does.
+  // Every entry can report the status; use the first that responds.
   std::optional<std::string> answer;
   for (auto it = addresses.begin(); it != addresses.end() && !answer; ++it) {
     Result<std::string> body = HttpGet(*it, "/admin/status", kDeadline);
--- a/src/cli/status_view.cc
+++ b/src/cli/status_view.cc
@@ -14,7 +14,7 @@
 
 std::string AgeText(double seconds) {
   char buf[32];
-  // A clock that is read twice may give an age just below 0.
+  // Two clock readings can yield an age slightly below 0.
   std::snprintf(buf, sizeof(buf), "%.1fs ago", std::max(seconds, 0.0));
   return buf;
 }
@@ -38,7 +38,7 @@
          load.value("waiting", Json(0)).dump() + " waiting";
 }
 
-/// Returns an aged figure as text; see `EncodeStatus`.
+/// Formats a value and its age; see `EncodeStatus`.
 std::string FigureText(const Json& object, const char* key) {
   const auto it = object.find(key);
   if (it == object.end() || !it->is_object()) {
@@ -176,7 +176,7 @@
 }  // namespace
 
 Result<std::string> StatusText(std::string_view json) {
-  // The status of another version may lack fields; a wrong type is an error.
+  // An entry of another version may omit fields; a wrong type is an error.
   try {
     const Json status = Json::parse(json);
     return HeadText(status) + DeploymentsText(status) + TargetsText(status) +
--- a/src/cli/status_view.h
+++ b/src/cli/status_view.h
@@ -8,9 +8,9 @@
 
 namespace indigolead::cli {
 
-/// Returns the status that an entry gave as JSON (see `EncodeStatus`) as
-/// tables for a terminal. Every figure is followed by its age; one that nobody
-/// keeps up to date reads "unknown since T", without its last value.
+/// Formats the JSON status of an entry (see `EncodeStatus`) as tables for a
+/// terminal. Every value is followed by its age. A value that is no longer
+/// updated is shown as "unknown since T" without its last value.
 Result<std::string> StatusText(std::string_view json);
 
 }  // namespace indigolead::cli
--- a/src/cli/stop_signals.h
+++ b/src/cli/stop_signals.h
@@ -6,13 +6,13 @@
 
 namespace indigolead::cli {
 
-/// Turns SIGTERM and SIGINT into a planned stop, on a thread of its own, and
-/// ignores SIGPIPE while it lives: a peer that went away is an error of one
-/// write, not the end of the process.
+/// Handles SIGTERM and SIGINT on its own thread to start a graceful shutdown.
+/// Ignores SIGPIPE once constructed, so that a disconnected peer fails one
+/// write instead of terminating the process.
 class StopSignals {
  public:
-  /// `on_stop` is called at the first signal with its number, from another
-  /// thread. Further signals change nothing: the drain timeout bounds the stop.
+  /// Calls `on_stop` with the number of the first signal, from another thread.
+  /// Further signals have no effect: the drain timeout bounds the shutdown.
   explicit StopSignals(std::function<void(int signal)> on_stop);
   ~StopSignals();
   StopSignals(const StopSignals&) = delete;
--- a/src/cli/time_text.h
+++ b/src/cli/time_text.h
@@ -7,7 +7,7 @@
 
 namespace indigolead::cli {
 
-/// Returns `at` as "2026-01-31T12:00:00Z".
+/// Formats `at` in UTC, such as "2026-01-31T12:00:00Z".
 std::string WallTimeText(WallMicros at);
 
 }  // namespace indigolead::cli
--- a/src/replay/engine_model.cc
+++ b/src/replay/engine_model.cc
@@ -5,7 +5,7 @@
 namespace indigolead::replay {
 namespace {
 
-/// Share of a full decode step that does not depend on the batch.
+/// Share of a full decode step that is independent of the batch size.
 constexpr double kFixedStepShare = 0.5;
 
 }  // namespace
--- a/src/replay/engine_model.h
+++ b/src/replay/engine_model.h
@@ -11,17 +11,17 @@
 
 namespace indigolead::replay {
 
-/// What an engine can do; the same for all engines of a trace.
+/// Capacity and costs of an engine; the same for all engines of a trace.
 struct EngineCosts {
   double prefill_tokens_per_s = 4000;
-  double decode_tokens_per_s = 600;  ///< With all slots in use.
+  double decode_tokens_per_s = 600;  ///< All slots in use.
   std::uint32_t slots = 16;
   std::uint64_t kv_tokens = 60000;     ///< For running requests.
   std::uint64_t cache_tokens = 20000;  ///< For shared prefixes.
-  std::uint32_t chunk_tokens = 256;    ///< Prefill done in one step.
-  /// Times longer that a step is which does both kinds of work.
+  std::uint32_t chunk_tokens = 256;    ///< Prefill per step.
+  /// Slowdown factor of a step that does both prefill and decode work.
   double interference = 1.15;
-  /// Times longer that work of another role takes.
+  /// Slowdown factor of work that does not match the role of the engine.
   double mismatch = 3;
 };
 
@@ -37,35 +37,37 @@
   bool poison = false;
 };
 
-/// What one step of an engine brought about.
+/// Result of one engine step.
 struct StepResult {
   std::vector<std::uint64_t> first_tokens;
   std::vector<std::uint64_t> finished;
-  std::vector<std::uint32_t> cached;   ///< Prefixes that came into the cache.
-  std::vector<std::uint32_t> evicted;  ///< Prefixes that left it.
+  std::vector<std::uint32_t> cached;   ///< Prefixes added to the cache.
+  std::vector<std::uint32_t> evicted;  ///< Prefixes evicted from the cache.
   bool crashed = false;
 };
 
-/// Cost model of one engine: continuous batching in steps, each with one
-/// token for every running sequence and one chunk of prefill.
+/// Cost model of one engine with continuous batching: each step generates one
+/// token for every running sequence and prefills one chunk.
 class EngineModel {
  public:
   explicit EngineModel(const EngineCosts& costs) : costs_(costs) {}
 
-  /// Queues a request. Returns the prompt tokens found in the cache.
+  /// Queues a request and returns the number of prompt tokens found in the
+  /// cache.
   std::uint32_t Add(Sequence sequence);
   void Cancel(std::uint64_t attempt);
 
-  /// Begins a step and returns its seconds, or 0 if there is nothing to do.
+  /// Begins a step and returns its duration in seconds, or 0 if the engine is
+  /// idle.
   double BeginStep();
   StepResult EndStep();
 
-  /// Empties the engine, as a crash or a role change does.
+  /// Drops all requests and cached prefixes, as a crash or a role change does.
   void Reset();
 
   TargetLoadReport Report() const;
 
-  /// Returns the seconds until a new request would be done, at the least.
+  /// Returns a lower bound of the seconds until a new request would finish.
   double FinishSeconds(double prompt_tokens, double output_tokens) const;
 
   bool idle() const { return running_.empty() && waiting_.empty(); }
--- a/src/replay/measurement.cc
+++ b/src/replay/measurement.cc
@@ -25,15 +25,16 @@
   return event.prompt_tokens + event.output_tokens;
 }
 
-/// Requests and tokens that perfect knowledge could finish in time.
+/// Upper bound of the requests and tokens that can finish in time.
 struct Bound {
   double requests = 0;
   double tokens = 0;
 };
 
-/// Returns a bound that no policy can pass: every shared prefix is prefilled
-/// once in the whole trace, all engines are always full, and the requests that
-/// fit are those with the least work, or the most tokens for their work.
+/// Returns a bound that no policy can exceed. It assumes that every shared
+/// prefix is prefilled once per trace, that all engines are always full, and
+/// that requests are chosen by least work (bound on requests) or by most tokens
+/// per work (bound on tokens).
 Bound UpperBound(const EngineCosts& costs,
                  const std::vector<RequestRecord>& requests,
                  double engine_seconds) {
@@ -77,8 +78,9 @@
   return bound;
 }
 
-/// Returns Jain's index of what each account got, as a share of what it asked
-/// for or of an equal part, whichever is less.
+/// Returns Jain's fairness index over the accounts. The share of an account is
+/// the tokens it finished in time relative to its max-min fair share: the
+/// tokens it requested or an equal part, whichever is less.
 double Fairness(const std::vector<RequestRecord>& requests) {
   std::map<std::string, double> asked;
   std::map<std::string, double> got;
@@ -90,7 +92,7 @@
       total += TokensOf(*it.event);
     }
   }
-  // Water filling: what small accounts leave is shared by the others.
+  // Water filling: the remainder that small accounts leave goes to the others.
   std::vector<std::pair<double, std::string>> by_size;
   by_size.reserve(asked.size());
   for (const auto& [name, tokens] : asked) {
--- a/src/replay/policies.cc
+++ b/src/replay/policies.cc
@@ -52,7 +52,8 @@
     const std::uint64_t key = query.prefix_blocks.empty()
                                   ? query.prompt_tokens * 0x9E3779B97F4A7C15ULL
                                   : query.prefix_blocks.front();
-    // Rendezvous hashing: the highest of one draw per target and key.
+    // Rendezvous hashing: each target gets a pseudorandom number for the key;
+    // the highest wins.
     TargetHandle best = serving.front();
     std::uint64_t highest = 0;
     for (const TargetHandle it : serving) {
@@ -77,8 +78,9 @@
   return [](auto...) { return std::optional<RoleChange>(); };
 }
 
-/// Follows the queues: turns an engine to whichever kind of work has more than
-/// a second of it waiting per engine.
+/// Reactive baseline: switches an engine to prefill or decode if only that kind
+/// of work exceeds its threshold per engine (0.5 s of queued prefill, requests
+/// for 80% of the slots).
 RoleHook ThresholdRoles() {
   return [](RolePlanner*, const RoleSpec&, std::span<const RoleTarget> targets,
             std::span<const TargetLoadReport> loads, std::uint32_t,
@@ -131,8 +133,8 @@
     return [choose = std::move(choose)](Policy* policy) {
       policy->choose = choose;
       policy->roles = StaticRoles();
-      // They know nothing of roles and would send whole requests to engines
-      // that do one part well.
+      // These baselines ignore roles and would send whole requests to engines
+      // specialized in prefill or decode.
       policy->all_mixed = true;
     };
   };
--- a/src/replay/policies.h
+++ b/src/replay/policies.h
@@ -13,18 +13,18 @@
 
 namespace indigolead::replay {
 
-/// Chooses a target. `serving` holds the targets to choose from, at least one.
+/// Chooses one of the targets in `serving`, which is not empty.
 using ChooseHook = std::function<RouteDecision(
     Router*, const RouteQuery&, std::span<const TargetHandle> serving,
     TimePoint)>;
 
-/// Chooses the next role change. `loads` holds the newest reports, in the
+/// Chooses the next role change. `loads` holds the latest load reports in the
 /// order of the targets.
 using RoleHook = std::function<std::optional<RoleChange>(
     RolePlanner*, const RoleSpec&, std::span<const RoleTarget>,
     std::span<const TargetLoadReport> loads, std::uint32_t hour, TimePoint)>;
 
-/// One way to run a trace: the decisions, and options that switch one off.
+/// Decisions and options to replay a trace with.
 struct Policy {
   std::string name;
   ChooseHook choose;
@@ -33,16 +33,17 @@
   AdmissionOptions admission;
   RolePlanner::Options planner;
   double retry_share = 0.1;
-  bool all_mixed = false;    ///< Starts with mixed engines, whatever is set.
-  bool refuse_early = true;  ///< Off: no deadline is judged before it passes.
+  bool all_mixed = false;    ///< Starts all engines as mixed.
+  bool refuse_early = true;  ///< Rejects requests expected to be late.
 };
 
-/// Returns the product's own decisions.
+/// Returns the production policy.
 Policy OwnPolicy();
 
-/// Returns the policies to compare with, or nothing if `name` is unknown:
-/// baselines ("random", "round-robin", ...) and own decisions with one
-/// mechanism switched off ("no-cache", "no-correction", ...).
+/// Returns the policy called `name`, or nullopt if it is unknown. Besides the
+/// production policy ("own") there are baselines ("random", "round-robin", ...)
+/// and ablations of the production policy, each with one mechanism switched off
+/// ("no-cache", "no-correction", ...).
 std::optional<Policy> FindPolicy(const std::string& name);
 
 /// Returns the names of the baselines, then those of the ablations.
--- a/src/replay/replay.cc
+++ b/src/replay/replay.cc
@@ -22,7 +22,7 @@
 constexpr Duration kReportInterval = milliseconds(500);
 constexpr Duration kTick = milliseconds(20);
 constexpr Duration kCacheEventLag = std::chrono::seconds(1);
-/// Until the entries know that an engine is gone.
+/// Time until the entries detect that an engine is down.
 constexpr Duration kDetection = milliseconds(500);
 constexpr Duration kRestart = std::chrono::seconds(5);
 constexpr double kTransferTokensPerS = 40000;
@@ -38,7 +38,7 @@
       std::chrono::duration<double>(seconds));
 }
 
-/// Returns the hashes of the blocks of a shared prefix.
+/// Returns simulated block hashes of a shared prefix.
 std::vector<std::uint64_t> BlocksOf(std::uint32_t prefix,
                                     std::uint32_t tokens) {
   const std::size_t n = std::min<std::size_t>(
@@ -49,7 +49,7 @@
   return blocks;
 }
 
-/// Runs one trace in virtual time.
+/// Discrete-event simulation of one trace in virtual time.
 class Simulation {
  public:
   Simulation(const Trace& trace, const Policy& policy);
@@ -63,8 +63,8 @@
     EngineRole ordered = EngineRole::kMixed;
     bool up = true;
     bool changing = false;
-    bool away = false;        ///< Drained, and changing its role.
-    std::uint64_t epoch = 0;  ///< Grows when what is under way is lost.
+    bool away = false;        ///< Drained; role change in progress.
+    std::uint64_t epoch = 0;  ///< Incremented to void pending events.
     TimePoint changing_since;
     TargetLoadReport reported;
     std::set<std::uint64_t> attempts;
@@ -73,7 +73,7 @@
     std::unique_ptr<Router> router;
     std::unique_ptr<Admission> admission;
     std::unique_ptr<RetryBudget> budget;
-    std::vector<TargetHandle> handles;  ///< By engine.
+    std::vector<TargetHandle> handles;  ///< Indexed by engine.
   };
   struct Request {
     RequestRecord record;
@@ -90,7 +90,7 @@
     std::uint32_t request = 0;
     std::uint32_t engine = 0;
     Part part = Part::kWhole;
-    std::uint64_t decode = 0;  ///< Of a prefill: the attempt that follows.
+    std::uint64_t decode = 0;  ///< For a prefill: its decode attempt.
   };
   struct Event {
     TimePoint at;
@@ -150,7 +150,7 @@
   std::uint64_t order_ = 0;
   TimePoint now_ = kStart;
   TimePoint end_ = kStart;
-  TokenMix offered_;  ///< Since the last planning.
+  TokenMix offered_;  ///< Since the last role planning.
   ReplayCounts counts_;
   std::vector<ReplaySample> samples_;
 };
@@ -254,7 +254,8 @@
 
 ReplayOutcome Simulation::Run() {
   Schedule();
-  // What repeats by itself stops a minute after the last trace event.
+  // Periodic events reschedule themselves, so the run stops 60 seconds after
+  // the last trace event.
   const TimePoint stop = end_ + std::chrono::seconds(60);
   while (!events_.empty() && events_.top().at <= stop) {
     const std::function<void()> run = events_.top().run;
@@ -291,7 +292,7 @@
   }
 }
 
-// Requests, as an entry runs them.
+// Request handling of an entry.
 
 RouteQuery Simulation::QueryOf(const Request& request) const {
   RouteQuery query;
@@ -506,7 +507,7 @@
   After(kTick, [this, entry] { Advance(entry); });
 }
 
-// Engines, and what the entries see of them.
+// Engines and their reports to the entries.
 
 void Simulation::Kick(std::uint32_t e) {
   Engine& engine = engines_[e];
@@ -578,7 +579,8 @@
   engine.model.Reset();
   engine.model.stepping = false;
   for (const std::uint64_t it : engine.attempts) {
-    // Every request in flight is a suspect; only one of them is the poison.
+    // All requests in flight fail, but only a poison request counts the crash
+    // as a kill.
     const bool poison = requests_[attempts_[it].request].record.event->poison;
     After(kDetection, [this, it, poison] { Fail(it, poison); });
   }
@@ -665,7 +667,7 @@
   });
 }
 
-// Roles, as the controller runs them.
+// Role changes of the controller.
 
 void Simulation::PlanRoles() {
   constexpr Duration kInterval = std::chrono::seconds(1);
@@ -713,7 +715,7 @@
   }
 }
 
-// Goes on with a change once the engine has finished what it had.
+// Continues a role change once the engine has finished all its attempts.
 void Simulation::ContinueChange(std::uint32_t e) {
   Engine& engine = engines_[e];
   if (!engine.changing || engine.away || !engine.attempts.empty()) {
--- a/src/replay/replay.h
+++ b/src/replay/replay.h
@@ -11,7 +11,7 @@
 
 namespace indigolead::replay {
 
-/// State of a replay at one second.
+/// State of a replay in one second of the trace.
 struct ReplaySample {
   double good_tokens = 0;  ///< Finished in time in this second.
   std::uint32_t prefill = 0;
@@ -21,21 +21,21 @@
   friend bool operator==(const ReplaySample&, const ReplaySample&) = default;
 };
 
-/// What a replay measured, all in the time of the trace.
+/// Results of a replay. All times are in trace time.
 struct ReplayOutcome {
-  /// Named figures, in the order to print them.
+  /// Metrics by name, in print order.
   std::vector<std::pair<std::string, double>> metrics;
   std::vector<ReplaySample> samples;
 
-  /// Returns the figure, or 0 if there is none of that name.
+  /// Returns the value of `metric`, or 0 if there is none.
   double Get(const std::string& metric) const;
 
   friend bool operator==(const ReplayOutcome&, const ReplayOutcome&) = default;
 };
 
-/// Drives the routing, admission, retry and role decisions of the product with
-/// a trace, against the cost model of an engine. Same input, same outcome: the
-/// time is virtual and every draw is seeded.
+/// Replays a trace through the production routing, admission, retry and role
+/// planning code, with engines simulated by `EngineModel`. Deterministic: time
+/// is virtual and all random numbers are seeded.
 ReplayOutcome Replay(const Trace& trace, const Policy& policy);
 
 }  // namespace indigolead::replay
--- a/src/replay/trace.h
+++ b/src/replay/trace.h
@@ -11,27 +11,27 @@
 
 namespace indigolead::replay {
 
-/// One line of a trace after its header.
+/// A timestamped line of a trace.
 struct TraceEvent {
   enum class Kind { kRequest, kDown, kUp, kSlow };
   Kind kind = Kind::kRequest;
   std::int64_t at_ms = 0;
-  // Of a request.
+  // For `kRequest`:
   std::string account;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t output_tokens = 0;
   std::uint32_t deadline_ms = 0;
-  std::uint32_t prefix = 0;         ///< Names the shared prefix; 0: none.
-  std::uint32_t prefix_tokens = 0;  ///< Prompt tokens in it.
-  bool poison = false;              ///< Kills each engine that runs it.
-  // Of an engine.
+  std::uint32_t prefix = 0;         ///< Id of the shared prefix; 0: none.
+  std::uint32_t prefix_tokens = 0;  ///< Prompt tokens in the prefix.
+  bool poison = false;              ///< Crashes each engine that runs it.
+  // For engine events:
   std::uint32_t engine = 0;
-  double factor = 1;  ///< Times slower from now on.
+  double factor = 1;  ///< Slowdown from this event on.
 
   friend bool operator==(const TraceEvent&, const TraceEvent&) = default;
 };
 
-/// Client account of a trace.
+/// A client account of a trace.
 struct TraceAccount {
   std::string name;
   int priority = 0;
@@ -40,9 +40,9 @@
   friend bool operator==(const TraceAccount&, const TraceAccount&) = default;
 };
 
-/// Outcome that a replay of the trace must reach.
+/// Bound on a metric that a replay of the trace must meet.
 struct TraceExpectation {
-  std::string metric;  ///< Name as printed by the replay.
+  std::string metric;  ///< Name printed by the replay.
   bool at_least = true;
   double bound = 0;
 
@@ -50,9 +50,9 @@
                          const TraceExpectation&) = default;
 };
 
-/// A recorded stretch of arrivals and of what happened to the engines.
+/// A recorded sequence of request arrivals and engine events.
 ///
-/// Text, one record a line; '#' starts a comment:
+/// Text format with one record per line; '#' starts a comment:
 ///     set NAME VALUE
 ///     account NAME PRIORITY WEIGHT
 ///     expect METRIC >= VALUE
@@ -63,24 +63,24 @@
   std::map<std::string, double> settings;
   std::vector<TraceAccount> accounts;
   std::vector<TraceExpectation> expectations;
-  std::vector<TraceEvent> events;  ///< In order of time.
+  std::vector<TraceEvent> events;  ///< Sorted by time.
 
-  /// Returns the setting, or `fallback`.
+  /// Returns the value of `setting`, or `fallback` if it is not set.
   double Get(const std::string& setting, double fallback) const;
 
   friend bool operator==(const Trace&, const Trace&) = default;
 };
 
-/// Reads a trace; the error names the line.
+/// Parses a trace. Errors name the line.
 Result<Trace> ReadTrace(std::istream* in, const std::string& name);
 
-/// Writes `trace` so that `ReadTrace` returns an equal one.
+/// Writes `trace` in the format that `ReadTrace` parses.
 void WriteTrace(const Trace& trace, std::ostream* out);
 
-/// Returns the names that `GenerateTrace` knows.
+/// Returns the scenarios that `GenerateTrace` supports.
 const std::vector<std::string>& ScenarioNames();
 
-/// Returns the trace of a scenario; the same one for the same seed.
+/// Generates the trace of a scenario, deterministically for each seed.
 Trace GenerateTrace(const std::string& scenario, std::uint64_t seed);
 
 }  // namespace indigolead::replay
--- a/src/replay/trace_generator.cc
+++ b/src/replay/trace_generator.cc
@@ -1,4 +1,4 @@
-// Seeded generator of the traces in traces/.
+// Generates the traces in traces/ from a seed.
 #include <algorithm>
 #include <cmath>
 #include <functional>
@@ -9,18 +9,20 @@
 namespace indigolead::replay {
 namespace {
 
-using Curve = std::function<double(double)>;  ///< Of the time in seconds.
+using Curve =
+    std::function<double(double)>;  ///< Function of the time in seconds.
 
 constexpr double kEngines = 8;
-constexpr double kLength = 300;  ///< Seconds.
-/// Engine-seconds of a request of average size, either kind.
+constexpr double kLength = 300;
+/// Work of an average request with a long or short prompt, in seconds of one
+/// engine.
 constexpr double kWork = 0.8;
 
 Curve Constant(double value) {
   return [value](double) { return value; };
 }
 
-/// Adds requests to a trace.
+/// Adds requests and engine events to a trace.
 class Generator {
  public:
   explicit Generator(std::uint64_t seed) : random_(MakeSeededRandom(seed)) {
@@ -28,8 +30,8 @@
     trace_.accounts = {{"menu", 0, 1}, {"drafts", 0, 1}, {"alert", 5, 1}};
   }
 
-  /// Adds Poisson arrivals of `account` at `load`, the share of the fleet that
-  /// they keep busy; `heavy` is the share of long prompts among them.
+  /// Adds Poisson arrivals of `account`. `load` is the share of the fleet that
+  /// they keep busy, `heavy` the share of long prompts among them.
   void Arrivals(const std::string& account, const Curve& load,
                 const Curve& heavy, double from = 0, double to = kLength) {
     double t = from;
@@ -55,7 +57,7 @@
     }
   }
 
-  /// Adds short, urgent requests that all start with the same history.
+  /// Adds short, urgent requests that all share one prefix.
   void Alerts(double load) {
     const std::size_t begin = trace_.events.size();
     Arrivals("alert", Constant(load), Constant(1));
@@ -129,7 +131,7 @@
   Trace trace_;
 };
 
-/// Both ordinary accounts at half of `load` each.
+/// Adds arrivals of both ordinary accounts at half of `load` each.
 void Everyday(Generator* g, const Curve& load, const Curve& heavy,
               double to = kLength) {
   const Curve half = [load](double t) { return load(t) / 2; };
@@ -137,8 +139,8 @@
   g->Arrivals("drafts", half, heavy, 0, to);
 }
 
-/// Share of long prompts that swings from 0.1 to 0.9 within two minutes and
-/// back.
+/// Share of long prompts that oscillates between 0.1 and 0.9 and takes two
+/// minutes each way.
 double Swing(double t) { return 0.5 - 0.4 * std::cos(2 * M_PI * t / 240); }
 
 using Scenario = std::function<void(Generator*)>;
@@ -243,9 +245,9 @@
   return scenarios;
 }
 
-/// Outcomes that the product's decisions must reach on the recorded traces. A
-/// little below what they do reach, so that a change that costs something
-/// shows, and one that shifts a few requests does not.
+/// Bounds that the production policy must meet on the recorded traces. They are
+/// slightly looser than the measured results, so that a regression fails while
+/// a change that shifts a few requests passes.
 struct Expected {
   const char* scenario;
   double bound_share;
--- a/src/report/log_line.cc
+++ b/src/report/log_line.cc
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kTimeLength = 23;  // 2026-04-14T23:30:57.044
 
-/// Takes the next word off `text`.
+/// Removes the next word from the front of `text` and returns it.
 std::string_view TakeWord(std::string_view* text) {
   const auto begin = text->find_first_not_of(' ');
   if (begin == std::string_view::npos) {
@@ -30,7 +30,7 @@
                                                        : std::nullopt;
 }
 
-/// Reads "YYYY-MM-DDThh:mm:ss.mmm".
+/// Parses "YYYY-MM-DDThh:mm:ss.mmm" and returns Unix milliseconds.
 std::optional<std::int64_t> ReadTime(std::string_view text) {
   if (text.size() != kTimeLength || text[4] != '-' || text[10] != 'T') {
     return std::nullopt;
@@ -53,7 +53,8 @@
   return time.count();
 }
 
-/// Takes the value after "name=" off `text`. Returns nothing if it is cut.
+/// Removes the value that follows "name=" from the front of `text`. Returns
+/// nullopt if its closing quote is missing.
 std::optional<std::string> TakeValue(std::string_view* text) {
   if (text->empty() || text->front() != '"') {
     const std::string_view value = text->substr(0, text->find(' '));
@@ -124,9 +125,9 @@
   }
   LogLine line;
   line.at_ms = *at_ms;
-  TakeWord(&text);  // The severity.
+  TakeWord(&text);  // Severity.
   line.process = std::string(TakeWord(&text));
-  TakeWord(&text);  // The event's number.
+  TakeWord(&text);  // Event number.
   line.event = std::string(TakeWord(&text));
   if (line.event.empty() || !TakeFields(text, &line.fields)) {
     return std::nullopt;
--- a/src/report/log_line.h
+++ b/src/report/log_line.h
@@ -9,7 +9,7 @@
 
 namespace indigolead::report {
 
-/// One name and value of a log line.
+/// A name and value in a log line.
 struct LogField {
   std::string name;
   std::string value;
@@ -17,24 +17,25 @@
   friend bool operator==(const LogField&, const LogField&) = default;
 };
 
-/// One line of a process's log.
+/// A parsed line of a process log.
 struct LogLine {
-  std::int64_t at_ms = 0;  ///< Unix time by the process's own clock.
+  std::int64_t at_ms = 0;  ///< Unix time on the clock of the process.
   std::string process;     ///< Such as "entry/front-oviedo-2".
-  std::string event;       ///< Its name, such as "request-answered".
+  std::string event;       ///< Event name, such as "request-answered".
   std::vector<LogField> fields;
 
-  /// Returns the value of the field, or an empty text.
+  /// Returns the value of the field, or an empty string.
   std::string_view Get(std::string_view name) const;
-  /// Returns the value of the field as a number; nothing if it is none.
+  /// Returns the value of the field as a number, or nullopt if it is not one.
   std::optional<double> Number(std::string_view name) const;
 
   friend bool operator==(const LogLine&, const LogLine&) = default;
 };
 
-/// Reads one line as `FormatEvent` and the log's front matter write it: time,
-/// severity, process, number, event, fields. What a collector wrote before the
-/// time is passed over. Returns nothing if the line is cut or no log line.
+/// Parses a log line written by `FormatEvent` and the log prefix: time,
+/// severity, process, event number, event name, fields. Skips any text that a
+/// log collector added before the time. Returns nullopt if the line is
+/// truncated or not a log line.
 std::optional<LogLine> ParseLogLine(std::string_view text);
 
 }  // namespace indigolead::report
--- a/src/report/report_page.cc
+++ b/src/report/report_page.cc
@@ -13,7 +13,7 @@
 
 constexpr double kMedian = 0.5;
 constexpr double kTail = 0.99;
-constexpr std::size_t kTargetsShown = 3;  ///< For each cause.
+constexpr std::size_t kTargetsShown = 3;  ///< Per cause.
 
 std::string Ms(double ms) {
   std::ostringstream out;
@@ -21,7 +21,7 @@
   return out.str();
 }
 
-/// Returns median and tail as "MEDIAN/TAIL".
+/// Formats the median and the 99% quantile as "MEDIAN/TAIL".
 std::string Spread(const Durations& durations) {
   return durations.size() == 0 ? "-"
                                : Ms(durations.Quantile(kMedian)) + "/" +
@@ -93,7 +93,7 @@
       all[what] += n;
     }
   }
-  TextTable table({"calls of the store", "n", "of one process at most"});
+  TextTable table({"store calls", "n", "most of one process"});
   for (const auto& [what, n] : LargestFirst(all)) {
     std::uint64_t most = 0;
     for (const auto& [process, calls] : report.store_calls()) {
--- a/src/report/report_page.h
+++ b/src/report/report_page.h
@@ -7,13 +7,13 @@
 
 namespace indigolead::report {
 
-/// Returns the report as tables for a terminal.
+/// Formats the report as tables for a terminal.
 std::string ToText(const RequestReport& report);
 
-/// Returns one line for each second, with a line of names first.
+/// Formats the report as CSV, with one row for each second.
 std::string ToCsv(const RequestReport& report);
 
-/// Returns a picture of each second's requests, stacked by what became of them.
+/// Draws a stacked bar chart of the requests in each second, by outcome.
 std::string ToSvg(const RequestReport& report);
 
 }  // namespace indigolead::report
--- a/src/report/request_report.h
+++ b/src/report/request_report.h
@@ -11,46 +11,46 @@
 
 namespace indigolead::report {
 
-/// Durations in milliseconds, of which quantiles are asked for.
+/// A set of durations in milliseconds with quantiles.
 class Durations {
  public:
   void Add(double ms) { ms_.push_back(ms); }
   std::size_t size() const { return ms_.size(); }
-  /// Returns the quantile `share`; 0 if there are none.
+  /// Returns the quantile `share` (0 to 1), or 0 if the set is empty.
   double Quantile(double share) const;
 
  private:
   std::vector<double> ms_;
 };
 
-/// Where the time of the requests of one kind went, and what became of them.
+/// Outcomes and time breakdown of a group of requests.
 struct RequestTally {
-  std::uint64_t answered = 0;   ///< With a success.
-  std::uint64_t failed = 0;     ///< With a failure that the target gave.
-  std::uint64_t refused = 0;    ///< Known not to have run.
-  std::uint64_t unknown = 0;    ///< May have run, and no whole answer.
-  std::uint64_t abandoned = 0;  ///< The caller left.
+  std::uint64_t answered = 0;   ///< With a status below 500.
+  std::uint64_t failed = 0;     ///< With a failure status of the target.
+  std::uint64_t refused = 0;    ///< Certainly not executed.
+  std::uint64_t unknown = 0;    ///< Possibly executed, without full response.
+  std::uint64_t abandoned = 0;  ///< The caller disconnected.
   std::uint64_t further_attempts = 0;
-  Durations placing;      ///< From taking it to its first attempt.
-  Durations reading;      ///< From there until its prompt was read.
+  Durations placing;      ///< From acceptance to the first attempt.
+  Durations reading;      ///< From there to the end of prefill.
   Durations first_event;  ///< From there to the first event.
-  Durations pause;        ///< Longest between two events.
-  Durations whole;        ///< From taking it to its end.
+  Durations pause;        ///< Longest pause between two events.
+  Durations whole;        ///< From acceptance to the end.
 
   std::uint64_t ended() const {
     return answered + failed + refused + unknown + abandoned;
   }
 };
 
-/// Adds up the log lines of entries.
+/// Aggregates the log lines of entries for analysis after an incident.
 ///
-/// For the morning after: which kind of request lost its time where, at which
-/// second, and for what cause; and what each process asked of the store.
-/// Memory: one record for each request that is open, and the durations.
+/// Shows where requests spent their time, by route and by second, the causes of
+/// failures, and the store calls of each process. Memory: one record per open
+/// request, and all durations.
 class RequestReport {
  public:
-  /// Takes one line of the log `source`. One that cannot be read is counted,
-  /// with the place of the first few.
+  /// Adds line `number` of the log `source`. Counts unreadable lines and
+  /// records the places of the first few.
   void Add(const std::string& source, std::uint64_t number,
            std::string_view text);
 
@@ -58,18 +58,18 @@
   const std::map<std::string, RequestTally>& by_route() const {
     return by_route_;
   }
-  /// Requests by the second in which they ended, from the first line on.
+  /// Requests by the second in which they ended, counted from the first line.
   const std::map<std::int64_t, RequestTally>& by_second() const {
     return by_second_;
   }
-  /// Requests without an answer, by cause.
+  /// Requests without a response, by cause.
   const std::map<std::string, std::uint64_t>& causes() const { return causes_; }
-  /// Attempts that a target did not run, by cause and target.
+  /// Attempts that a target did not execute, by cause and target.
   const std::map<std::string, std::map<std::string, std::uint64_t>>&
   attempts_refused() const {
     return attempts_refused_;
   }
-  /// Calls of the store by step and kind, for each process.
+  /// Number of store calls by process, then by step and kind.
   const std::map<std::string, std::map<std::string, std::uint64_t>>&
   store_calls() const {
     return store_calls_;
@@ -85,7 +85,7 @@
  private:
   struct Open {
     std::string route;
-    std::optional<double> placed_ms;  ///< After it was taken.
+    std::optional<double> placed_ms;  ///< Since acceptance.
     std::optional<double> read_ms;
   };
 
@@ -95,7 +95,7 @@
   static void AddTimes(const Open& open, const LogLine& line,
                        RequestTally* tally);
 
-  std::map<std::string, Open> open_;  ///< By process and request.
+  std::map<std::string, Open> open_;  ///< By process and request id.
   std::map<std::string, RequestTally> by_route_;
   std::map<std::int64_t, RequestTally> by_second_;
   std::map<std::string, std::uint64_t> causes_;
--- a/tests/core/replay/replay_test.cc
+++ b/tests/core/replay/replay_test.cc
@@ -18,7 +18,7 @@
   return ValueOf(trace);
 }
 
-TEST_CASE("Every recorded trace reaches its stated outcome") {
+TEST_CASE("Every recorded trace meets its expectations") {
   for (const std::string& scenario : ScenarioNames()) {
     DYNAMIC_SECTION(scenario) {
       const Trace trace = ReadFile(scenario);
@@ -34,24 +34,24 @@
   }
 }
 
-TEST_CASE("A recorded trace is what the generator makes") {
+TEST_CASE("The recorded traces match the generator output") {
   for (const std::string& scenario : ScenarioNames()) {
     INFO("scenario " << scenario << "; run scripts/results.sh traces");
     CHECK(ReadFile(scenario) == GenerateTrace(scenario, 1));
   }
 }
 
-TEST_CASE("A replay repeats exactly") {
+TEST_CASE("A replay is deterministic") {
   Trace trace = GenerateTrace("poison", 3);
   trace.events.resize(600);
   CHECK(Replay(trace, OwnPolicy()) == Replay(trace, OwnPolicy()));
 }
 
-TEST_CASE("A trace without requests has an outcome") {
+TEST_CASE("A trace without requests can be replayed") {
   CHECK(Replay(Trace{}, OwnPolicy()).Get("requests") == 0);
 }
 
-TEST_CASE("A trace that cannot be read names the line") {
+TEST_CASE("A trace parse error names the line") {
   const auto line = GENERATE("10 request a 1", "10 request a 1 1 1 1 2", "x",
                              "10 fly 1", "set x", "10 slow 1");
   std::istringstream in(std::string("set engines 2\n") + line + "\n");
--- a/tests/shell/command_line_test.cc
+++ b/tests/shell/command_line_test.cc
@@ -8,7 +8,7 @@
 
 using Catch::Matchers::Contains;
 
-/// What one run of the command line gave.
+/// Exit code and output of one command line.
 struct Outcome {
   int code;
   std::string out;
@@ -22,7 +22,7 @@
   return {code, out.str(), err.str()};
 }
 
-TEST_CASE("The command line explains itself") {
+TEST_CASE("The command line prints its help and version") {
   SECTION("help lists every command") {
     const Outcome outcome = RunWith({"help"});
     CHECK(outcome.code == kExitOk);
@@ -30,7 +30,7 @@
       CHECK_THAT(outcome.out, Contains("  " + it.name + " "));
     }
   }
-  SECTION("each command has a help of its own") {
+  SECTION("every command accepts --help") {
     for (const Command& it : Commands()) {
       INFO(it.name);
       const Outcome outcome = RunWith({it.name, "--help"});
@@ -44,7 +44,7 @@
   }
 }
 
-TEST_CASE("Wrong arguments end with code 2 and say what is accepted") {
+TEST_CASE("Invalid arguments exit with code 2 and print what is accepted") {
   struct Case {
     std::vector<std::string> arguments;
     const char* message;
--- a/tests/shell/request_report_test.cc
+++ b/tests/shell/request_report_test.cc
@@ -12,7 +12,7 @@
   return "2026-04-14T23:30:" + time + " INFO entry/front-1 " + rest;
 }
 
-TEST_CASE("A log line is read as it is written") {
+TEST_CASE("ParseLogLine parses a log line") {
   const auto line = ParseLogLine(
       At("57.044",
          R"(1021 request-refused request=a code=full detail="a \"b\"")"));
@@ -24,18 +24,18 @@
   CHECK(line->Get("other").empty());
   CHECK_FALSE(line->Number("code"));
 
-  SECTION("whatever a collector wrote before it") {
+  SECTION("text that a log collector put in front is skipped") {
     const auto collected =
         ParseLogLine("  -13.85 front-1 " + At("57.044", "1001 entry-started"));
     REQUIRE(collected);
     CHECK(collected->at_ms == line->at_ms);
   }
-  SECTION("its time is of one clock, in milliseconds") {
+  SECTION("times are parsed to the millisecond") {
     const auto later = ParseLogLine(At("58.045", "1001 entry-started"));
     REQUIRE(later);
     CHECK(later->at_ms - line->at_ms == 1001);
   }
-  SECTION("what is cut or no log line is none") {
+  SECTION("truncated lines and other text are rejected") {
     const char* const text =
         GENERATE("", "    ", "a word", "2026-04-14T23:30:57.044",
                  "2026-04-14T23:30:57.044 INFO entry/front-1 1001",
@@ -45,7 +45,8 @@
   }
 }
 
-/// A prompt read in 200 ms, its first event 40 ms later, whole after 400 ms.
+/// Adds a request with 200 ms of prefill, the first event 40 ms later and the
+/// end after 400 ms.
 void AddAnswered(RequestReport* report) {
   report->Add("log", 1,
               At("57.000",
@@ -62,13 +63,13 @@
                  "longest_pause_ms=31"));
 }
 
-// A caller asks in the morning why its audits were slow or refused last night.
-// Only the logs of the entries are left.
-TEST_CASE("A report tells where requests' time went and why some failed") {
+// Guards the diagnosis of slow or refused requests after the fact, when only
+// the logs of the entries are left.
+TEST_CASE("A report breaks down request times and failure causes") {
   RequestReport report;
   AddAnswered(&report);
 
-  SECTION("the parts of a request's time") {
+  SECTION("time breakdown of a request") {
     const RequestTally& it = report.by_route().at("audit");
     CHECK(it.answered == 1);
     CHECK(it.placing.Quantile(0.5) == 2);
@@ -77,7 +78,7 @@
     CHECK(it.pause.Quantile(0.5) == 31);
     CHECK(it.whole.Quantile(0.5) == 400);
   }
-  SECTION("refusals by cause, and by the second in which they came") {
+  SECTION("refusals by cause and by second") {
     report.Add("log", 4,
                At("57.500",
                   "1024 attempt-refused request=b target=e7 "
@@ -97,7 +98,7 @@
     CHECK(report.attempts_refused().at("target_full").at("e7") == 1);
     CHECK(ToText(report).find("e7 (1)") != std::string::npos);
   }
-  SECTION("a failure of the target's own is no success") {
+  SECTION("a failure status from the target counts as failed") {
     report.Add("log", 4,
                At("58.000",
                   "1022 request-answered request=d route=print "
@@ -105,7 +106,7 @@
     CHECK(report.by_route().at("print").failed == 1);
     CHECK(report.by_route().at("print").answered == 0);
   }
-  SECTION("calls of the store by process") {
+  SECTION("store calls by process") {
     report.Add("log", 4,
                At("58.000",
                   "3003 store-calls seconds=10 "
@@ -117,25 +118,25 @@
     CHECK(report.store_calls().at("entry/front-1").at("store.watch.servers") ==
           12);
   }
-  SECTION("lines that cannot be read are counted, with their place") {
+  SECTION("unreadable lines are counted and located") {
     report.Add("log", 9, "half a li");
     CHECK(report.lines() == 4);
     CHECK(report.unreadable() == 1);
     CHECK(report.unreadable_places() == std::vector<std::string>{"log:9"});
     CHECK(ToText(report).find("1 unreadable log:9") != std::string::npos);
   }
-  SECTION("the figures of each second as text for other programs") {
+  SECTION("CSV with one row per second") {
     CHECK(ToCsv(report).find("\n0,1,1,0,0,0,0,200,200,40,40,400,400\n") !=
           std::string::npos);
   }
-  SECTION("and as a picture") {
+  SECTION("SVG chart") {
     const std::string svg = ToSvg(report);
     CHECK(svg.starts_with("<svg "));
     CHECK(svg.ends_with("</svg>\n"));
   }
 }
 
-TEST_CASE("A report of nothing is empty, not wrong") {
+TEST_CASE("A report without log lines is valid and empty") {
   const RequestReport report;
   CHECK(ToText(report).find("0 lines, 0 unreadable") != std::string::npos);
   CHECK(ToSvg(report).starts_with("<svg "));
--- a/tests/shell/status_view_test.cc
+++ b/tests/shell/status_view_test.cc
@@ -12,7 +12,7 @@
 constexpr WallMicros kNoon = 1'700'000'000'000'000;  // 2023-11-14T22:13:20Z
 constexpr TimePoint kNow{std::chrono::seconds(1000)};
 
-/// Returns the table for `status` as it is shown at `kNow`.
+/// Returns the tables for `status` at `kNow`, or the error text.
 std::string Shown(const SystemStatus& status) {
   const auto text = StatusText(EncodeStatus(status, kNow, kNoon));
   return IsOk(text) ? ValueOf(text) : ToString(ErrorOf(text));
@@ -29,24 +29,24 @@
   return target;
 }
 
-TEST_CASE("The status shows each figure with its age") {
+TEST_CASE("The status shows each value with its age") {
   SystemStatus status;
   status.entry = "entry-1";
   status.targets = {SomeTarget()};
 
-  SECTION("a fresh one has its value and age") {
+  SECTION("a current value is shown with its age") {
     CHECK_THAT(Shown(status), Contains("mixed (1.5s ago)") &&
                                   Contains("3 running, 2 waiting (0.0s ago)"));
   }
-  SECTION("one that nobody keeps up reads unknown, without its last value") {
+  SECTION("a value that is no longer updated is shown as unknown") {
     status.targets[0].role.unknown_since = kNow - std::chrono::seconds(20);
     CHECK_THAT(Shown(status), Contains("unknown since 2023-11-14T22:13:00Z") &&
                                   !Contains("mixed"));
   }
-  SECTION("one that was never seen says so") {
+  SECTION("a value that was never reported is shown as never seen") {
     CHECK_THAT(Shown(status), Contains("object API answers: never seen"));
   }
-  SECTION("a deployment names whom it waits for") {
+  SECTION("a deployment lists the targets it waits for") {
     DeploymentStatus deployment;
     deployment.name = "tarifa-llm";
     deployment.waiting_for = {"engine-1", "engine-2"};
@@ -55,7 +55,7 @@
   }
 }
 
-TEST_CASE("A status that is not understood is an error") {
+TEST_CASE("A malformed status is an error") {
   CHECK_FALSE(IsOk(StatusText("not JSON")));
   CHECK_FALSE(IsOk(StatusText(R"({"targets":[{"role":{"value":1}}]})")));
 }
