--- a/src/cli/commands.cc
+++ b/src/cli/commands.cc
@@ -43,7 +43,7 @@
   return flags;
 }
 
-void AddProcesses(std::vector<Command>* commands) {
+void AddProcessCommands(std::vector<Command>* commands) {
   commands->push_back(
       {"entry",
        "",
@@ -66,7 +66,7 @@
        RunSide});
 }
 
-void AddPlatform(std::vector<Command>* commands) {
+void AddPlatformCommand(std::vector<Command>* commands) {
   commands->push_back(
       {"platform-entry",
        "",
@@ -79,7 +79,7 @@
        platform::RunPlatformEntry});
 }
 
-void AddRevisions(std::vector<Command>* commands) {
+void AddRevisionCommands(std::vector<Command>* commands) {
   commands->push_back(
       {"check",
        "[DIR]",
@@ -117,7 +117,7 @@
        StoreFlags({}), 1, 1, RunExport});
 }
 
-void AddFleet(std::vector<Command>* commands) {
+void AddFleetCommands(std::vector<Command>* commands) {
   commands->push_back(
       {"status",
        "",
@@ -144,10 +144,10 @@
 
 std::vector<Command> MakeCommands() {
   std::vector<Command> commands;
-  AddProcesses(&commands);
-  AddPlatform(&commands);
-  AddRevisions(&commands);
-  AddFleet(&commands);
+  AddProcessCommands(&commands);
+  AddPlatformCommand(&commands);
+  AddRevisionCommands(&commands);
+  AddFleetCommands(&commands);
   commands.push_back(
       {"replay",
        "TRACE [POLICY] | generate SCENARIO [SEED]",
@@ -190,7 +190,7 @@
   return it == commands.end() ? nullptr : &*it;
 }
 
-int RefuseUnknown(const std::string& name, std::ostream& err) {
+int ReportUnknownCommand(const std::string& name, std::ostream& err) {
   std::vector<std::string> names;
   for (const Command& it : Commands()) {
     names.push_back(it.name);
@@ -258,7 +258,7 @@
   }
   const Command* command = FindCommand(name);
   if (command == nullptr) {
-    return RefuseUnknown(name, err);
+    return ReportUnknownCommand(name, err);
   }
   auto parsed =
       ParseFlags({arguments.begin() + 1, arguments.end()}, command->flags);
--- a/src/cli/flags.cc
+++ b/src/cli/flags.cc
@@ -32,12 +32,12 @@
 using Info = google::CommandLineFlagInfo;
 
 /// Name and value of an argument that begins with a dash.
-struct FlagText {
+struct ParsedFlag {
   std::string name;
   std::optional<std::string> value;
 };
 
-FlagText TakeApart(const std::string& argument) {
+ParsedFlag SplitFlag(const std::string& argument) {
   const std::string text = argument.substr(argument[1] == '-' ? 2 : 1);
   const std::size_t equals = text.find('=');
   std::string name = text.substr(0, equals);
@@ -105,7 +105,7 @@
       others.push_back(*it);
       continue;
     }
-    FlagText flag = TakeApart(*it);
+    ParsedFlag flag = SplitFlag(*it);
     if (flag.name == "help" || flag.name == "h") {
       others.emplace_back("--help");
       continue;
--- a/src/cli/fleet_commands.cc
+++ b/src/cli/fleet_commands.cc
@@ -33,7 +33,8 @@
   return record;
 }
 
-bool NeedsNote(const CommandContext& context, const std::string& command) {
+bool ReportMissingNote(const CommandContext& context,
+                       const std::string& command) {
   if (!FLAGS_note.empty()) {
     return false;
   }
@@ -52,7 +53,7 @@
   }
   const auto object = store->Get(key);
   if (!IsOk(object)) {
-    return Fail(context, ErrorOf(object));
+    return ReportError(context, ErrorOf(object));
   }
   if (!ValueOf(object)) {
     *context.err << "indigolead: " << key << " does not exist\n";
@@ -60,7 +61,7 @@
   }
   const Status deleted = store->Delete(key, ValueOf(object)->version);
   if (!IsOk(deleted)) {
-    return Fail(context, ErrorOf(deleted));
+    return ReportError(context, ErrorOf(deleted));
   }
   record.before = ValueOf(object)->value;
   AppendAudit(context, store.get(), record);
@@ -85,7 +86,7 @@
                  << "\" is not the name of an instance\n";
     return kExitUsage;
   }
-  if (NeedsNote(context, "drain")) {
+  if (ReportMissingNote(context, "drain")) {
     return kExitUsage;
   }
   const auto store = OpenStore(context);
@@ -108,7 +109,7 @@
       *context.out << instance << ": already drained\n";
       return kExitOk;
     }
-    return Fail(context, ErrorOf(written));
+    return ReportError(context, ErrorOf(written));
   }
   AppendAudit(context, store.get(),
               RecordOf(AuditKind::kDrain, instance, origin, "", "drained"));
@@ -126,7 +127,7 @@
 
 int RunLift(const CommandContext& context) {
   const std::string& fingerprint = context.arguments[0];
-  if (NeedsNote(context, "lift")) {
+  if (ReportMissingNote(context, "lift")) {
     return kExitUsage;
   }
   return DeleteAndRecord(
@@ -142,7 +143,7 @@
   }
   const auto listing = store->List(kQuarantinePrefix);
   if (!IsOk(listing)) {
-    return Fail(context, ErrorOf(listing));
+    return ReportError(context, ErrorOf(listing));
   }
   Json all = Json::array();
   TextTable table(
@@ -178,7 +179,7 @@
   }
   const auto listing = store->List("audit/");
   if (!IsOk(listing)) {
-    return Fail(context, ErrorOf(listing));
+    return ReportError(context, ErrorOf(listing));
   }
   const WallMicros from =
       WallTimeNow() -
--- a/src/cli/history_commands.cc
+++ b/src/cli/history_commands.cc
@@ -44,7 +44,7 @@
   }
   const auto history = ReadHistory(store.get(), context.arguments[0]);
   if (!IsOk(history)) {
-    return Fail(context, ErrorOf(history));
+    return ReportError(context, ErrorOf(history));
   }
   if (FLAGS_output == "json") {
     PrintHistoryJson(*context.out, ValueOf(history));
@@ -69,7 +69,7 @@
   }
   const auto live = ReadAllLive(store.get());
   if (!IsOk(live)) {
-    return Fail(context, ErrorOf(live));
+    return ReportError(context, ErrorOf(live));
   }
   SeenRevisions seen;
   for (const LiveRevision& it : ValueOf(live)) {
@@ -78,13 +78,13 @@
     const Status written =
         WriteTextFile(path, WriteDeclaration(it.revision.spec));
     if (!IsOk(written)) {
-      return Fail(context, ErrorOf(written));
+      return ReportError(context, ErrorOf(written));
     }
     seen[name] = it.revision.number;
     *context.out << path << ": revision " << it.revision.number << "\n";
   }
   const Status saved = SaveSeen(directory.string(), seen);
-  return IsOk(saved) ? kExitOk : Fail(context, ErrorOf(saved));
+  return IsOk(saved) ? kExitOk : ReportError(context, ErrorOf(saved));
 }
 
 }  // namespace indigolead::cli
--- a/src/cli/in_force.cc
+++ b/src/cli/in_force.cc
@@ -16,8 +16,8 @@
 
 using Json = nlohmann::json;
 
-constexpr Duration kAskDeadline = std::chrono::seconds(2);
-constexpr auto kAskInterval = std::chrono::milliseconds(100);
+constexpr Duration kStatusDeadline = std::chrono::seconds(2);
+constexpr auto kStatusPollInterval = std::chrono::milliseconds(100);
 
 const Json* FindDeployment(const Json& status, const std::string& name) {
   const auto list = status.find("deployments");
@@ -57,7 +57,7 @@
   std::set<std::string> missing;
   for (const std::string& address : addresses) {
     const Result<std::string> body =
-        HttpGet(address, "/admin/status", kAskDeadline);
+        HttpGet(address, "/admin/status", kStatusDeadline);
     if (!IsOk(body)) {
       missing.insert(ToString(ErrorOf(body)));
       continue;
@@ -82,8 +82,8 @@
 
 }  // namespace
 
-int WaitInForce(const CommandContext& context,
-                const std::map<std::string, std::uint64_t>& numbers) {
+int WaitUntilInForce(const CommandContext& context,
+                     const std::map<std::string, std::uint64_t>& numbers) {
   const std::vector<std::string> addresses = SplitList(FLAGS_entry);
   const auto timeout = ParseDuration(FLAGS_timeout);
   if (addresses.empty() || !timeout) {
@@ -94,7 +94,7 @@
   const TimePoint start = BootTimeNow();
   std::set<std::string> missing = FindMissing(addresses, numbers);
   while (!missing.empty() && BootTimeNow() - start < *timeout) {
-    std::this_thread::sleep_for(kAskInterval);
+    std::this_thread::sleep_for(kStatusPollInterval);
     missing = FindMissing(addresses, numbers);
   }
   if (!missing.empty()) {
--- a/src/cli/in_force.h
+++ b/src/cli/in_force.h
@@ -12,8 +12,8 @@
 /// Polls the entries in --entry until they report every revision in `numbers`
 /// (by deployment) as in force everywhere, then prints the time it took. After
 /// --timeout, prints what is missing and returns `kExitNotInForce`.
-int WaitInForce(const CommandContext& context,
-                const std::map<std::string, std::uint64_t>& numbers);
+int WaitUntilInForce(const CommandContext& context,
+                     const std::map<std::string, std::uint64_t>& numbers);
 
 }  // namespace indigolead::cli
 
--- a/src/cli/operator_audit.cc
+++ b/src/cli/operator_audit.cc
@@ -9,7 +9,7 @@
 // append is conditional on the version read.
 constexpr char kOperator[] = "operator";
 constexpr std::size_t kMaxSegmentBytes = 256U << 10;
-constexpr int kMaxTries = 10;
+constexpr int kMaxAttempts = 10;
 
 /// Removes whole lines from the front until `text` fits `kMaxSegmentBytes`.
 void DropOldest(std::string* text) {
@@ -42,7 +42,7 @@
                  const AuditRecord& record) {
   const std::string line = EncodeAuditRecord(record);
   Status status = Unit{};
-  for (int i = 0; i < kMaxTries; ++i) {
+  for (int i = 0; i < kMaxAttempts; ++i) {
     status = TryAppend(store, line);
     if (IsOk(status) || ErrorOf(status).code != ErrorCode::kConflict) {
       break;
--- a/src/cli/operator_store.cc
+++ b/src/cli/operator_store.cc
@@ -87,7 +87,7 @@
   return std::make_unique<OperatorStore>(address);
 }
 
-int Fail(const CommandContext& context, const Error& error) {
+int ReportError(const CommandContext& context, const Error& error) {
   *context.err << "indigolead: " << error << "\n";
   return error.code == ErrorCode::kInvalidInput ? kExitUsage : kExitFailed;
 }
--- a/src/cli/operator_store.h
+++ b/src/cli/operator_store.h
@@ -49,7 +49,7 @@
 std::unique_ptr<OperatorStore> OpenStore(const CommandContext& context);
 
 /// Writes `error` to `context.err` and returns the exit code for it.
-int Fail(const CommandContext& context, const Error& error);
+int ReportError(const CommandContext& context, const Error& error);
 
 }  // namespace indigolead::cli
 
--- a/src/cli/revision_commands.cc
+++ b/src/cli/revision_commands.cc
@@ -152,12 +152,12 @@
     return kExitOk;
   }
   if (ErrorOf(written).code != ErrorCode::kConflict) {
-    return Fail(context, ErrorOf(written));
+    return ReportError(context, ErrorOf(written));
   }
   // Another edit was accepted between the read and the write above.
   const auto live = ReadLive(store, change.wanted.name);
   if (!IsOk(live)) {
-    return Fail(context, ErrorOf(live));
+    return ReportError(context, ErrorOf(live));
   }
   PrintConflict(*context.err, store, change.wanted, NumberOf(change.live),
                 ValueOf(live));
@@ -185,8 +185,8 @@
   return kExitOk;
 }
 
-void SaveSeenOrSay(const CommandContext& context, const std::string& directory,
-                   const SeenRevisions& seen) {
+void SaveSeenOrWarn(const CommandContext& context, const std::string& directory,
+                    const SeenRevisions& seen) {
   const Status saved = SaveSeen(directory, seen);
   if (!IsOk(saved)) {
     *context.err << "indigolead: " << ErrorOf(saved)
@@ -228,7 +228,7 @@
   }
   const auto changes = PlanAll(store.get(), *specs, *seen);
   if (!IsOk(changes)) {
-    return Fail(context, ErrorOf(changes));
+    return ReportError(context, ErrorOf(changes));
   }
   for (const PlannedChange& it : ValueOf(changes)) {
     PrintDifference(*context.out, store.get(), it);
@@ -246,14 +246,14 @@
   }
   const auto changes = PlanAll(store.get(), *specs, *seen);
   if (!IsOk(changes)) {
-    return Fail(context, ErrorOf(changes));
+    return ReportError(context, ErrorOf(changes));
   }
   if (PrintRefused(*context.err, store.get(), ValueOf(changes))) {
     return kExitConflict;
   }
   const int code =
       WriteChanges(context, store.get(), ValueOf(changes), directory, &*seen);
-  SaveSeenOrSay(context, directory, *seen);
+  SaveSeenOrWarn(context, directory, *seen);
   if (code != kExitOk || !FLAGS_wait) {
     return code;
   }
@@ -261,7 +261,7 @@
   for (const DeploymentSpec& it : *specs) {
     numbers[it.name] = seen->at(it.name);
   }
-  return WaitInForce(context, numbers);
+  return WaitUntilInForce(context, numbers);
 }
 
 int RunRollback(const CommandContext& context) {
@@ -273,7 +273,7 @@
   }
   const auto history = ReadHistory(store.get(), name);
   if (!IsOk(history)) {
-    return Fail(context, ErrorOf(history));
+    return ReportError(context, ErrorOf(history));
   }
   const Revision* target = nullptr;
   for (const Revision& it : ValueOf(history)) {
@@ -286,7 +286,7 @@
   }
   auto live = ReadLive(store.get(), name);
   if (!IsOk(live)) {
-    return Fail(context, ErrorOf(live));
+    return ReportError(context, ErrorOf(live));
   }
   PlannedChange change{target->spec, ValueOf(std::move(live)), std::nullopt};
   if (change.live && change.live->revision.spec == target->spec) {
@@ -302,7 +302,7 @@
   if (code != kExitOk || !FLAGS_wait) {
     return code;
   }
-  return WaitInForce(context, {{name, NumberOf(change.live) + 1}});
+  return WaitUntilInForce(context, {{name, NumberOf(change.live) + 1}});
 }
 
 }  // namespace indigolead::cli
--- a/src/cli/status_command.cc
+++ b/src/cli/status_command.cc
@@ -38,7 +38,7 @@
   }
   const Result<std::string> text = StatusText(*answer);
   if (!IsOk(text)) {
-    return Fail(context, ErrorOf(text));
+    return ReportError(context, ErrorOf(text));
   }
   *context.out << ValueOf(text);
   return kExitOk;
--- a/src/replay/engine_model.cc
+++ b/src/replay/engine_model.cc
@@ -40,7 +40,7 @@
   std::erase_if(running_, is_it);
 }
 
-void EngineModel::Start() {
+void EngineModel::AdmitWaiting() {
   while (!waiting_.empty() && running_.size() < costs_.slots) {
     const Sequence& next = waiting_.front();
     const bool fits =
@@ -56,7 +56,7 @@
 }
 
 double EngineModel::BeginStep() {
-  Start();
+  AdmitWaiting();
   double chunk = 0;
   double batch = 0;
   for (const Sequence& it : running_) {
@@ -73,12 +73,12 @@
                                   (1 - kFixedStepShare) * batch / costs_.slots);
   const double prefill_s = chunk / costs_.prefill_tokens_per_s;
   double step_s =
-      decode_s * (role == EngineRole::kPrefill ? costs_.mismatch : 1) +
-      prefill_s * (role == EngineRole::kDecode ? costs_.mismatch : 1);
+      decode_s * (role == EngineRole::kPrefill ? costs_.mismatch_factor : 1) +
+      prefill_s * (role == EngineRole::kDecode ? costs_.mismatch_factor : 1);
   if (chunk > 0 && batch > 0) {
-    step_s *= costs_.interference;
+    step_s *= costs_.interference_factor;
   }
-  return step_s * slowness;
+  return step_s * slowdown;
 }
 
 StepResult EngineModel::EndStep() {
@@ -93,7 +93,7 @@
       it.prefill_left -= std::min<double>(it.prefill_left, costs_.chunk_tokens);
       if (it.prefill_left <= 0) {
         result.first_tokens.push_back(it.attempt);
-        Cache(it, &result);
+        AddToCache(it, &result);
       }
     }
     if (it.prefill_left <= 0 && it.output_left <= 0) {
@@ -106,7 +106,7 @@
   return result;
 }
 
-void EngineModel::Cache(const Sequence& sequence, StepResult* result) {
+void EngineModel::AddToCache(const Sequence& sequence, StepResult* result) {
   const auto known =
       std::find_if(cache_.begin(), cache_.end(),
                    [&](const auto& it) { return it.first == sequence.prefix; });
@@ -159,7 +159,7 @@
                                   double output_tokens) const {
   const double queued = static_cast<double>(Report().queued_prefill_tokens);
   const double full_step_s = costs_.slots / costs_.decode_tokens_per_s;
-  return slowness * ((queued + prompt_tokens) / costs_.prefill_tokens_per_s +
+  return slowdown * ((queued + prompt_tokens) / costs_.prefill_tokens_per_s +
                      output_tokens * full_step_s);
 }
 
--- a/src/replay/engine_model.h
+++ b/src/replay/engine_model.h
@@ -20,9 +20,9 @@
   std::uint64_t cache_tokens = 20000;  ///< For shared prefixes.
   std::uint32_t chunk_tokens = 256;    ///< Prefill per step.
   /// Slowdown factor of a step that does both prefill and decode work.
-  double interference = 1.15;
+  double interference_factor = 1.15;
   /// Slowdown factor of work that does not match the role of the engine.
-  double mismatch = 3;
+  double mismatch_factor = 3;
 };
 
 /// One request on an engine.
@@ -73,12 +73,12 @@
   bool idle() const { return running_.empty() && waiting_.empty(); }
 
   EngineRole role = EngineRole::kMixed;
-  double slowness = 1;
+  double slowdown = 1;
   bool stepping = false;
 
  private:
-  void Start();
-  void Cache(const Sequence& sequence, StepResult* result);
+  void AdmitWaiting();
+  void AddToCache(const Sequence& sequence, StepResult* result);
 
   EngineCosts costs_;
   std::deque<Sequence> waiting_;  ///< Highest priority first.
--- a/src/replay/measurement.cc
+++ b/src/replay/measurement.cc
@@ -82,20 +82,20 @@
 /// the tokens it finished in time relative to its max-min fair share: the
 /// tokens it requested or an equal part, whichever is less.
 double Fairness(const std::vector<RequestRecord>& requests) {
-  std::map<std::string, double> asked;
-  std::map<std::string, double> got;
+  std::map<std::string, double> requested_tokens;
+  std::map<std::string, double> served_tokens;
   double total = 0;
   for (const RequestRecord& it : requests) {
-    asked[it.event->account] += TokensOf(*it.event);
+    requested_tokens[it.event->account] += TokensOf(*it.event);
     if (it.end == End::kInTime) {
-      got[it.event->account] += TokensOf(*it.event);
+      served_tokens[it.event->account] += TokensOf(*it.event);
       total += TokensOf(*it.event);
     }
   }
   // Water filling: the remainder that small accounts leave goes to the others.
   std::vector<std::pair<double, std::string>> by_size;
-  by_size.reserve(asked.size());
-  for (const auto& [name, tokens] : asked) {
+  by_size.reserve(requested_tokens.size());
+  for (const auto& [name, tokens] : requested_tokens) {
     by_size.emplace_back(tokens, name);
   }
   std::sort(by_size.begin(), by_size.end());
@@ -107,7 +107,8 @@
     const double fair = std::min(tokens, left / n);
     left -= fair;
     n -= 1;
-    const double share = fair > 0 ? std::min(got[name] / fair, 1.0) : 1.0;
+    const double share =
+        fair > 0 ? std::min(served_tokens[name] / fair, 1.0) : 1.0;
     sum += share;
     squares += share * share;
   }
--- a/src/replay/policies.cc
+++ b/src/replay/policies.cc
@@ -7,13 +7,13 @@
 namespace indigolead::replay {
 namespace {
 
-ChooseHook OwnChoice() {
+ChooseHook ProductionChoice() {
   return
       [](Router* router, const RouteQuery& query, std::span<const TargetHandle>,
          TimePoint now) { return router->Choose(query, now); };
 }
 
-ChooseHook AtRandom() {
+ChooseHook RandomTarget() {
   return [random = MakeSeededRandom(5)](Router* router, const RouteQuery& query,
                                         std::span<const TargetHandle> serving,
                                         TimePoint now) mutable {
@@ -31,7 +31,7 @@
   };
 }
 
-ChooseHook LeastReported() {
+ChooseHook LeastReportedLoad() {
   return [](Router* router, const RouteQuery& query,
             std::span<const TargetHandle> serving, TimePoint now) {
     const auto requests = [router](TargetHandle target) {
@@ -46,7 +46,7 @@
   };
 }
 
-ChooseHook HashOnPrefix() {
+ChooseHook PrefixHash() {
   return [](Router* router, const RouteQuery& query,
             std::span<const TargetHandle> serving, TimePoint now) {
     const std::uint64_t key = query.prefix_blocks.empty()
@@ -67,7 +67,7 @@
   };
 }
 
-RoleHook OwnRoles() {
+RoleHook ProductionRoles() {
   return [](RolePlanner* planner, const RoleSpec& spec,
             std::span<const RoleTarget> targets,
             std::span<const TargetLoadReport>, std::uint32_t hour,
@@ -122,7 +122,7 @@
 
 Policy With(const std::string& name,
             const std::function<void(Policy*)>& change) {
-  Policy policy = OwnPolicy();
+  Policy policy = ProductionPolicy();
   policy.name = name;
   change(&policy);
   return policy;
@@ -139,10 +139,10 @@
     };
   };
   return {
-      With("random", fixed(AtRandom())),
+      With("random", fixed(RandomTarget())),
       With("round-robin", fixed(RoundRobin())),
-      With("least-reported", fixed(LeastReported())),
-      With("prefix-hash", fixed(HashOnPrefix())),
+      With("least-reported", fixed(LeastReportedLoad())),
+      With("prefix-hash", fixed(PrefixHash())),
       With("static-roles", [](Policy* it) { it->roles = StaticRoles(); }),
       With("all-mixed",
            [](Policy* it) {
@@ -172,17 +172,17 @@
 
 }  // namespace
 
-Policy OwnPolicy() {
+Policy ProductionPolicy() {
   Policy policy;
   policy.name = "own";
-  policy.choose = OwnChoice();
-  policy.roles = OwnRoles();
+  policy.choose = ProductionChoice();
+  policy.roles = ProductionRoles();
   return policy;
 }
 
 std::optional<Policy> FindPolicy(const std::string& name) {
   if (name == "own") {
-    return OwnPolicy();
+    return ProductionPolicy();
   }
   for (Policy& it : AllPolicies()) {
     if (it.name == name) {
--- a/src/replay/policies.h
+++ b/src/replay/policies.h
@@ -38,7 +38,7 @@
 };
 
 /// Returns the production policy.
-Policy OwnPolicy();
+Policy ProductionPolicy();
 
 /// Returns the policy called `name`, or nullopt if it is unknown. Besides the
 /// production policy ("own") there are baselines ("random", "round-robin", ...)
--- a/src/replay/replay.cc
+++ b/src/replay/replay.cc
@@ -60,10 +60,10 @@
     explicit Engine(const EngineCosts& costs) : model(costs) {}
     EngineModel model;
     std::string instance;
-    EngineRole ordered = EngineRole::kMixed;
+    EngineRole assigned_role = EngineRole::kMixed;
     bool up = true;
     bool changing = false;
-    bool away = false;        ///< Drained; role change in progress.
+    bool offline = false;     ///< Drained; role change in progress.
     std::uint64_t epoch = 0;  ///< Incremented to void pending events.
     TimePoint changing_since;
     TargetLoadReport reported;
@@ -111,10 +111,10 @@
 
   RouteQuery QueryOf(const Request& request) const;
   RouteDecision Decide(const Request& request);
-  void Arrive(std::uint32_t r);
-  void Take(const AdmissionDecision& decision);
+  void OnArrival(std::uint32_t r);
+  void OnAdmission(const AdmissionDecision& decision);
   void Dispatch(std::uint32_t r);
-  std::uint64_t Send(std::uint32_t r, const RouteLeg& leg, Part part);
+  std::uint64_t AddAttempt(std::uint32_t r, const RouteLeg& leg, Part part);
   void Launch(std::uint64_t attempt);
   void Release(std::uint64_t attempt, AttemptResult fate);
   void ReleaseAll(std::uint32_t r);
@@ -123,12 +123,12 @@
   bool CouldFinish(const Request& request) const;
   void Advance(Entry* entry);
 
-  void Kick(std::uint32_t e);
+  void StartStep(std::uint32_t e);
   void OnStep(std::uint32_t e);
   void OnPrefilled(std::uint64_t attempt);
   void Crash(std::uint32_t e, bool restart);
   void Restore(std::uint32_t e);
-  void Show(std::uint32_t e);
+  void UpdateRouters(std::uint32_t e);
   void SendReport(std::uint32_t e);
   void SendCacheEvents(std::uint32_t e, const StepResult& result);
   void PlanRoles();
@@ -150,7 +150,7 @@
   std::uint64_t order_ = 0;
   TimePoint now_ = kStart;
   TimePoint end_ = kStart;
-  TokenMix offered_;  ///< Since the last role planning.
+  TokenMix offered_tokens_;  ///< Since the last role planning.
   ReplayCounts counts_;
   std::vector<ReplaySample> samples_;
 };
@@ -164,7 +164,7 @@
   roles_.quiet_to_hour = static_cast<std::uint32_t>(trace.Get("quiet_to", 0));
   planner_.SetRates(EngineRates{costs_.prefill_tokens_per_s,
                                 costs_.decode_tokens_per_s,
-                                1 / costs_.interference});
+                                1 / costs_.interference_factor});
   for (const TraceAccount& it : trace.accounts) {
     ClientAccountSpec account;
     account.name = it.name;
@@ -182,10 +182,10 @@
     const auto prefill =
         static_cast<std::size_t>(use * trace.Get("prefill", 0));
     const auto decode = static_cast<std::size_t>(use * trace.Get("decode", 0));
-    engine.ordered = it < prefill            ? EngineRole::kPrefill
-                     : it < prefill + decode ? EngineRole::kDecode
-                                             : EngineRole::kMixed;
-    engine.model.role = engine.ordered;
+    engine.assigned_role = it < prefill            ? EngineRole::kPrefill
+                           : it < prefill + decode ? EngineRole::kDecode
+                                                   : EngineRole::kMixed;
+    engine.model.role = engine.assigned_role;
   }
   for (const TraceEvent& it : trace.events) {
     if (it.kind == TraceEvent::Kind::kRequest) {
@@ -199,7 +199,7 @@
   router.failure_domain = "a";
   router.kv_bytes_per_token = 1;
   router.transfer_bytes_per_s = kTransferTokensPerS;
-  router.role_mismatch_cost = costs_.mismatch;
+  router.role_mismatch_cost = costs_.mismatch_factor;
   router.defaults = TargetDefaults{
       costs_.slots, static_cast<std::uint64_t>(costs_.prefill_tokens_per_s),
       static_cast<std::uint64_t>(costs_.decode_tokens_per_s)};
@@ -218,7 +218,7 @@
     entries_.push_back(std::move(entry));
   }
   for (std::uint32_t it = 0; it < engines_.size(); ++it) {
-    Show(it);
+    UpdateRouters(it);
   }
 }
 
@@ -235,7 +235,7 @@
       At(at, [this, &it] { OnTraceEvent(it); });
       continue;
     }
-    At(at, [this, r] { Arrive(r); });
+    At(at, [this, r] { OnArrival(r); });
     At(at + milliseconds(it.deadline_ms), [this, r] {
       if (requests_[r].record.end == End::kOpen) {
         Finish(r, End::kLate);
@@ -285,7 +285,7 @@
       Restore(event.engine);
       break;
     case TraceEvent::Kind::kSlow:
-      engines_[event.engine].model.slowness = event.factor;
+      engines_[event.engine].model.slowdown = event.factor;
       break;
     case TraceEvent::Kind::kRequest:
       break;
@@ -318,7 +318,7 @@
   return policy_.choose(entry.router.get(), QueryOf(request), serving, now_);
 }
 
-void Simulation::Arrive(std::uint32_t r) {
+void Simulation::OnArrival(std::uint32_t r) {
   Request& request = requests_[r];
   const TraceEvent& event = *request.record.event;
   request.entry = r % entries_.size();
@@ -336,14 +336,15 @@
   offer.deadline =
       now_ + (policy_.refuse_early ? deadline : std::chrono::hours(9));
   offer.service = expected.expected_finish;
-  offered_.prefill_tokens_per_s += static_cast<double>(offer.prompt_tokens);
-  offered_.output_tokens_per_s += event.output_tokens;
+  offered_tokens_.prefill_tokens_per_s +=
+      static_cast<double>(offer.prompt_tokens);
+  offered_tokens_.output_tokens_per_s += event.output_tokens;
   entry.admission->SetFleet(entry.router->Fleet(now_));
-  Take(entry.admission->Offer(offer, now_,
-                              [this](const auto& it) { Take(it); }));
+  OnAdmission(entry.admission->Offer(
+      offer, now_, [this](const auto& it) { OnAdmission(it); }));
 }
 
-void Simulation::Take(const AdmissionDecision& decision) {
+void Simulation::OnAdmission(const AdmissionDecision& decision) {
   const auto r = static_cast<std::uint32_t>(decision.id.value.lo);
   Request& request = requests_[r];
   if (decision.verdict == AdmissionVerdict::kAdmitted) {
@@ -397,17 +398,18 @@
   }
   ++request.starts;
   if (!decision.prefill) {
-    Launch(Send(r, decision.leg, Part::kWhole));
+    Launch(AddAttempt(r, decision.leg, Part::kWhole));
     return;
   }
-  const std::uint64_t decode = Send(r, decision.leg, Part::kDecode);
-  const std::uint64_t prefill = Send(r, *decision.prefill, Part::kPrefill);
+  const std::uint64_t decode = AddAttempt(r, decision.leg, Part::kDecode);
+  const std::uint64_t prefill =
+      AddAttempt(r, *decision.prefill, Part::kPrefill);
   attempts_[prefill].decode = decode;
   Launch(prefill);
 }
 
-std::uint64_t Simulation::Send(std::uint32_t r, const RouteLeg& leg,
-                               Part part) {
+std::uint64_t Simulation::AddAttempt(std::uint32_t r, const RouteLeg& leg,
+                                     Part part) {
   Request& request = requests_[r];
   const std::uint64_t id = attempts_.size();
   attempts_.push_back(Attempt{r, leg.target.index, part, 0});
@@ -426,7 +428,7 @@
   const Attempt it = attempts_[attempt];
   const TraceEvent& event = *requests_[it.request].record.event;
   Engine& engine = engines_[it.engine];
-  if (!engine.up || engine.away) {
+  if (!engine.up || engine.offline) {
     After(kDetection, [this, attempt] { Fail(attempt, false); });
     return;
   }
@@ -441,7 +443,7 @@
   sequence.poison = event.poison;
   counts_.prompt_tokens += sequence.prefill_left;
   counts_.cached_tokens += engine.model.Add(sequence);
-  Kick(it.engine);
+  StartStep(it.engine);
 }
 
 void Simulation::Release(std::uint64_t attempt, AttemptResult fate) {
@@ -503,15 +505,15 @@
 void Simulation::Advance(Entry* entry) {
   entry->admission->Advance(
       now_, [this, entry] { return entry->router->Fleet(now_); },
-      [this](const AdmissionDecision& it) { Take(it); });
+      [this](const AdmissionDecision& it) { OnAdmission(it); });
   After(kTick, [this, entry] { Advance(entry); });
 }
 
 // Engines and their reports to the entries.
 
-void Simulation::Kick(std::uint32_t e) {
+void Simulation::StartStep(std::uint32_t e) {
   Engine& engine = engines_[e];
-  if (!engine.up || engine.away || engine.model.stepping) {
+  if (!engine.up || engine.offline || engine.model.stepping) {
     return;
   }
   const double step_s = engine.model.BeginStep();
@@ -560,7 +562,7 @@
   if (result.crashed) {
     Crash(e, true);
   }
-  Kick(e);
+  StartStep(e);
 }
 
 void Simulation::OnPrefilled(std::uint64_t attempt) {
@@ -584,7 +586,7 @@
     const bool poison = requests_[attempts_[it].request].record.event->poison;
     After(kDetection, [this, it, poison] { Fail(it, poison); });
   }
-  After(kDetection, [this, e] { Show(e); });
+  After(kDetection, [this, e] { UpdateRouters(e); });
   if (restart) {
     After(kRestart, [this, e] { Restore(e); });
   }
@@ -593,16 +595,16 @@
 void Simulation::Restore(std::uint32_t e) {
   Engine& engine = engines_[e];
   engine.up = true;
-  engine.away = false;
+  engine.offline = false;
   engine.changing = false;
-  engine.model.role = engine.ordered;
+  engine.model.role = engine.assigned_role;
   for (Entry& it : entries_) {
     it.router->OnRestart(it.handles[e]);
   }
-  Show(e);
+  UpdateRouters(e);
 }
 
-void Simulation::Show(std::uint32_t e) {
+void Simulation::UpdateRouters(std::uint32_t e) {
   const Engine& engine = engines_[e];
   TargetView view;
   view.instance = engine.instance;
@@ -622,7 +624,7 @@
   After(kReportInterval, [this, e] { SendReport(e); });
   counts_.engine_seconds_up +=
       engine.up && now_ <= end_ ? Seconds(kReportInterval) : 0;
-  if (!engine.up || engine.away) {
+  if (!engine.up || engine.offline) {
     return;
   }
   engine.reported = engine.model.Report();
@@ -671,25 +673,25 @@
 
 void Simulation::PlanRoles() {
   constexpr Duration kInterval = std::chrono::seconds(1);
-  planner_.OnDemand(offered_, kInterval);
-  offered_ = TokenMix{};
+  planner_.OnDemand(offered_tokens_, kInterval);
+  offered_tokens_ = TokenMix{};
   std::vector<RoleTarget> targets;
   std::vector<TargetLoadReport> loads;
   ReplaySample sample;
   for (std::uint32_t it = 0; it < engines_.size(); ++it) {
-    Kick(it);
+    StartStep(it);
   }
   for (const Engine& it : engines_) {
     RoleTarget target;
     target.instance = it.instance;
-    target.role = it.ordered;
+    target.role = it.assigned_role;
     target.serving = it.up && !it.changing;
     target.changing = it.changing;
     targets.push_back(target);
     loads.push_back(it.reported);
-    sample.prefill += it.ordered == EngineRole::kPrefill;
-    sample.decode += it.ordered == EngineRole::kDecode;
-    sample.mixed += it.ordered == EngineRole::kMixed;
+    sample.prefill += it.assigned_role == EngineRole::kPrefill;
+    sample.decode += it.assigned_role == EngineRole::kDecode;
+    sample.mixed += it.assigned_role == EngineRole::kMixed;
   }
   samples_.push_back(sample);
   const auto hour = static_cast<std::uint32_t>(trace_.Get("hour", 12));
@@ -707,23 +709,23 @@
       continue;
     }
     ++counts_.role_changes;
-    engine.ordered = change.to;
+    engine.assigned_role = change.to;
     engine.changing = true;
     engine.changing_since = now_;
-    Show(it);
-    Kick(it);
+    UpdateRouters(it);
+    StartStep(it);
   }
 }
 
 // Continues a role change once the engine has finished all its attempts.
 void Simulation::ContinueChange(std::uint32_t e) {
   Engine& engine = engines_[e];
-  if (!engine.changing || engine.away || !engine.attempts.empty()) {
+  if (!engine.changing || engine.offline || !engine.attempts.empty()) {
     return;
   }
-  engine.away = true;
-  const Duration away = FromSeconds(trace_.Get("role_change_s", 8));
-  After(away, [this, e, epoch = engine.epoch] {
+  engine.offline = true;
+  const Duration offline = FromSeconds(trace_.Get("role_change_s", 8));
+  After(offline, [this, e, epoch = engine.epoch] {
     if (engines_[e].epoch == epoch) {
       counts_.engine_seconds_lost += Seconds(now_ - engines_[e].changing_since);
       engines_[e].model.Reset();
--- a/src/replay/trace_generator.cc
+++ b/src/replay/trace_generator.cc
@@ -13,10 +13,10 @@
     std::function<double(double)>;  ///< Function of the time in seconds.
 
 constexpr double kEngines = 8;
-constexpr double kLength = 300;
+constexpr double kTraceSeconds = 300;
 /// Work of an average request with a long or short prompt, in seconds of one
 /// engine.
-constexpr double kWork = 0.8;
+constexpr double kMeanWork = 0.8;
 
 Curve Constant(double value) {
   return [value](double) { return value; };
@@ -32,11 +32,12 @@
 
   /// Adds Poisson arrivals of `account`. `load` is the share of the fleet that
   /// they keep busy, `heavy` the share of long prompts among them.
-  void Arrivals(const std::string& account, const Curve& load,
-                const Curve& heavy, double from = 0, double to = kLength) {
+  void AddArrivals(const std::string& account, const Curve& load,
+                   const Curve& heavy, double from = 0,
+                   double to = kTraceSeconds) {
     double t = from;
     while (true) {
-      const double rate = std::max(load(t), 0.001) * kEngines / kWork;
+      const double rate = std::max(load(t), 0.001) * kEngines / kMeanWork;
       t += -std::log(1 - Draw()) / rate;
       if (t >= to) {
         return;
@@ -58,9 +59,9 @@
   }
 
   /// Adds short, urgent requests that all share one prefix.
-  void Alerts(double load) {
+  void AddAlerts(double load) {
     const std::size_t begin = trace_.events.size();
-    Arrivals("alert", Constant(load), Constant(1));
+    AddArrivals("alert", Constant(load), Constant(1));
     for (std::size_t it = begin; it < trace_.events.size(); ++it) {
       TraceEvent& event = trace_.events[it];
       event.prompt_tokens = 1536 + event.prompt_tokens % 256;
@@ -72,7 +73,7 @@
   }
 
   /// Adds requests with one of eight very long shared prefixes.
-  void LongPrefixes(double per_s, double from, double to) {
+  void AddLongPrefixes(double per_s, double from, double to) {
     for (double t = from; t < to; t += -std::log(1 - Draw()) / per_s) {
       TraceEvent event;
       event.account = "drafts";
@@ -86,8 +87,8 @@
     }
   }
 
-  void Engine(double t, TraceEvent::Kind kind, std::uint32_t engine,
-              double factor = 1) {
+  void AddEngineEvent(double t, TraceEvent::Kind kind, std::uint32_t engine,
+                      double factor = 1) {
     TraceEvent event;
     event.kind = kind;
     event.at_ms = static_cast<std::int64_t>(t * 1000);
@@ -96,7 +97,7 @@
     trace_.events.push_back(event);
   }
 
-  void Poison(double t) {
+  void AddPoison(double t) {
     TraceEvent event;
     event.account = "menu";
     event.at_ms = static_cast<std::int64_t>(t * 1000);
@@ -107,14 +108,14 @@
     trace_.events.push_back(event);
   }
 
-  void Roles(int prefill, int decode) {
+  void SetRoles(int prefill, int decode) {
     trace_.settings["prefill"] = prefill;
     trace_.settings["decode"] = decode;
   }
 
   Trace& trace() { return trace_; }
 
-  Trace Take() {
+  Trace Build() {
     std::stable_sort(
         trace_.events.begin(), trace_.events.end(),
         [](const auto& a, const auto& b) { return a.at_ms < b.at_ms; });
@@ -132,16 +133,18 @@
 };
 
 /// Adds arrivals of both ordinary accounts at half of `load` each.
-void Everyday(Generator* g, const Curve& load, const Curve& heavy,
-              double to = kLength) {
+void AddOrdinaryArrivals(Generator* g, const Curve& load, const Curve& heavy,
+                         double to = kTraceSeconds) {
   const Curve half = [load](double t) { return load(t) / 2; };
-  g->Arrivals("menu", half, heavy, 0, to);
-  g->Arrivals("drafts", half, heavy, 0, to);
+  g->AddArrivals("menu", half, heavy, 0, to);
+  g->AddArrivals("drafts", half, heavy, 0, to);
 }
 
 /// Share of long prompts that oscillates between 0.1 and 0.9 and takes two
 /// minutes each way.
-double Swing(double t) { return 0.5 - 0.4 * std::cos(2 * M_PI * t / 240); }
+double OscillatingShare(double t) {
+  return 0.5 - 0.4 * std::cos(2 * M_PI * t / 240);
+}
 
 using Scenario = std::function<void(Generator*)>;
 
@@ -150,86 +153,86 @@
   static const std::vector<std::pair<std::string, Scenario>> scenarios = {
       {"steady",
        [](Generator* g) {
-         Everyday(g, Constant(0.65), Constant(0.5));
-         g->Alerts(0.05);
+         AddOrdinaryArrivals(g, Constant(0.65), Constant(0.5));
+         g->AddAlerts(0.05);
        }},
       {"swing",
        [](Generator* g) {
-         g->Roles(2, 2);
-         Everyday(g, Constant(0.85), Swing);
+         g->SetRoles(2, 2);
+         AddOrdinaryArrivals(g, Constant(0.85), OscillatingShare);
        }},
       {"day_curve",
        [](Generator* g) {
-         g->Roles(2, 4);
-         Everyday(
+         g->SetRoles(2, 4);
+         AddOrdinaryArrivals(
              g, Constant(0.85),
              [](double t) { return 0.5 - 0.25 * std::cos(t / 143); }, 900);
        }},
       {"prefix_burst",
        [](Generator* g) {
-         Everyday(g, Constant(0.4), Constant(0.5));
-         g->LongPrefixes(8, 60, 200);
+         AddOrdinaryArrivals(g, Constant(0.4), Constant(0.5));
+         g->AddLongPrefixes(8, 60, 200);
        }},
       {"flood",
        [](Generator* g) {
-         g->Arrivals("menu", Constant(0.3), Constant(0.5));
-         g->Arrivals("drafts", Constant(2), Constant(0.5), 60, 240);
-         g->Alerts(0.1);
+         g->AddArrivals("menu", Constant(0.3), Constant(0.5));
+         g->AddArrivals("drafts", Constant(2), Constant(0.5), 60, 240);
+         g->AddAlerts(0.1);
        }},
       {"slow_target",
        [](Generator* g) {
-         Everyday(g, Constant(0.6), Constant(0.5));
-         g->Engine(60, Kind::kSlow, 2, 6);
-         g->Engine(200, Kind::kSlow, 2, 1);
+         AddOrdinaryArrivals(g, Constant(0.6), Constant(0.5));
+         g->AddEngineEvent(60, Kind::kSlow, 2, 6);
+         g->AddEngineEvent(200, Kind::kSlow, 2, 1);
        }},
       {"flapping",
        [](Generator* g) {
-         Everyday(g, Constant(0.6), Constant(0.5));
+         AddOrdinaryArrivals(g, Constant(0.6), Constant(0.5));
          for (double t = 60; t < 200; t += 20) {
-           g->Engine(t, Kind::kDown, 3);
-           g->Engine(t + 6, Kind::kUp, 3);
+           g->AddEngineEvent(t, Kind::kDown, 3);
+           g->AddEngineEvent(t + 6, Kind::kUp, 3);
          }
        }},
       {"domain_lost",
        [](Generator* g) {
-         Everyday(g, Constant(0.55), Constant(0.5));
+         AddOrdinaryArrivals(g, Constant(0.55), Constant(0.5));
          for (const std::uint32_t it : {0U, 3U, 6U}) {
-           g->Engine(100, Kind::kDown, it);
-           g->Engine(200, Kind::kUp, it);
+           g->AddEngineEvent(100, Kind::kDown, it);
+           g->AddEngineEvent(200, Kind::kUp, it);
          }
        }},
       {"lag_1s",
        [](Generator* g) {
          g->trace().settings["lag_ms"] = 1000;
-         Everyday(g, Constant(0.75), Constant(0.5));
+         AddOrdinaryArrivals(g, Constant(0.75), Constant(0.5));
        }},
       {"lag_5s",
        [](Generator* g) {
          g->trace().settings["lag_ms"] = 5000;
-         Everyday(g, Constant(0.75), Constant(0.5));
+         AddOrdinaryArrivals(g, Constant(0.75), Constant(0.5));
        }},
       {"cache_events_lost",
        [](Generator* g) {
          g->trace().settings["event_loss"] = 0.5;
-         Everyday(g, Constant(0.4), Constant(0.5));
-         g->LongPrefixes(8, 60, 200);
+         AddOrdinaryArrivals(g, Constant(0.4), Constant(0.5));
+         g->AddLongPrefixes(8, 60, 200);
        }},
       {"poison",
        [](Generator* g) {
-         Everyday(g, Constant(0.6), Constant(0.5));
+         AddOrdinaryArrivals(g, Constant(0.6), Constant(0.5));
          for (double t = 60; t < 240; t += 15) {
-           g->Poison(t);
+           g->AddPoison(t);
          }
        }},
       {"overload_2x",
        [](Generator* g) {
-         Everyday(g, Constant(1.9), Constant(0.5));
-         g->Alerts(0.1);
+         AddOrdinaryArrivals(g, Constant(1.9), Constant(0.5));
+         g->AddAlerts(0.1);
        }},
       {"overload_5x",
        [](Generator* g) {
-         Everyday(g, Constant(4.9), Constant(0.5));
-         g->Alerts(0.1);
+         AddOrdinaryArrivals(g, Constant(4.9), Constant(0.5));
+         g->AddAlerts(0.1);
        }},
       {"evening",
        [](Generator* g) {
@@ -237,9 +240,9 @@
          g->trace().settings["quiet_from"] = 18;
          g->trace().settings["quiet_to"] = 6;
          g->trace().settings["role_change_cost"] = 10;
-         g->Roles(2, 2);
-         Everyday(g, Constant(0.8), Swing);
-         g->Alerts(0.1);
+         g->SetRoles(2, 2);
+         AddOrdinaryArrivals(g, Constant(0.8), OscillatingShare);
+         g->AddAlerts(0.1);
        }},
   };
   return scenarios;
@@ -303,7 +306,7 @@
     }
   }
   generator.trace().name = scenario;
-  return generator.Take();
+  return generator.Build();
 }
 
 }  // namespace indigolead::replay
--- a/src/report/log_line.cc
+++ b/src/report/log_line.cc
@@ -9,7 +9,7 @@
 constexpr std::size_t kTimeLength = 23;  // 2026-04-14T23:30:57.044
 
 /// Removes the next word from the front of `text` and returns it.
-std::string_view TakeWord(std::string_view* text) {
+std::string_view ConsumeWord(std::string_view* text) {
   const auto begin = text->find_first_not_of(' ');
   if (begin == std::string_view::npos) {
     *text = {};
@@ -55,7 +55,7 @@
 
 /// Removes the value that follows "name=" from the front of `text`. Returns
 /// nullopt if its closing quote is missing.
-std::optional<std::string> TakeValue(std::string_view* text) {
+std::optional<std::string> ConsumeValue(std::string_view* text) {
   if (text->empty() || text->front() != '"') {
     const std::string_view value = text->substr(0, text->find(' '));
     text->remove_prefix(value.size());
@@ -74,7 +74,7 @@
   return std::nullopt;
 }
 
-bool TakeFields(std::string_view text, std::vector<LogField>* fields) {
+bool ParseFields(std::string_view text, std::vector<LogField>* fields) {
   for (;;) {
     const auto begin = text.find_first_not_of(' ');
     if (begin == std::string_view::npos) {
@@ -87,7 +87,7 @@
     }
     std::string name(text.substr(0, equals));
     text.remove_prefix(equals + 1);
-    auto value = TakeValue(&text);
+    auto value = ConsumeValue(&text);
     if (!value) {
       return false;
     }
@@ -118,18 +118,18 @@
 std::optional<LogLine> ParseLogLine(std::string_view text) {
   std::optional<std::int64_t> at_ms;
   while (!at_ms && !text.empty()) {
-    at_ms = ReadTime(TakeWord(&text));
+    at_ms = ReadTime(ConsumeWord(&text));
   }
   if (!at_ms) {
     return std::nullopt;
   }
   LogLine line;
   line.at_ms = *at_ms;
-  TakeWord(&text);  // Severity.
-  line.process = std::string(TakeWord(&text));
-  TakeWord(&text);  // Event number.
-  line.event = std::string(TakeWord(&text));
-  if (line.event.empty() || !TakeFields(text, &line.fields)) {
+  ConsumeWord(&text);  // Severity.
+  line.process = std::string(ConsumeWord(&text));
+  ConsumeWord(&text);  // Event number.
+  line.event = std::string(ConsumeWord(&text));
+  if (line.event.empty() || !ParseFields(text, &line.fields)) {
     return std::nullopt;
   }
   return line;
--- a/src/report/report_page.cc
+++ b/src/report/report_page.cc
@@ -22,14 +22,14 @@
 }
 
 /// Formats the median and the 99% quantile as "MEDIAN/TAIL".
-std::string Spread(const Durations& durations) {
+std::string MedianAndTail(const Durations& durations) {
   return durations.size() == 0 ? "-"
                                : Ms(durations.Quantile(kMedian)) + "/" +
                                      Ms(durations.Quantile(kTail));
 }
 
 std::vector<std::string> Cells(const std::string& name,
-                               const RequestTally& it) {
+                               const RequestStats& it) {
   return {name,
           std::to_string(it.ended()),
           std::to_string(it.answered),
@@ -38,16 +38,16 @@
           std::to_string(it.unknown),
           std::to_string(it.abandoned),
           std::to_string(it.further_attempts),
-          Spread(it.placing),
-          Spread(it.reading),
-          Spread(it.first_event),
-          Spread(it.pause),
-          Spread(it.whole)};
+          MedianAndTail(it.placing),
+          MedianAndTail(it.reading),
+          MedianAndTail(it.first_event),
+          MedianAndTail(it.pause),
+          MedianAndTail(it.whole)};
 }
 
 using Counts = std::map<std::string, std::uint64_t>;
 
-std::vector<std::pair<std::string, std::uint64_t>> LargestFirst(
+std::vector<std::pair<std::string, std::uint64_t>> SortedByCount(
     const Counts& counts) {
   std::vector<std::pair<std::string, std::uint64_t>> sorted(counts.begin(),
                                                             counts.end());
@@ -67,13 +67,13 @@
 
 void AddCauses(const RequestReport& report, std::ostringstream* out) {
   TextTable causes({"requests without an answer", "n"});
-  for (const auto& [cause, n] : LargestFirst(report.causes())) {
+  for (const auto& [cause, n] : SortedByCount(report.causes())) {
     causes.AddRow({cause, std::to_string(n)});
   }
   TextTable attempts({"attempts not run", "n", "most of them at"});
   for (const auto& [cause, targets] : report.attempts_refused()) {
     std::string most;
-    const auto sorted = LargestFirst(targets);
+    const auto sorted = SortedByCount(targets);
     for (std::size_t it = 0; it < std::min(sorted.size(), kTargetsShown);
          ++it) {
       most += (it ? ", " : "") + sorted[it].first + " (" +
@@ -94,7 +94,7 @@
     }
   }
   TextTable table({"store calls", "n", "most of one process"});
-  for (const auto& [what, n] : LargestFirst(all)) {
+  for (const auto& [what, n] : SortedByCount(all)) {
     std::uint64_t most = 0;
     for (const auto& [process, calls] : report.store_calls()) {
       const auto it = calls.find(what);
@@ -104,7 +104,7 @@
   }
   *out << '\n' << table.ToText();
   if (!by_process.empty()) {
-    const auto busiest = LargestFirst(by_process).front();
+    const auto busiest = SortedByCount(by_process).front();
     *out << "most calls: " << busiest.first << " (" << busiest.second << ")\n";
   }
 }
@@ -124,13 +124,13 @@
   std::vector<std::string> names = {"route"};
   names.insert(names.end(), rest.begin(), rest.end());
   TextTable routes(names);
-  for (const auto& [route, tally] : report.by_route()) {
-    routes.AddRow(Cells(route, tally));
+  for (const auto& [route, stats] : report.by_route()) {
+    routes.AddRow(Cells(route, stats));
   }
   names.front() = "second";
   TextTable seconds(names);
-  for (const auto& [second, tally] : report.by_second()) {
-    seconds.AddRow(Cells(std::to_string(second), tally));
+  for (const auto& [second, stats] : report.by_second()) {
+    seconds.AddRow(Cells(std::to_string(second), stats));
   }
   out << routes.ToText() << '\n' << seconds.ToText();
   AddCauses(report, &out);
@@ -159,17 +159,17 @@
   constexpr double kWidth = 960;
   constexpr double kHeight = 320;
   constexpr double kMargin = 40;
-  const std::vector<std::pair<std::uint64_t RequestTally::*, const char*>>
-      parts = {{&RequestTally::answered, "#4c956c"},
-               {&RequestTally::failed, "#7d5ba6"},
-               {&RequestTally::refused, "#e9a03b"},
-               {&RequestTally::unknown, "#c8443c"},
-               {&RequestTally::abandoned, "#9aa0a6"}};
+  const std::vector<std::pair<std::uint64_t RequestStats::*, const char*>>
+      parts = {{&RequestStats::answered, "#4c956c"},
+               {&RequestStats::failed, "#7d5ba6"},
+               {&RequestStats::refused, "#e9a03b"},
+               {&RequestStats::unknown, "#c8443c"},
+               {&RequestStats::abandoned, "#9aa0a6"}};
   const std::vector<const char*> labels = {"answered", "failed", "refused",
                                            "unknown", "left"};
   std::uint64_t most = 1;
-  for (const auto& [second, tally] : report.by_second()) {
-    most = std::max(most, tally.ended());
+  for (const auto& [second, stats] : report.by_second()) {
+    most = std::max(most, stats.ended());
   }
   const double first =
       report.by_second().empty()
@@ -186,11 +186,11 @@
       << "\" height=\"" << kHeight
       << "\" font-family=\"sans-serif\" font-size=\"12\">\n"
          "<rect width=\"100%\" height=\"100%\" fill=\"white\"/>\n";
-  for (const auto& [second, tally] : report.by_second()) {
+  for (const auto& [second, stats] : report.by_second()) {
     const double x = kMargin + (static_cast<double>(second) - first) * step;
     double y = kHeight - kMargin;
     for (const auto& [part, colour] : parts) {
-      const double height = static_cast<double>(tally.*part) * scale;
+      const double height = static_cast<double>(stats.*part) * scale;
       y -= height;
       out << "<rect x=\"" << x << "\" y=\"" << y << "\" width=\"" << step * 0.9
           << "\" height=\"" << height << "\" fill=\"" << colour << "\"/>\n";
--- a/src/report/request_report.cc
+++ b/src/report/request_report.cc
@@ -6,9 +6,9 @@
 namespace indigolead::report {
 namespace {
 
-constexpr std::size_t kMostPlaces = 5;
-constexpr double kFirstFailure = 500;
-constexpr std::string_view kStoreStep = "store.";
+constexpr std::size_t kMaxUnreadablePlaces = 5;
+constexpr double kFirstFailureStatus = 500;
+constexpr std::string_view kStoreFieldPrefix = "store.";
 
 }  // namespace
 
@@ -28,7 +28,7 @@
   const auto line = ParseLogLine(text);
   if (!line) {
     ++unreadable_;
-    if (unreadable_places_.size() < kMostPlaces) {
+    if (unreadable_places_.size() < kMaxUnreadablePlaces) {
       unreadable_places_.push_back(source + ":" + std::to_string(number));
     }
     return;
@@ -41,26 +41,27 @@
   if (line.event == "request-placed") {
     OnPlaced(line);
   } else if (line.event == "runner-chosen") {
-    const auto it =
-        open_.find(line.process + " " + std::string(line.Get("request")));
-    if (it != open_.end() && !it->second.read_ms) {
+    const auto it = open_requests_.find(line.process + " " +
+                                        std::string(line.Get("request")));
+    if (it != open_requests_.end() && !it->second.read_ms) {
       it->second.read_ms = line.Number("after_ms");
     }
   } else if (line.event == "request-answered") {
-    const bool failure = line.Number("status").value_or(0) >= kFirstFailure;
-    OnEnd(line, failure ? &RequestTally::failed : &RequestTally::answered);
+    const bool failure =
+        line.Number("status").value_or(0) >= kFirstFailureStatus;
+    OnEnd(line, failure ? &RequestStats::failed : &RequestStats::answered);
   } else if (line.event == "request-refused") {
     const bool not_run = line.Get("run") == "not-run";
-    OnEnd(line, not_run ? &RequestTally::refused : &RequestTally::unknown);
+    OnEnd(line, not_run ? &RequestStats::refused : &RequestStats::unknown);
     ++causes_[std::string(line.Get("code"))];
   } else if (line.event == "request-abandoned") {
-    OnEnd(line, &RequestTally::abandoned);
+    OnEnd(line, &RequestStats::abandoned);
   } else if (line.event == "attempt-refused") {
     ++attempts_refused_[std::string(line.Get("cause"))]
                        [std::string(line.Get("target"))];
   } else if (line.event == "store-calls") {
     for (const LogField& it : line.fields) {
-      if (it.name.starts_with(kStoreStep)) {
+      if (it.name.starts_with(kStoreFieldPrefix)) {
         store_calls_[line.process][it.name] +=
             static_cast<std::uint64_t>(line.Number(it.name).value_or(0));
       }
@@ -69,7 +70,8 @@
 }
 
 void RequestReport::OnPlaced(const LogLine& line) {
-  Open& open = open_[line.process + " " + std::string(line.Get("request"))];
+  OpenRequest& open =
+      open_requests_[line.process + " " + std::string(line.Get("request"))];
   open.route = std::string(line.Get("route"));
   if (!open.placed_ms) {
     open.placed_ms = line.Number("after_ms");
@@ -79,40 +81,41 @@
 }
 
 void RequestReport::OnEnd(const LogLine& line,
-                          std::uint64_t RequestTally::*outcome) {
-  auto node =
-      open_.extract(line.process + " " + std::string(line.Get("request")));
-  const Open open = node.empty() ? Open{} : std::move(node.mapped());
+                          std::uint64_t RequestStats::*outcome) {
+  auto node = open_requests_.extract(line.process + " " +
+                                     std::string(line.Get("request")));
+  const OpenRequest open =
+      node.empty() ? OpenRequest{} : std::move(node.mapped());
   std::string route(line.Get("route"));
   if (route.empty()) {
     route = "(none)";
   }
   const std::int64_t second = (line.at_ms - first_ms_.value_or(0)) / 1000;
-  for (RequestTally* it : {&by_route_[route], &by_second_[second]}) {
+  for (RequestStats* it : {&by_route_[route], &by_second_[second]}) {
     ++(it->*outcome);
     AddTimes(open, line, it);
   }
 }
 
-void RequestReport::AddTimes(const Open& open, const LogLine& line,
-                             RequestTally* tally) {
+void RequestReport::AddTimes(const OpenRequest& open, const LogLine& line,
+                             RequestStats* stats) {
   const auto first = line.Number("first_ms");
   const auto pause = line.Number("longest_pause_ms");
   const auto whole = line.Number("after_ms");
   if (open.placed_ms) {
-    tally->placing.Add(*open.placed_ms);
+    stats->placing.Add(*open.placed_ms);
   }
   if (open.placed_ms && open.read_ms) {
-    tally->reading.Add(*open.read_ms - *open.placed_ms);
+    stats->reading.Add(*open.read_ms - *open.placed_ms);
   }
   if (first && (open.read_ms || open.placed_ms)) {
-    tally->first_event.Add(*first - open.read_ms.value_or(*open.placed_ms));
+    stats->first_event.Add(*first - open.read_ms.value_or(*open.placed_ms));
   }
   if (pause) {
-    tally->pause.Add(*pause);
+    stats->pause.Add(*pause);
   }
   if (whole) {
-    tally->whole.Add(*whole);
+    stats->whole.Add(*whole);
   }
 }
 
--- a/src/report/request_report.h
+++ b/src/report/request_report.h
@@ -24,7 +24,7 @@
 };
 
 /// Outcomes and time breakdown of a group of requests.
-struct RequestTally {
+struct RequestStats {
   std::uint64_t answered = 0;   ///< With a status below 500.
   std::uint64_t failed = 0;     ///< With a failure status of the target.
   std::uint64_t refused = 0;    ///< Certainly not executed.
@@ -55,11 +55,11 @@
            std::string_view text);
 
   /// Requests by route.
-  const std::map<std::string, RequestTally>& by_route() const {
+  const std::map<std::string, RequestStats>& by_route() const {
     return by_route_;
   }
   /// Requests by the second in which they ended, counted from the first line.
-  const std::map<std::int64_t, RequestTally>& by_second() const {
+  const std::map<std::int64_t, RequestStats>& by_second() const {
     return by_second_;
   }
   /// Requests without a response, by cause.
@@ -83,7 +83,7 @@
   }
 
  private:
-  struct Open {
+  struct OpenRequest {
     std::string route;
     std::optional<double> placed_ms;  ///< Since acceptance.
     std::optional<double> read_ms;
@@ -91,13 +91,14 @@
 
   void Count(const LogLine& line);
   void OnPlaced(const LogLine& line);
-  void OnEnd(const LogLine& line, std::uint64_t RequestTally::*outcome);
-  static void AddTimes(const Open& open, const LogLine& line,
-                       RequestTally* tally);
+  void OnEnd(const LogLine& line, std::uint64_t RequestStats::*outcome);
+  static void AddTimes(const OpenRequest& open, const LogLine& line,
+                       RequestStats* stats);
 
-  std::map<std::string, Open> open_;  ///< By process and request id.
-  std::map<std::string, RequestTally> by_route_;
-  std::map<std::int64_t, RequestTally> by_second_;
+  std::map<std::string, OpenRequest>
+      open_requests_;  ///< By process and request id.
+  std::map<std::string, RequestStats> by_route_;
+  std::map<std::int64_t, RequestStats> by_second_;
   std::map<std::string, std::uint64_t> causes_;
   std::map<std::string, std::map<std::string, std::uint64_t>> attempts_refused_;
   std::map<std::string, std::map<std::string, std::uint64_t>> store_calls_;
--- a/tests/core/replay/replay_test.cc
+++ b/tests/core/replay/replay_test.cc
@@ -23,7 +23,7 @@
     DYNAMIC_SECTION(scenario) {
       const Trace trace = ReadFile(scenario);
       REQUIRE_FALSE(trace.expectations.empty());
-      const ReplayOutcome outcome = Replay(trace, OwnPolicy());
+      const ReplayOutcome outcome = Replay(trace, ProductionPolicy());
       for (const TraceExpectation& it : trace.expectations) {
         const double seen = outcome.Get(it.metric);
         INFO("expected " << it.metric << (it.at_least ? " >= " : " <= ")
@@ -44,11 +44,11 @@
 TEST_CASE("A replay is deterministic") {
   Trace trace = GenerateTrace("poison", 3);
   trace.events.resize(600);
-  CHECK(Replay(trace, OwnPolicy()) == Replay(trace, OwnPolicy()));
+  CHECK(Replay(trace, ProductionPolicy()) == Replay(trace, ProductionPolicy()));
 }
 
 TEST_CASE("A trace without requests can be replayed") {
-  CHECK(Replay(Trace{}, OwnPolicy()).Get("requests") == 0);
+  CHECK(Replay(Trace{}, ProductionPolicy()).Get("requests") == 0);
 }
 
 TEST_CASE("A trace parse error names the line") {
--- a/tests/shell/request_report_test.cc
+++ b/tests/shell/request_report_test.cc
@@ -8,14 +8,14 @@
 namespace indigolead::report {
 namespace {
 
-std::string At(const std::string& time, const std::string& rest) {
+std::string LogLineAt(const std::string& time, const std::string& rest) {
   return "2026-04-14T23:30:" + time + " INFO entry/front-1 " + rest;
 }
 
 TEST_CASE("ParseLogLine parses a log line") {
-  const auto line = ParseLogLine(
-      At("57.044",
-         R"(1021 request-refused request=a code=full detail="a \"b\"")"));
+  const auto line = ParseLogLine(LogLineAt(
+      "57.044",
+      R"(1021 request-refused request=a code=full detail="a \"b\"")"));
   REQUIRE(line);
   CHECK(line->process == "entry/front-1");
   CHECK(line->event == "request-refused");
@@ -25,13 +25,13 @@
   CHECK_FALSE(line->Number("code"));
 
   SECTION("text that a log collector put in front is skipped") {
-    const auto collected =
-        ParseLogLine("  -13.85 front-1 " + At("57.044", "1001 entry-started"));
+    const auto collected = ParseLogLine(
+        "  -13.85 front-1 " + LogLineAt("57.044", "1001 entry-started"));
     REQUIRE(collected);
     CHECK(collected->at_ms == line->at_ms);
   }
   SECTION("times are parsed to the millisecond") {
-    const auto later = ParseLogLine(At("58.045", "1001 entry-started"));
+    const auto later = ParseLogLine(LogLineAt("58.045", "1001 entry-started"));
     REQUIRE(later);
     CHECK(later->at_ms - line->at_ms == 1001);
   }
@@ -49,18 +49,18 @@
 /// end after 400 ms.
 void AddAnswered(RequestReport* report) {
   report->Add("log", 1,
-              At("57.000",
-                 "1020 request-placed request=a route=audit "
-                 "target=e1 after_ms=2"));
+              LogLineAt("57.000",
+                        "1020 request-placed request=a route=audit "
+                        "target=e1 after_ms=2"));
   report->Add("log", 2,
-              At("57.200",
-                 "1032 runner-chosen request=a target=e2 "
-                 "after_ms=202"));
+              LogLineAt("57.200",
+                        "1032 runner-chosen request=a target=e2 "
+                        "after_ms=202"));
   report->Add("log", 3,
-              At("57.400",
-                 "1022 request-answered request=a route=audit "
-                 "status=200 after_ms=400 first_ms=242 "
-                 "longest_pause_ms=31"));
+              LogLineAt("57.400",
+                        "1022 request-answered request=a route=audit "
+                        "status=200 after_ms=400 first_ms=242 "
+                        "longest_pause_ms=31"));
 }
 
 // Guards the diagnosis of slow or refused requests after the fact, when only
@@ -70,7 +70,7 @@
   AddAnswered(&report);
 
   SECTION("time breakdown of a request") {
-    const RequestTally& it = report.by_route().at("audit");
+    const RequestStats& it = report.by_route().at("audit");
     CHECK(it.answered == 1);
     CHECK(it.placing.Quantile(0.5) == 2);
     CHECK(it.reading.Quantile(0.5) == 200);
@@ -80,17 +80,17 @@
   }
   SECTION("refusals by cause and by second") {
     report.Add("log", 4,
-               At("57.500",
-                  "1024 attempt-refused request=b target=e7 "
-                  "cause=target_full"));
+               LogLineAt("57.500",
+                         "1024 attempt-refused request=b target=e7 "
+                         "cause=target_full"));
     report.Add("log", 5,
-               At("59.100",
-                  "1021 request-refused request=b route=audit "
-                  "code=target_full run=not-run after_ms=30"));
+               LogLineAt("59.100",
+                         "1021 request-refused request=b route=audit "
+                         "code=target_full run=not-run after_ms=30"));
     report.Add("log", 6,
-               At("59.200",
-                  "1021 request-refused request=c route=print "
-                  "code=target_failed run=unknown after_ms=30"));
+               LogLineAt("59.200",
+                         "1021 request-refused request=c route=print "
+                         "code=target_failed run=unknown after_ms=30"));
     CHECK(report.by_route().at("audit").refused == 1);
     CHECK(report.by_route().at("print").unknown == 1);
     CHECK(report.by_second().at(2).ended() == 2);
@@ -100,21 +100,21 @@
   }
   SECTION("a failure status from the target counts as failed") {
     report.Add("log", 4,
-               At("58.000",
-                  "1022 request-answered request=d route=print "
-                  "status=500 after_ms=30"));
+               LogLineAt("58.000",
+                         "1022 request-answered request=d route=print "
+                         "status=500 after_ms=30"));
     CHECK(report.by_route().at("print").failed == 1);
     CHECK(report.by_route().at("print").answered == 0);
   }
   SECTION("store calls by process") {
     report.Add("log", 4,
-               At("58.000",
-                  "3003 store-calls seconds=10 "
-                  "store.watch.servers=7 store.get.control=1"));
+               LogLineAt("58.000",
+                         "3003 store-calls seconds=10 "
+                         "store.watch.servers=7 store.get.control=1"));
     report.Add("log", 5,
-               At("59.000",
-                  "3003 store-calls seconds=10 "
-                  "store.watch.servers=5"));
+               LogLineAt("59.000",
+                         "3003 store-calls seconds=10 "
+                         "store.watch.servers=5"));
     CHECK(report.store_calls().at("entry/front-1").at("store.watch.servers") ==
           12);
   }
--- a/tests/shell/status_view_test.cc
+++ b/tests/shell/status_view_test.cc
@@ -9,16 +9,16 @@
 
 using Catch::Matchers::Contains;
 
-constexpr WallMicros kNoon = 1'700'000'000'000'000;  // 2023-11-14T22:13:20Z
+constexpr WallMicros kWallNow = 1'700'000'000'000'000;  // 2023-11-14T22:13:20Z
 constexpr TimePoint kNow{std::chrono::seconds(1000)};
 
 /// Returns the tables for `status` at `kNow`, or the error text.
-std::string Shown(const SystemStatus& status) {
-  const auto text = StatusText(EncodeStatus(status, kNow, kNoon));
+std::string RenderStatus(const SystemStatus& status) {
+  const auto text = StatusText(EncodeStatus(status, kNow, kWallNow));
   return IsOk(text) ? ValueOf(text) : ToString(ErrorOf(text));
 }
 
-TargetStatus SomeTarget() {
+TargetStatus MakeTarget() {
   TargetStatus target;
   target.name = "engine-1";
   target.deployment = "tarifa-llm";
@@ -32,26 +32,30 @@
 TEST_CASE("The status shows each value with its age") {
   SystemStatus status;
   status.entry = "entry-1";
-  status.targets = {SomeTarget()};
+  status.targets = {MakeTarget()};
 
   SECTION("a current value is shown with its age") {
-    CHECK_THAT(Shown(status), Contains("mixed (1.5s ago)") &&
-                                  Contains("3 running, 2 waiting (0.0s ago)"));
+    CHECK_THAT(RenderStatus(status),
+               Contains("mixed (1.5s ago)") &&
+                   Contains("3 running, 2 waiting (0.0s ago)"));
   }
   SECTION("a value that is no longer updated is shown as unknown") {
     status.targets[0].role.unknown_since = kNow - std::chrono::seconds(20);
-    CHECK_THAT(Shown(status), Contains("unknown since 2023-11-14T22:13:00Z") &&
-                                  !Contains("mixed"));
+    CHECK_THAT(
+        RenderStatus(status),
+        Contains("unknown since 2023-11-14T22:13:00Z") && !Contains("mixed"));
   }
   SECTION("a value that was never reported is shown as never seen") {
-    CHECK_THAT(Shown(status), Contains("object API answers: never seen"));
+    CHECK_THAT(RenderStatus(status),
+               Contains("object API answers: never seen"));
   }
   SECTION("a deployment lists the targets it waits for") {
     DeploymentStatus deployment;
     deployment.name = "tarifa-llm";
     deployment.waiting_for = {"engine-1", "engine-2"};
     status.deployments = {deployment};
-    CHECK_THAT(Shown(status), Contains("waiting for engine-1, engine-2"));
+    CHECK_THAT(RenderStatus(status),
+               Contains("waiting for engine-1, engine-2"));
   }
 }
 
