--- a/bench/bench_client.h
+++ b/bench/bench_client.h
@@ -2,7 +2,7 @@
 #define INDIGOLEAD_BENCH_BENCH_CLIENT_H_
 
 #include <utility>
-// Asio of Boost 1.74 needs <utility> before it.
+// Asio in Boost 1.74 requires <utility> to be included first.
 #include <array>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/connect.hpp>
@@ -27,10 +27,10 @@
   return ValueOf(ParseEndpoint(address));
 }
 
-/// Finds the end of one HTTP answer in what came so far.
+/// Incremental parser that detects the end of one HTTP response.
 class AnswerReader {
  public:
-  /// Takes `data`; returns true once the answer is whole.
+  /// Consumes `data`. Returns true once the response is complete.
   bool Take(std::string_view data) {
     if (!head_done_) {
       head_ += data;
@@ -74,7 +74,7 @@
   std::string tail_;
 };
 
-/// Sends one request after another on one connection, waiting for each.
+/// Blocking client that sends requests one at a time on one connection.
 class BlockingCaller {
  public:
   explicit BlockingCaller(const std::string& address) : socket_(io_) {
@@ -82,7 +82,7 @@
     socket_.set_option(boost::asio::ip::tcp::no_delay(true));
   }
 
-  /// Returns the head of the answer.
+  /// Returns the header of the response.
   std::string Call(const std::string& request) {
     boost::asio::write(socket_, boost::asio::buffer(request));
     reader_.Reset();
@@ -101,7 +101,7 @@
   AnswerReader reader_;
 };
 
-/// Many callers on one thread, each with a connection of its own.
+/// Simulates many callers on one thread, each with its own connection.
 class ParallelCallers {
  public:
   ParallelCallers(const std::string& address, std::size_t n) {
@@ -112,8 +112,8 @@
     }
   }
 
-  /// Repeats `request` on every connection for `time`, lets each last one end,
-  /// and returns the number of answers. Throws on one that is not 200.
+  /// Repeats `request` on all connections for `time`, waits for the requests in
+  /// flight, and returns the number of responses. Throws on any status but 200.
   std::uint64_t Run(const std::string& request, std::chrono::seconds time) {
     request_ = request;
     until_ = std::chrono::steady_clock::now() + time;
@@ -129,8 +129,8 @@
     return answers_;
   }
 
-  /// Sends `request` on every connection and returns once each has got the
-  /// beginning of its answer, which stays open.
+  /// Sends `request` on all connections and returns once each has received the
+  /// start of its response. The responses stay open.
   void Hold(const std::string& request) {
     for (auto& it : callers_) {
       boost::asio::write(it->socket, boost::asio::buffer(request));
@@ -162,7 +162,7 @@
           boost::asio::buffer(buf),
           [this](const boost::system::error_code& ec, std::size_t n) {
             if (ec) {
-              throw std::runtime_error("connection broke: " + ec.message());
+              throw std::runtime_error("connection failed: " + ec.message());
             }
             if (!reader.Take({buf.data(), n})) {
               Read();
@@ -174,7 +174,8 @@
 
     void OnAnswer() {
       if (reader.head().compare(0, 12, "HTTP/1.1 200") != 0) {
-        throw std::runtime_error("not answered: " + reader.head());
+        throw std::runtime_error("unexpected response status: " +
+                                 reader.head());
       }
       ++owner->answers_;
       if (std::chrono::steady_clock::now() < owner->until_) {
--- a/bench/bench_target.h
+++ b/bench/bench_target.h
@@ -2,7 +2,7 @@
 #define INDIGOLEAD_BENCH_BENCH_TARGET_H_
 
 #include <utility>
-// Asio of Boost 1.74 needs <utility> before it.
+// Asio in Boost 1.74 requires <utility> to be included first.
 #include <array>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/executor_work_guard.hpp>
@@ -76,7 +76,7 @@
     return 0;
   }
 
-  /// What an engine says of itself to the process beside it.
+  /// Returns the report that an engine gives to its side.
   static std::string Report(const std::string& request) {
     if (request.compare(4, 5, "/load") == 0) {
       return R"({"boot_id":"1","measured_ago_ms":0,"running":0,"waiting":0,)"
@@ -141,11 +141,11 @@
   bool hold_ = false;
 };
 
-/// Target that does no work of its own, so that a bench measures the path.
+/// Target that does no work, so that a benchmark measures only the path.
 ///
-/// A POST is answered with a small JSON body. One whose body says
-/// `"stream":true` gets `"max_tokens"` server-sent events, each in a write of
-/// its own, and with `"hold":true` no end.
+/// Answers a POST with a small JSON body. If the request body contains
+/// `"stream":true`, it sends `"max_tokens"` server-sent events, each in its own
+/// write; with `"hold":true` the stream never ends.
 class BenchTarget {
  public:
   BenchTarget()
--- a/bench/claims_bench.cc
+++ b/bench/claims_bench.cc
@@ -1,7 +1,7 @@
-// Measures the core of a claim home: decisions a second on one core, and the
-// journal writes that a rate of claims costs. The store is a fake that answers
-// after a fixed time; time itself is simulated, so only the first table
-// depends on the machine.
+// Measures the core of a claim home: decisions per second on one core, and the
+// journal writes needed at several claim rates. The store is a fake with a
+// fixed latency in simulated time, so only the first result depends on the
+// machine.
 
 #include <chrono>
 #include <cstdio>
@@ -22,7 +22,7 @@
 constexpr Duration kStoreLatency = milliseconds(3);
 constexpr Duration kStep = milliseconds(1);
 
-/// One home, its store and the requests it is asked about.
+/// Drives one claim home with a simulated store and generated requests.
 class Bench {
  public:
   explicit Bench(ClaimHome::Options options)
@@ -39,7 +39,7 @@
     Pass(seconds(1));
   }
 
-  /// Asks about a new key, and ends the run if `finish` is set.
+  /// Requests a claim on a new key, and finishes the run if `finish` is set.
   void Ask(bool finish) {
     const ClaimKey key{{random_(), random_()}};
     const RequestId request{{random_(), random_()}};
--- a/bench/control_bench.cc
+++ b/bench/control_bench.cc
@@ -1,6 +1,7 @@
-// Counts the calls of the store that control makes, idle and while a revision
-// is rolled out, against the number of targets. Real services on a store in
-// memory, in simulated time, so the counts do not depend on the machine.
+// Counts the store calls of the control service, when idle and during the
+// rollout of a revision, by number of targets. Runs the real services on an
+// in-memory store in simulated time, so the counts do not depend on the
+// machine.
 
 #include <cstdio>
 #include <functional>
@@ -21,7 +22,8 @@
 constexpr int kEntries = 3;
 constexpr milliseconds kStep{100};
 
-/// Time, timers and objects shared by all entries; answers at once.
+/// Simulated time, timers and objects shared by all entries. Store calls
+/// complete without delay.
 class World {
  public:
   using Listener = ObjectStore::OnWatchEvents;
@@ -117,7 +119,7 @@
   return revision;
 }
 
-/// Entries and engines that obey within two seconds.
+/// Entries, and engines that carry out an order within two seconds.
 class Fleet {
  public:
   explicit Fleet(int targets) : targets_(targets), store_(&world_) {
@@ -132,8 +134,8 @@
       entry->OnRevision(MakeRevision(number));
     }
   }
-  /// Runs for `duration`, or until every engine is at `number`. Returns how
-  /// long that took.
+  /// Runs for `duration`, or until all engines have reached revision `number`.
+  /// Returns the elapsed time.
   Duration Run(Duration duration, std::uint64_t number) {
     const TimePoint start = world_.now;
     while (world_.now < start + duration &&
@@ -258,7 +260,7 @@
   world.reads = world.writes = 0;
   fleet.Run(kIdle, 0);
   const double idle = rate(kIdle);
-  std::printf("%7d  idle    %5.2f reads/s %5.2f writes/s, %zu watches wait\n",
+  std::printf("%7d  idle    %5.2f reads/s %5.2f writes/s, %zu open watches\n",
               targets, static_cast<double>(world.reads) / kIdle.count(),
               static_cast<double>(world.writes) / kIdle.count(),
               world.watches.size());
--- a/bench/keys_bench.cc
+++ b/bench/keys_bench.cc
@@ -1,6 +1,6 @@
-// Times the look-up of a caller's API key among the accounts of the two-year
-// size, with its hash, beside a scan of all hashes, which is what the look-up
-// was before. The aim is below 1 us.
+// Measures the lookup of an API key, including its hash, among the client
+// accounts of the two-year capacity plan. Compares it with the linear scan of
+// all hashes that it replaced. The goal is less than 1 us per lookup.
 
 #include <openssl/crypto.h>
 
@@ -20,7 +20,7 @@
 
 std::string KeyOf(int n) { return "j3nr26tta828m82thh" + std::to_string(n); }
 
-/// Returns the nanoseconds that each of `n` calls of `look_up` takes.
+/// Returns the mean time of `n` calls of `look_up`, in nanoseconds.
 template <typename LookUp>
 double TimeOf(int n, const LookUp& look_up) {
   const auto begin = std::chrono::steady_clock::now();
--- a/bench/links_bench.cc
+++ b/bench/links_bench.cc
@@ -1,8 +1,8 @@
 // Measures `Links` over loopback with real sockets and the real codec:
-// throughput, round trip, and what each idle peer costs a process.
+// throughput, round-trip time, and the cost of each peer to a process.
 //
 // Usage: links_bench [--quick]
-// Lines that start with "figure " are read by scripts/capacity.sh.
+// scripts/capacity.sh parses the lines that start with "figure ".
 #include <fcntl.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -45,7 +45,7 @@
   return hello;
 }
 
-/// Fills what a side says of its load in every heartbeat.
+/// Fills in the load report that a side sends with every heartbeat.
 void FillLoad(wire::Heartbeat* heartbeat) {
   wire::LoadReport* load = heartbeat->mutable_load();
   load->set_measured_ago_us(250000);
@@ -83,7 +83,7 @@
   return resident * static_cast<std::size_t>(sysconf(_SC_PAGESIZE));
 }
 
-/// One process's links with the simplest hooks.
+/// Links of one process with minimal callbacks.
 struct Node {
   Node(const std::string& name, bool bind, bool idle = false)
       : hello(MakeHello(name)) {
@@ -129,7 +129,7 @@
   std::atomic<int> up{0};
 };
 
-/// Runs a server node on a thread of its own, connected to a client here.
+/// Runs a server node on its own thread, connected to a client on this one.
 class Pair {
  public:
   Pair() : server_("entry-1", true), client_("side-1", false) {
@@ -227,8 +227,8 @@
   std::printf("figure links_round_trip_us_p99 %.1f\n", p99);
 }
 
-/// Plays `count` sides in a process of its own, so that the process measured
-/// holds nothing but the links under test. Ends with its parent's pipe.
+/// Simulates `count` sides in a separate process, so that the measured process
+/// contains only the links under test. Exits when the parent's pipe closes.
 [[noreturn]] void RunPeers(int count, const std::string& address,
                            Duration interval, int pipe) {
   zmq::context_t context(1);
@@ -250,7 +250,7 @@
     wire::Envelope heartbeat;
     FillLoad(heartbeat.mutable_heartbeat());
     heartbeat.mutable_heartbeat()->set_sequence(sequence);
-    // A twentieth of the sides at a time keeps the load even.
+    // Serving a twentieth of the sides at a time spreads the load evenly.
     constexpr int kSlices = 20;
     for (int slice = 0; slice < kSlices; ++slice) {
       for (int n = slice; n < count; n += kSlices) {
@@ -284,7 +284,7 @@
   if (pipe(address_pipe) != 0 || pipe2(life_pipe, O_NONBLOCK) != 0) {
     std::exit(1);
   }
-  // The child is made while this process has one thread only.
+  // Forks while this process is still single-threaded.
   const pid_t child = fork();
   if (child == 0) {
     close(life_pipe[1]);
@@ -337,7 +337,7 @@
   return cost;
 }
 
-/// Returns the slope of the least-squares line of `value` over the peers.
+/// Returns the least-squares slope of `value` over the number of peers.
 double Slope(const std::vector<PeerCost>& costs, double PeerCost::*value) {
   double mean_x = 0;
   double mean_y = 0;
@@ -354,7 +354,7 @@
   return covariance / variance;
 }
 
-/// TCP and IP headers of a heartbeat sent alone, and of its acknowledgement.
+/// TCP and IP headers of a heartbeat in its own segment and of its ACK.
 constexpr double kHeaderBytes = 104;
 
 void MeasurePeerCosts(const std::vector<int>& counts, bool idle,
@@ -399,7 +399,7 @@
   getrlimit(RLIMIT_NOFILE, &files);
   files.rlim_cur = files.rlim_max;
   setrlimit(RLIMIT_NOFILE, &files);
-  // Peers first: their process is forked while this one has no threads.
+  // Measures peers first: it forks, which requires a process without threads.
   const std::vector<int> counts =
       quick ? std::vector<int>{5, 20, 100}
             : std::vector<int>{5, 10, 20, 40, 100, 200, 400, 1000};
--- a/bench/path_bench.cc
+++ b/bench/path_bench.cc
@@ -1,11 +1,12 @@
-// Measures what the path through an entry and a side adds to calling a target
-// directly: latency, requests and streamed tokens per second, CPU per thread,
-// and memory per open stream. Everything runs in this process on loopback; the
-// target does no work of its own.
+// Measures the overhead of the path through an entry and a side compared with
+// calling a target directly: latency, requests and streamed tokens per second,
+// CPU per thread, and memory per open stream. Everything runs in this process
+// on loopback; the target does no work of its own.
 //
 //   path_bench [latency|requests|tokens|memory]...
 //
-// With one side its target or side is the limit; with four the entry is.
+// With one side, the side or its target is the bottleneck; with four sides, the
+// entry is.
 
 #include <sys/resource.h>
 #include <sys/syscall.h>
@@ -62,7 +63,8 @@
   return ToJson(revision);
 }
 
-/// The path: one entry, and a target with its side as often as asked for.
+/// The path under test: one entry and a given number of sides, each with its
+/// target.
 class Path {
  public:
   explicit Path(std::size_t sides) {
@@ -137,7 +139,7 @@
       share * static_cast<double>(values.size() - 1))];
 }
 
-/// Waits until the path answers 200.
+/// Waits until a request over the path returns 200.
 void WaitReady(const Path& path) {
   for (int i = 0; i < 200; ++i) {
     BlockingCaller caller(path.entry_address());
@@ -146,7 +148,7 @@
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
   }
-  throw std::runtime_error("the path does not answer");
+  throw std::runtime_error("no request over the path returned 200");
 }
 
 void MeasureLatency(const Path& path) {
@@ -162,7 +164,7 @@
         std::chrono::duration<double, std::micro>(SteadyClock::now() - start)
             .count());
   };
-  // Turn about, so that whatever else the machine does touches both alike.
+  // Alternates the two, so that other load on the machine affects both equally.
   for (int i = 0; i < kCalls; ++i) {
     timed(direct, &direct_us);
     timed(through, &through_us);
@@ -177,7 +179,7 @@
   }
 }
 
-/// CPU seconds of each thread of this process, by name.
+/// Returns the CPU seconds of this process's threads, by thread name.
 std::map<std::string, double> ThreadTimes() {
   std::map<std::string, double> times;
   for (const auto& it :
--- a/bench/routing_bench.cc
+++ b/bench/routing_bench.cc
@@ -1,5 +1,5 @@
-// Times one routing decision against the number of targets, and prints the
-// slope between fleet sizes. Usage: routing_bench
+// Measures the time of one routing decision by number of targets, and prints
+// the slope between fleet sizes. Usage: routing_bench
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -44,7 +44,7 @@
 std::vector<PrefixBlocks> Prompts() {
   std::vector<PrefixBlocks> prompts;
   for (std::size_t it = 0; it < 64; ++it) {
-    // Half of each prompt is shared by all.
+    // All prompts share their first half.
     std::string text(16384, 'x');
     text += std::string(16384, static_cast<char>(' ' + it));
     prompts.emplace_back(text, 1024, 1);
@@ -52,8 +52,8 @@
   return prompts;
 }
 
-/// Returns the nanoseconds of one decision and send, best of the rounds: the
-/// machine is shared, and disturbance only ever adds.
+/// Returns the time of one decision and send in nanoseconds, the minimum over
+/// all rounds: other load on the shared machine only ever adds time.
 double NanosecondsPerDecision(std::uint32_t n) {
   const std::vector<PrefixBlocks> prompts = Prompts();
   double best = 1e18;
--- a/bench/side_bench.cc
+++ b/bench/side_bench.cc
@@ -1,6 +1,6 @@
-// Measures what a side costs: requests and streamed tokens for each second of
-// processor time that its threads use. Entry and engine run in this process
-// too; their threads are not counted.
+// Measures the CPU cost of a side: requests and streamed tokens per CPU second
+// of its threads. The entry and the engine run in the same process; their
+// threads are not counted.
 #include <dirent.h>
 
 #include <boost/asio/io_context.hpp>
@@ -37,7 +37,7 @@
   return ids;
 }
 
-/// Returns the processor time that the threads used so far, in seconds.
+/// Returns the total CPU time of the threads, in seconds.
 double CpuSeconds(const std::set<std::string>& threads) {
   double seconds = 0;
   for (const auto& it : threads) {
@@ -49,7 +49,7 @@
   return seconds;
 }
 
-/// Plays an entry that keeps `kInFlight` attempts running.
+/// Simulates an entry that keeps `kInFlight` attempts in flight.
 class BenchEntry {
  public:
   BenchEntry() {
@@ -83,12 +83,12 @@
       io_.restart();
       io_.run_for(std::chrono::milliseconds(5));
     }
-    // One attempt shows that the engine is up, and opens a connection.
+    // The first attempt confirms that the engine is up and opens a connection.
     Run("{\"model\":\"tarifa-llm\",\"prompt\":\"x\",\"max_tokens\":1}", 1,
         std::chrono::milliseconds(200));
   }
 
-  /// Runs attempts with `body` for `time`; returns how many ended whole.
+  /// Runs attempts with `body` for `time`. Returns the number that completed.
   std::uint64_t Run(const std::string& body, std::uint32_t in_flight,
                     std::chrono::milliseconds time) {
     body_ = body;
--- a/standins/engine_model.cc
+++ b/standins/engine_model.cc
@@ -25,8 +25,8 @@
   return prompt;
 }
 
-/// Returns the names of the whole blocks of `prompt`, each seeded with the one
-/// before it and the first with the model's name.
+/// Returns the names of the full blocks of `prompt`. Each hash is seeded with
+/// the preceding block's name, the first with the hash of the model name.
 std::vector<std::string> BlockNames(const std::string& model,
                                     const std::string& prompt) {
   std::vector<std::string> names;
@@ -154,8 +154,8 @@
     last_use_[name] = ++uses_;
     order_.emplace_back(uses_, name);
   }
-  // The order holds one entry a use; an entry that is not a block's last use
-  // is skipped.
+  // `order_` has one entry per use. Entries superseded by a later use of the
+  // same block are skipped.
   while (!order_.empty() &&
          (last_use_.size() > max_blocks_ || order_.size() > 4 * max_blocks_)) {
     const auto [use, name] = order_.front();
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -10,24 +10,24 @@
 
 namespace indigolead::standins {
 
-/// Completion request, as far as the engine stand-in reads it.
+/// Fields of a completion request that the engine stand-in reads.
 struct CompletionRequest {
   bool chat = false;
   bool stream = false;
   std::string model;
-  std::string prompt;  ///< Contents of all messages of a chat, by lines.
+  std::string prompt;  ///< For a chat, all message contents, one per line.
   std::uint32_t max_tokens = 16;
 };
 
-/// Returns the request written as `body`, or nothing if it is not one.
+/// Parses `body`. Returns `std::nullopt` if it is not a completion request.
 std::optional<CompletionRequest> ParseCompletion(bool chat,
                                                  const std::string& body);
 
-/// Returns the number of tokens of `prompt`: its words.
+/// Returns the number of tokens in `prompt`; each word counts as one token.
 std::uint32_t CountTokens(const std::string& prompt);
 
-/// Makes the answer to one request: a function of its prompt alone, so that an
-/// answer given to the wrong caller shows.
+/// Generates the response to one request. The text depends on the prompt alone,
+/// so a test can detect a response delivered to the wrong caller.
 class Answer {
  public:
   Answer(const CompletionRequest& request, std::string id,
@@ -36,13 +36,13 @@
   /// Returns token `index`: "w<index>-<8 hex digits of the prompt's hash>".
   std::string Token(std::uint32_t index) const;
 
-  /// Returns the JSON of the event that carries token `index`.
+  /// Returns the JSON of the stream event for token `index`.
   std::string TokenEvent(std::uint32_t index) const;
 
-  /// Returns the JSON of the event after the last token, with the usage.
+  /// Returns the JSON of the final stream event, which carries the usage.
   std::string FinalEvent() const;
 
-  /// Returns the JSON of the whole answer.
+  /// Returns the JSON of the complete, non-streamed response.
   std::string Whole() const;
 
   std::uint32_t prompt_tokens() const { return prompt_tokens_; }
@@ -58,29 +58,29 @@
   std::uint32_t cached_tokens_ = 0;
 };
 
-/// Change of the prompt cache.
+/// Blocks added to and evicted from the prefix cache by one prompt.
 struct CacheEvent {
   std::uint64_t sequence = 0;
   std::vector<std::string> added;
   std::vector<std::string> removed;
 };
 
-/// Blocks of prompt prefixes kept in limited memory, oldest use out first.
+/// Prefix cache of fixed-size prompt blocks with LRU eviction.
 ///
-/// A block is named by its XXH64, seeded with the name of the block before it
-/// and, for the first, with the XXH64 of the model's name. So two prompts share
-/// the blocks of their common prefix and no others.
+/// A block's name is its XXH64, seeded with the name of the preceding block;
+/// the first block is seeded with the XXH64 of the model name. Two prompts
+/// therefore share exactly the blocks of their common prefix.
 class PrefixCache {
  public:
   static constexpr std::size_t kBlockBytes = 256;
 
   explicit PrefixCache(std::size_t max_blocks) : max_blocks_(max_blocks) {}
 
-  /// Returns how many leading bytes of `prompt` are cached.
+  /// Returns the number of leading bytes of `prompt` that are cached.
   std::size_t CachedBytes(const std::string& model,
                           const std::string& prompt) const;
 
-  /// Keeps the blocks of `prompt`, and returns what changed.
+  /// Caches the blocks of `prompt` and returns the blocks added and evicted.
   CacheEvent Keep(const std::string& model, const std::string& prompt);
 
   std::size_t blocks() const { return last_use_.size(); }
--- a/standins/engine_run.cc
+++ b/standins/engine_run.cc
@@ -1,4 +1,4 @@
-// Runs, orders and reports of the engine stand-in.
+// Implements runs, orders and reports of the engine stand-in.
 #include "standins/engine_run.h"
 
 #include <algorithm>
@@ -181,8 +181,8 @@
   }
   orders_.push_back(order);
   if (order.status == 202) {
-    // The number is remembered from here on, not from the end of the change:
-    // an older order must not slip in while the change goes on.
+    // Stores the fencing number now rather than when the change completes, so
+    // that an older order is rejected while the change is in progress.
     state_.fencing_number = order.fencing_number;
     const State wanted{order.role,     order.model,          order.version,
                        order.adapters, order.fencing_number, order.generation};
@@ -193,8 +193,8 @@
           co_await CompleteChange(wanted, boot);
         },
         boost::asio::detached);
-    // The change has begun before the answer: `/state` read right after it
-    // must say so.
+    // Starts the change before responding: `/state` read right after the
+    // response must report it.
     const bool same =
         wanted.role == state_.role && wanted.model == state_.model &&
         wanted.version == state_.version && wanted.adapters == state_.adapters;
--- a/standins/engine_run.h
+++ b/standins/engine_run.h
@@ -9,7 +9,7 @@
 
 namespace indigolead::standins {
 
-/// One run, which goes on whether or not anyone reads its stream.
+/// Execution of one request. Continues whether or not a client reads it.
 struct EngineServer::Run {
   Run(boost::asio::io_context* io, const CompletionRequest& asked,
       const Answer& made)
@@ -17,15 +17,15 @@
 
   std::string id;
   std::size_t log_number = 0;
-  std::uint64_t boot = 0;  ///< Boot of the engine that it belongs to.
+  std::uint64_t boot = 0;  ///< Engine boot in which it started.
   int priority = 0;
   CompletionRequest request;
   Answer answer;
   std::uint32_t uncached_tokens = 0;
-  std::vector<std::string> events;  ///< JSON of each SSE event so far.
+  std::vector<std::string> events;  ///< JSON of the SSE events so far.
   bool holds_slot = false;
   bool ended = false;
-  bool cut = false;  ///< Ended without its whole answer.
+  bool cut = false;  ///< Ended before its response was complete.
   Notifier changed;
 };
 
--- a/standins/engine_server.h
+++ b/standins/engine_server.h
@@ -16,7 +16,7 @@
 
 namespace indigolead::standins {
 
-/// Behaviour of an engine stand-in.
+/// Configures the behaviour of an engine stand-in.
 struct EngineOptions {
   std::uint16_t port = 0;
   std::string model = "tarifa-llm";
@@ -24,25 +24,26 @@
   std::vector<std::string> adapters;
   std::string role = "mixed";
   double prefill_tokens_per_s = 100000;
-  double decode_tokens_per_s = 1000;  ///< Of each run; 0: all at once.
-  std::uint32_t slots = 64;           ///< Runs at once; more wait.
+  double decode_tokens_per_s = 1000;  ///< Per run; 0: no delay.
+  std::uint32_t slots = 64;           ///< Concurrent runs; others queue.
   std::uint64_t kv_capacity_bytes = 1ULL << 30;
   std::uint64_t kv_bytes_per_token = 1024;
   std::chrono::milliseconds load_lag{200};
-  std::chrono::milliseconds change_time{2000};  ///< Of a role or model change.
+  std::chrono::milliseconds change_time{2000};  ///< Per role or model change.
   bool check_fencing = true;
   std::size_t cache_blocks = 4096;
   std::chrono::milliseconds cache_event_lag{200};
-  std::uint32_t cache_event_gap_every = 0;  ///< Drops each N-th event; 0: none.
-  /// A request with this word kills the engine as it starts to run.
+  std::uint32_t cache_event_gap_every =
+      0;  ///< Drops every N-th event; 0: none.
+  /// A request containing this word crashes the engine when its run starts.
   std::string poison = "crash-engine";
-  /// Called for such a request; by default the engine crashes as `Crash` does.
+  /// Called for such a request. By default the engine crashes as in `Crash`.
   std::function<void()> on_poison;
-  /// The engine dies in the middle of the next change.
+  /// Crashes the engine halfway through the next role or model change.
   bool crash_in_change = false;
 };
 
-/// Order received by an engine, and what became of it.
+/// Order received by an engine, with the HTTP status returned for it.
 struct OrderRecord {
   std::uint64_t fencing_number = 0;
   std::uint64_t generation = 0;
@@ -50,15 +51,16 @@
   std::string model;
   std::string version;
   std::vector<std::string> adapters;
-  int status = 0;  ///< Status answered: 202, 409 or 423.
+  int status = 0;  ///< HTTP status returned: 202, 409 or 423.
 
   friend bool operator==(const OrderRecord&, const OrderRecord&) = default;
 };
 
-/// Stand-in for a model engine: batching, prefix cache, resumable streams,
-/// lagging reports and orders, with answers that depend on the prompt alone.
+/// Simulates a model engine: concurrent runs, a prefix cache, resumable
+/// streams, delayed load reports, and orders. Responses depend on the prompt
+/// alone.
 ///
-/// Public methods are safe from any thread but its own.
+/// Public methods may be called from any thread except the server's own.
 class EngineServer {
  public:
   EngineServer() : EngineServer(EngineOptions{}) {}
@@ -67,26 +69,28 @@
   std::uint16_t port() const { return server_->port(); }
   std::string address() const { return server_->address(); }
 
-  /// Refuses connections and cuts the open ones, or serves again. Runs go on.
+  /// Refuses new connections and resets open ones while `down` is set. Runs
+  /// continue.
   void SetDown(bool down) { server_->SetDown(down); }
 
-  /// Loses all runs, streams, cache and orders, and goes down.
+  /// Discards all runs, streams, cached blocks and applied orders, and stops
+  /// serving.
   void Crash();
 
-  /// Serves again after a crash, with a fresh boot id.
+  /// Resumes service after a crash, with a new boot id.
   void Restart();
 
   std::vector<RunRecord> runs();
   std::vector<OrderRecord> orders();
 
-  /// Changes options while running; port and hooks stay.
+  /// Changes options at run time. The port and the callbacks must stay as set.
   void Change(const std::function<void(EngineOptions*)>& change);
 
  private:
   struct Run;
   using RunPtr = std::shared_ptr<Run>;
 
-  /// What the engine is now, or will be at the end of a change.
+  /// Engine state: the current one, or the target of a pending change.
   struct State {
     std::string role;
     std::string model;
@@ -141,7 +145,8 @@
   std::uint64_t next_id_ = 0;
   RunLog log_;
   std::unique_ptr<Notifier> slots_changed_;
-  /// Last, so that its thread is gone before what its handlers use.
+  /// Declared last, so that its thread stops before the members its handlers
+  /// use are destroyed.
   std::unique_ptr<HttpServer> server_;
 };
 
--- a/standins/http_server.cc
+++ b/standins/http_server.cc
@@ -32,8 +32,8 @@
   return out;
 }
 
-/// One connection. Kept alive by its coroutine; the server holds weak
-/// references, to cut it.
+/// One connection. Its coroutine keeps it alive; the server holds a weak
+/// reference in order to reset it.
 class Connection : public HttpExchange {
  public:
   explicit Connection(tcp::socket socket) : stream_(std::move(socket)) {}
@@ -125,7 +125,7 @@
 
   void Abort() override {
     open_ = false;
-    // Lingering for no time sends a reset, as a killed process does.
+    // A zero linger time makes close send a reset, as for a killed process.
     beast::error_code ec;
     stream_.socket().set_option(asio::socket_base::linger(true, 0), ec);
     stream_.socket().close(ec);
@@ -209,8 +209,8 @@
  public:
   Impl(std::uint16_t port, Handler handler)
       : handler_(std::move(handler)), port_holder_(io_), acceptor_(io_) {
-    // The holder keeps the port ours while the server is down: a socket that
-    // is bound but does not listen refuses connections.
+    // This socket reserves the port while the server is down: a socket that is
+    // bound but not listening refuses connections.
     port_holder_.open(tcp::v4());
     port_holder_.set_option(asio::socket_base::reuse_address(true));
     port_holder_.bind({asio::ip::address_v4::loopback(), port});
@@ -337,8 +337,8 @@
 
 namespace {
 
-/// Keeps a timer in a set for as long as its coroutine's frame lives: a frame
-/// that is destroyed while it waits must not leave its timer behind.
+/// Registers a timer in a set for the lifetime of the coroutine frame, so that
+/// a frame destroyed while waiting does not leave a dangling timer.
 class WaitingTimer {
  public:
   WaitingTimer(std::set<asio::steady_timer*>* waiting, asio::io_context* io,
--- a/standins/http_server.h
+++ b/standins/http_server.h
@@ -1,7 +1,7 @@
 #ifndef INDIGOLEAD_STANDINS_HTTP_SERVER_H_
 #define INDIGOLEAD_STANDINS_HTTP_SERVER_H_
 
-// The awaitable header of this Boost uses std::exchange without including it.
+// Boost's awaitable.hpp uses std::exchange without including <utility>.
 // clang-format off
 #include <utility>
 #include <boost/asio/awaitable.hpp>
@@ -17,13 +17,13 @@
 
 namespace indigolead::standins {
 
-/// Coroutine on the thread of an `HttpServer`.
+/// Coroutine that runs on the thread of an `HttpServer`.
 using Task = boost::asio::awaitable<void>;
 
-/// Names and values of HTTP headers, in the order received or to be sent.
+/// HTTP header names and values, in wire order.
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/// Whole request, as a handler sees it.
+/// Complete HTTP request passed to a handler.
 struct HttpRequest {
   std::string method;
   std::string path;   ///< Without query.
@@ -31,28 +31,31 @@
   HttpHeaders headers;
   std::string body;
 
-  /// Returns the value of header `name` in any case; empty if absent.
+  /// Returns the value of header `name`, or an empty string if absent. Names
+  /// are compared case-insensitively.
   std::string Header(const std::string& name) const;
 
-  /// Returns the decoded value of query parameter `name`; empty if absent.
+  /// Returns the decoded value of query parameter `name`, or an empty string if
+  /// absent.
   std::string Query(const std::string& name) const;
 
-  /// Returns query parameter `name` as a number, or `otherwise`.
+  /// Returns query parameter `name` as a number, or `otherwise` if absent.
   std::uint64_t QueryNumber(const std::string& name,
                             std::uint64_t otherwise) const;
 };
 
-/// One request and the way to answer it. Lives for the handler's call only.
+/// One request and its response. Valid only during the handler's call.
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
 
   virtual const HttpRequest& request() const = 0;
 
-  /// Sends a whole answer.
+  /// Sends a complete response.
   virtual Task Reply(int status, std::string body, HttpHeaders headers) = 0;
 
-  /// Sends the head of a chunked answer; chunks and `EndChunks` follow.
+  /// Sends the header of a chunked response. `WriteChunk` and `EndChunks`
+  /// follow.
   virtual Task StartChunks(int status, std::string content_type,
                            HttpHeaders headers) = 0;
   Task StartChunks(int status, std::string content_type) {
@@ -61,13 +64,13 @@
   virtual Task WriteChunk(std::string data) = 0;
   virtual Task EndChunks() = 0;
 
-  /// Sends bytes as they are, for answers that are none.
+  /// Sends `bytes` unmodified, for responses that are not valid HTTP.
   virtual Task WriteRaw(std::string bytes) = 0;
 
   /// Resets the connection.
   virtual void Abort() = 0;
 
-  /// Closes the connection in order: the caller gets all that was sent.
+  /// Closes the connection gracefully: the caller receives all data sent.
   virtual void Close() = 0;
 
   /// Returns false once the connection has failed or was aborted. Writes then
@@ -78,26 +81,26 @@
   virtual Task Sleep(std::chrono::milliseconds ms) = 0;
 };
 
-/// Small HTTP/1.1 server with a thread of its own, on which handlers run.
+/// Small HTTP/1.1 server that runs its handlers on its own thread.
 ///
 /// Shared by the stand-ins. It can be taken down and brought back on the same
-/// port, as a crashed and restarted process would be.
+/// port, like a process that crashes and restarts.
 class HttpServer {
  public:
   using Handler = std::function<Task(HttpExchange&)>;
 
-  /// Listens on 127.0.0.1 at `port`, or at a free one if it is 0, but serves
-  /// only once started. Throws if the port is taken.
+  /// Listens on 127.0.0.1 at `port`, or at a free port if it is 0. Serves
+  /// requests only after `Start`. Throws if the port is in use.
   HttpServer(std::uint16_t port, Handler handler);
 
-  /// Cuts every connection and joins the thread. Coroutines in flight are
-  /// destroyed, so what they use must outlive the server.
+  /// Closes all connections and joins the thread. Suspended coroutines are
+  /// destroyed, so the objects they use must outlive the server.
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Starts the thread. Separate, so that the owner can set up first what the
-  /// handler uses.
+  /// Starts the thread. Separate from the constructor, so that the owner can
+  /// first initialize the state that the handler uses.
   void Start();
 
   std::uint16_t port() const;
@@ -105,18 +108,19 @@
   /// Returns "127.0.0.1:PORT".
   std::string address() const;
 
-  /// Returns the context whose one thread runs the handlers.
+  /// Returns the single-threaded I/O context that runs the handlers.
   boost::asio::io_context& io();
 
-  /// Calls `function` on the server's thread and waits for it. Invalid from
-  /// that thread.
+  /// Calls `function` on the server's thread and waits for it to return. Must
+  /// not be called from that thread.
   void Invoke(const std::function<void()>& function);
 
-  /// Refuses connections and cuts the open ones, or listens again. Any thread.
+  /// Refuses new connections and resets open ones while `down` is set. Must
+  /// not be called from the server's thread.
   void SetDown(bool down);
 
-  /// As `SetDown`, for the server's own thread. Cuts connections at once, the
-  /// current handler's too.
+  /// Like `SetDown`, but must be called on the server's thread. Resets all
+  /// connections immediately, including the current handler's.
   void SetDownHere(bool down);
 
  private:
@@ -124,11 +128,11 @@
   std::unique_ptr<Impl> impl_;
 };
 
-/// Waiting place of coroutines on one server's thread.
+/// Condition variable for coroutines on one server's thread.
 ///
-/// Stands for a condition variable: `Wait` returns after `NotifyAll` or after
-/// the time given, whichever comes first. Used on that thread only, and
-/// destroyed there or after the server.
+/// `Wait` returns after `NotifyAll` or after the timeout, whichever comes
+/// first. Must be used only on that thread, and destroyed there or after the
+/// server.
 class Notifier {
  public:
   explicit Notifier(boost::asio::io_context* io);
--- a/standins/instance_table.h
+++ b/standins/instance_table.h
@@ -10,18 +10,18 @@
 
 namespace indigolead::standins {
 
-/// Instance list that shows each change only after a lag.
+/// Instance list in which each change becomes visible after a delay.
 class InstanceTable {
  public:
   using SteadyTime = std::chrono::steady_clock::time_point;
 
-  /// Adds or replaces the record of `record.name`, shown from `shown_at` on.
+  /// Adds or replaces the record of `record.name`, visible from `shown_at` on.
   void Put(InstanceRecord record, SteadyTime shown_at);
 
-  /// Removes the record of `name` from `shown_at` on.
+  /// Removes the record of `name`; it is visible until `shown_at`.
   void Remove(const std::string& name, SteadyTime shown_at);
 
-  /// Returns the list as shown at `now`.
+  /// Returns the list visible at `now`.
   InstanceList Shown(SteadyTime now);
 
  private:
--- a/standins/main.cc
+++ b/standins/main.cc
@@ -15,34 +15,35 @@
 #include "standins/standin_version.h"
 
 DEFINE_int32(port, 0, "Port on 127.0.0.1; 0 picks a free one");
-DEFINE_int32(instance_lag_ms, 0, "platform: lag of the instance list");
+DEFINE_int32(instance_lag_ms, 0, "platform: delay of the instance list");
 DEFINE_string(model, "tarifa-llm", "engine: model loaded at the start");
 DEFINE_string(model_version, "1", "engine: version loaded at the start");
-DEFINE_string(adapters, "", "engine: adapters loaded, with commas between");
+DEFINE_string(adapters, "", "engine: comma-separated adapters loaded");
 DEFINE_string(role, "mixed", "engine: role at the start");
-DEFINE_double(prefill_tokens_per_s, 100000, "engine: prefill rate; 0: no wait");
+DEFINE_double(prefill_tokens_per_s, 100000,
+              "engine: prefill rate; 0: no delay");
 DEFINE_double(decode_tokens_per_s, 1000,
-              "engine: decode rate of each run; 0: no wait");
-DEFINE_uint32(slots, 64, "engine: runs at once");
+              "engine: decode rate per run; 0: no delay");
+DEFINE_uint32(slots, 64, "engine: maximum number of concurrent runs");
 DEFINE_uint64(kv_capacity_bytes, 1ULL << 30, "engine: memory for KV cache");
-DEFINE_uint32(load_lag_ms, 200, "engine: lag of the load report");
-DEFINE_double(change_seconds, 2, "engine: time of a role or model change");
+DEFINE_uint32(load_lag_ms, 200, "engine: delay of the load report");
+DEFINE_double(change_seconds, 2, "engine: duration of a role or model change");
 DEFINE_bool(check_fencing, true, "engine: refuses old fencing numbers");
-DEFINE_bool(crash_in_change, false, "engine: dies in its first change");
-DEFINE_uint32(cache_event_lag_ms, 200, "engine: lag of the cache events");
-DEFINE_uint32(cache_event_gap_every, 0, "engine: drops each N-th cache event");
-DEFINE_string(poison, "", "Word that kills the target; empty: the default");
-DEFINE_uint32(delay_ms, 0, "service, relay: holds each answer or piece back");
-DEFINE_string(to, "", "relay: IP:port to which connections are passed on");
+DEFINE_bool(crash_in_change, false, "engine: crashes during its first change");
+DEFINE_uint32(cache_event_lag_ms, 200, "engine: delay of the cache events");
+DEFINE_uint32(cache_event_gap_every, 0, "engine: drops every N-th cache event");
+DEFINE_string(poison, "", "Word that crashes the target; empty: the default");
+DEFINE_uint32(delay_ms, 0, "service, relay: delay of each response or block");
+DEFINE_string(to, "", "relay: IP:port to forward connections to");
 
 namespace indigolead::standins {
 namespace {
 
 constexpr int kUsageExit = 2;
-/// Exit code of a target that a poisoned request killed.
+/// Exit code of a target crashed by a request with the poison word.
 constexpr int kPoisonExit = 3;
 
-/// Returns the signals that stop a stand-in or steer the relay.
+/// Returns the signals that stop a stand-in or control the relay.
 sigset_t WaitedSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -52,13 +53,13 @@
   return signals;
 }
 
-/// Prints `line` at once, for the process that reads it through a pipe.
+/// Prints `line` and flushes it, for a process that reads it from a pipe.
 void PrintLine(const std::string& line) {
   std::puts(line.c_str());
   std::fflush(stdout);
 }
 
-/// Prints where the stand-in listens, then waits for SIGTERM or SIGINT.
+/// Prints the listening address, then waits for SIGTERM or SIGINT.
 int ServeUntilSignal(const std::string& address) {
   PrintLine("listening " + address);
   const sigset_t signals = WaitedSignals();
@@ -122,7 +123,8 @@
   return ServeUntilSignal(server.address());
 }
 
-/// Lets a script that has only the process steer the relay.
+/// Runs the relay until SIGTERM or SIGINT. SIGUSR1 silences and SIGUSR2 resets
+/// the open connections, so that a script can control it by process id.
 int ServeRelay(RelayServer* relay) {
   PrintLine("listening " + relay->address());
   const sigset_t signals = WaitedSignals();
@@ -150,8 +152,8 @@
   return ServeRelay(&relay);
 }
 
-/// Blocks the signals waited for in every thread, so that only `sigwait` takes
-/// them. Must be called before the first thread starts.
+/// Blocks the awaited signals in all threads, so that only `sigwait` receives
+/// them. Must be called before any thread starts.
 void BlockWaitedSignals() {
   const sigset_t signals = WaitedSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
--- a/standins/object_table.h
+++ b/standins/object_table.h
@@ -12,20 +12,20 @@
 
 namespace indigolead::standins {
 
-/// Objects with versions, conditional updates and a bounded log of changes.
+/// Versioned objects with conditional writes and a bounded change log.
 ///
-/// The rules of the object API without its transport, so that the server and
-/// the in-memory fake cannot drift apart.
+/// Implements the object API without a transport. The server and the in-memory
+/// fake share it, so that their behaviour cannot diverge.
 class ObjectTable {
  public:
-  /// Outcome of a conditional write: done with its new version, or refused
-  /// with the version found.
+  /// Outcome of a conditional write: applied, with the new version, or refused,
+  /// with the current version.
   struct WriteOutcome {
     bool done = false;
     std::uint64_t version = 0;
   };
 
-  /// Keeps the last `max_events` changes for watches.
+  /// Keeps the most recent `max_events` changes for watches.
   explicit ObjectTable(std::size_t max_events = 10000);
 
   std::optional<StoredObject> Get(const std::string& key) const;
@@ -34,13 +34,14 @@
                    ExpectedVersion expected);
   WriteOutcome Delete(const std::string& key, ExpectedVersion expected);
 
-  /// Returns the version of the last change; 0 before the first.
+  /// Returns the version of the last change, or 0 if there was none.
   std::uint64_t version() const { return version_; }
 
   /// Returns true if every change after `version` is still in the log.
   bool Holds(std::uint64_t version) const;
 
-  /// Returns the changes after `version` below `prefix`, oldest first.
+  /// Returns the changes after `version` to keys that start with `prefix`,
+  /// oldest first.
   std::vector<WatchEvent> EventsAfter(std::uint64_t version,
                                       const std::string& prefix) const;
 
@@ -55,7 +56,7 @@
   std::deque<WatchEvent> events_;
 };
 
-/// Returns true if `key` is not empty and made of the letters allowed.
+/// Returns true if `key` is non-empty and has only allowed characters.
 bool IsValidKey(const std::string& key);
 
 }  // namespace indigolead::standins
--- a/standins/platform_json.h
+++ b/standins/platform_json.h
@@ -13,19 +13,19 @@
 /// Returns `listing` as the body of `GET /v1/objects?prefix=P`.
 std::string ListingToJson(const ObjectStore::Listing& listing);
 
-/// Returns `events` as lines of `GET /v1/watch`.
+/// Returns `events` as JSON lines of the response to `GET /v1/watch`.
 std::string EventsToJsonLines(const std::vector<WatchEvent>& events);
 
 /// Returns `list` as the body of `GET /v1/instances`.
 std::string InstanceListToJson(const InstanceList& list);
 
-/// Returns the record written as `text`, or nothing if it is not one.
+/// Parses `text`. Returns `std::nullopt` if it is not an instance record.
 std::optional<InstanceRecord> InstanceFromJson(const std::string& text);
 
 /// Returns `faults` as JSON.
 std::string FaultsToJson(const PlatformFaults& faults);
 
-/// Returns `before` with the members that the JSON object `text` names.
+/// Returns `before`, updated with the members of the JSON object `text`.
 PlatformFaults FaultsFromJson(const std::string& text,
                               const PlatformFaults& before);
 
--- a/standins/platform_server.cc
+++ b/standins/platform_server.cc
@@ -21,7 +21,7 @@
 constexpr milliseconds kIdleInterval{1000};
 constexpr milliseconds kStallStep{100};
 
-/// Counts a watch for as long as its coroutine lives.
+/// Counts a watch as open for the lifetime of its coroutine.
 class WatchCount {
  public:
   explicit WatchCount(int* count) : count_(count) { ++*count_; }
@@ -137,8 +137,8 @@
 }
 
 Task PlatformServer::Stall(HttpExchange& exchange) {
-  // The caller gives up and closes; a handler that waits would not notice, so
-  // it waits until the fault is switched off and then cuts the connection.
+  // A suspended handler does not notice that the caller has closed the
+  // connection, so it waits until the fault is disabled and then resets it.
   while (exchange.open() && (faults_.stall || faults_.lose_by_silence)) {
     co_await exchange.Sleep(kStallStep);
   }
@@ -261,7 +261,7 @@
     if (!lines.empty()) {
       last_write = now;
       co_await exchange.WriteChunk(lines);
-      continue;  // Changes made during the write have notified no one.
+      continue;  // Notifications during the write were missed.
     }
     co_await changed_->Wait(kStallStep);
   }
@@ -336,7 +336,7 @@
 }
 
 void PlatformServer::TakeDownFor(milliseconds ms) {
-  // The answer to the caller goes out first; then the stretch begins.
+  // The delay lets the response reach the caller before the outage starts.
   constexpr milliseconds kGrace{50};
   boost::asio::co_spawn(
       server_->io(),
--- a/standins/platform_server.h
+++ b/standins/platform_server.h
@@ -14,33 +14,33 @@
 
 namespace indigolead::standins {
 
-/// Ways in which the platform stand-in misbehaves. All off by default.
+/// Faults injected by the platform stand-in. All are off by default.
 struct PlatformFaults {
-  std::uint32_t slow_ms = 0;  ///< Each answer is held back that long.
-  bool refuse = false;        ///< 503, without effect.
-  bool stall = false;         ///< No effect and no answer, for good.
-  bool reset = false;         ///< No effect; the connection is cut.
-  bool garble = false;        ///< No effect; 200 with bytes that are no JSON.
-  /// Number of writes that take effect and whose answer is then lost.
+  std::uint32_t slow_ms = 0;  ///< Delay before each response.
+  bool refuse = false;        ///< Returns 503; the call has no effect.
+  bool stall = false;         ///< No effect and no response.
+  bool reset = false;         ///< No effect; resets the connection.
+  bool garble = false;        ///< No effect; returns 200 with invalid JSON.
+  /// Number of writes that are applied but whose response is lost.
   std::uint32_t lose_answers = 0;
-  /// Lost answers leave the connection open and silent instead of cutting it.
+  /// A lost response leaves the connection open instead of resetting it.
   bool lose_by_silence = false;
-  /// Reads show the objects as they were when this was switched on.
+  /// Reads return the objects as of the time this fault was enabled.
   bool stale_reads = false;
-  /// Watches stay open and send nothing, idle lines included.
+  /// Watches stay open but send nothing, not even idle lines.
   bool silence_watches = false;
-  /// Restricts the faults above to keys and prefixes that start with this.
+  /// Limits the faults above to keys and prefixes that start with this string.
   std::string only_prefix;
 
   friend bool operator==(const PlatformFaults&,
                          const PlatformFaults&) = default;
 };
 
-/// Stand-in for the platform: object API and lagging instance list.
+/// Simulates the platform: the object API and a delayed instance list.
 ///
-/// Speaks docs/INTERFACES.md over HTTP on loopback, and can be told to fail in
-/// each of the ways in which the real one may. Public methods are safe from
-/// any thread but its own.
+/// Implements docs/INTERFACES.md over HTTP on loopback and injects the faults
+/// that the real platform may have. Public methods may be called from any
+/// thread except the server's own.
 class PlatformServer {
  public:
   struct Options {
@@ -58,29 +58,30 @@
   PlatformFaults faults();
   void SetFaults(const PlatformFaults& faults);
 
-  /// Refuses connections and cuts the open ones, or serves again. The objects
+  /// Refuses new connections and resets open ones while `down` is set. Objects
   /// are kept.
   void SetDown(bool down) { server_->SetDown(down); }
 
-  /// Cuts every waiting watch once.
+  /// Resets all open watches once.
   void DropWatches();
 
-  /// Adds or replaces a record of the instance list.
+  /// Adds or replaces a record in the instance list.
   void PutInstance(const InstanceRecord& record);
   void RemoveInstance(const std::string& name);
 
-  /// Returns the object as it truly is, whatever the faults.
+  /// Returns the current object, bypassing all faults.
   std::optional<StoredObject> Peek(const std::string& key);
 
-  /// Writes an object past all faults. Returns its version, 0 on a conflict.
+  /// Writes an object, bypassing all faults. Returns its new version, or 0 on a
+  /// version conflict.
   std::uint64_t Poke(const std::string& key, const std::string& value,
                      ExpectedVersion expected);
 
-  /// Returns the calls received so far by kind: "get", "list", "put",
+  /// Returns the number of calls received, by kind: "get", "list", "put",
   /// "delete", "watch" and "instances".
   std::map<std::string, std::uint64_t> calls();
 
-  /// Returns the number of watches that wait now.
+  /// Returns the number of open watches.
   int waiting_watches();
 
  private:
@@ -94,7 +95,8 @@
   Task HandleStandinFaults(HttpExchange& exchange);
   Task Write(HttpExchange& exchange, std::string key);
   Task Stall(HttpExchange& exchange);
-  /// Applies slow, refuse and stall; sets `*served` to false if it answered.
+  /// Applies the faults that precede a call's effect. Sets `*served` to false
+  /// if the exchange is already over.
   Task Misbehave(HttpExchange& exchange, std::string key, bool* served);
 
   bool Affects(const std::string& key) const;
@@ -112,7 +114,8 @@
   int waiting_watches_ = 0;
   std::uint64_t watch_epoch_ = 0;
   std::unique_ptr<Notifier> changed_;
-  /// Last, so that its thread is gone before what its handlers use.
+  /// Declared last, so that its thread stops before the members its handlers
+  /// use are destroyed.
   std::unique_ptr<HttpServer> server_;
 };
 
--- a/standins/relay_server.cc
+++ b/standins/relay_server.cc
@@ -26,7 +26,7 @@
 tcp::endpoint ParseEndpoint(const std::string& address) {
   const auto colon = address.rfind(':');
   if (colon == std::string::npos) {
-    throw std::invalid_argument("expected IP:port, seen " + address);
+    throw std::invalid_argument("expected IP:port, got " + address);
   }
   return {asio::ip::make_address(address.substr(0, colon)),
           static_cast<std::uint16_t>(std::stoi(address.substr(colon + 1)))};
@@ -86,7 +86,7 @@
   std::size_t open() const { return connections_.size(); }
 
  private:
-  /// Two sockets with data going each way between them.
+  /// Pair of sockets with data forwarded in both directions.
   struct Connection {
     explicit Connection(tcp::socket accepted, asio::io_context* io)
         : near(std::move(accepted)), far(*io) {}
@@ -94,7 +94,7 @@
     tcp::socket near;
     tcp::socket far;
     bool silent = false;
-    int ended = 0;  ///< Directions that have ended.
+    int ended = 0;  ///< Number of directions at end of stream.
   };
   using ConnectionPtr = std::shared_ptr<Connection>;
 
@@ -146,8 +146,8 @@
     pipe->from->async_read_some(asio::buffer(pipe->buf),
                                 [this, pipe](error_code ec, std::size_t n) {
                                   if (pipe->connection->silent) {
-                                    // Swallowed, ends included: the other side
-                                    // must not learn of it.
+                                    // Discards data and end of stream: the
+                                    // other side must not see either.
                                     if (!ec) {
                                       Read(pipe);
                                     }
@@ -190,7 +190,7 @@
       Close(pipe->connection, true);
       return;
     }
-    // Passed on as a half-close; the connection goes with its second half.
+    // Forwards the half-close. The connection closes when both halves have.
     pipe->to->shutdown(tcp::socket::shutdown_send, ec);
     if (++pipe->connection->ended == 2) {
       Close(pipe->connection, false);
--- a/standins/relay_server.h
+++ b/standins/relay_server.h
@@ -8,15 +8,15 @@
 
 namespace indigolead::standins {
 
-/// Passes TCP connections on to another address, and can lose track of them.
+/// Forwards TCP connections to another address and injects network faults.
 ///
-/// Stands for what lies between two processes: a path that goes silent on its
-/// open connections while new ones work, delays, cuts, or is partitioned. Has
-/// a thread of its own; public methods are safe from any other thread.
+/// Simulates the network between two processes: dropped connection state (open
+/// connections go silent while new ones work), delays, resets and partitions.
+/// Has its own thread; public methods may be called from any other thread.
 class RelayServer {
  public:
-  /// Listens on 127.0.0.1 at `port` (0: a free one) and passes connections on
-  /// to `to`, "IP:port". Throws if the port is taken or `to` is not valid.
+  /// Listens on 127.0.0.1 at `port` (0: a free port) and forwards connections
+  /// to `to`, "IP:port". Throws if the port is in use or `to` is invalid.
   RelayServer(std::uint16_t port, const std::string& to);
   ~RelayServer();
   RelayServer(const RelayServer&) = delete;
@@ -27,24 +27,25 @@
   /// Returns "127.0.0.1:PORT".
   std::string address() const;
 
-  /// Loses track of every open connection for good: both ends keep it open,
-  /// what they send is swallowed, and nothing arrives. New ones work.
+  /// Silences all open connections permanently: they stay open, but data from
+  /// either end is discarded. New connections work.
   void SilenceOpenConnections();
 
-  /// While set, every connection is silent, new ones too: a partition. Those
-  /// opened meanwhile stay silent for good, as do the ones open at the start.
+  /// Simulates a network partition: while set, all connections are silent,
+  /// including new ones. Connections open at the start or opened during the
+  /// partition stay silent after it ends.
   void SetPartitioned(bool partitioned);
 
-  /// Passes each piece of data on after `delay`, from now on.
+  /// Forwards each block of data after `delay` from now on.
   void SetDelay(std::chrono::milliseconds delay);
 
-  /// Cuts every open connection with a reset. New ones work.
+  /// Resets all open connections. New connections work.
   void CutOpenConnections();
 
-  /// Returns the number of connections accepted so far.
+  /// Returns the total number of connections accepted.
   std::uint64_t accepted();
 
-  /// Returns the number of connections open now, silent ones included.
+  /// Returns the number of open connections, including silent ones.
   std::size_t open_connections();
 
  private:
--- a/standins/run_log.h
+++ b/standins/run_log.h
@@ -10,24 +10,24 @@
 
 namespace indigolead::standins {
 
-/// One run of a request, as a target saw it.
+/// One execution of a request, as recorded by a target.
 struct RunRecord {
   std::string request_id;       ///< `X-Request-Id`, or empty.
   std::string idempotency_key;  ///< `Idempotency-Key`, or empty.
   std::string method;
   std::string path;
   std::string body_hash;  ///< 16 hex digits.
-  bool finished = false;  ///< The whole answer was made.
+  bool finished = false;  ///< The response was completed.
   bool cut = false;       ///< Ended by an order, a cancel or a crash.
 
   friend bool operator==(const RunRecord&, const RunRecord&) = default;
 };
 
-/// Remembers what a stand-in target ran, to be compared with what callers
-/// received.
+/// Records the requests that a stand-in target ran, so that a test can compare
+/// them with the responses that callers received.
 class RunLog {
  public:
-  /// Adds a run and returns its number.
+  /// Adds a run and returns its index.
   std::size_t Start(const HttpRequest& request);
   void Finish(std::size_t run);
   void Cut(std::size_t run);
--- a/standins/service_server.h
+++ b/standins/service_server.h
@@ -11,20 +11,20 @@
 
 namespace indigolead::standins {
 
-/// Stand-in for a plain service: answers with what it was asked.
+/// Simulates a plain service: an echo server.
 ///
-/// The answer is a function of the request alone, so an answer that reached
-/// the wrong caller shows. Public methods are safe from any thread but its
-/// own.
+/// The response depends on the request alone, so a test can detect a response
+/// delivered to the wrong caller. Public methods may be called from any thread
+/// except the server's own.
 class ServiceServer {
  public:
   struct Options {
     std::uint16_t port = 0;
-    /// A request whose body or path contains this word kills the service.
+    /// A request whose body or path contains this word crashes the service.
     std::string poison = "crash-service";
-    /// Called for such a request; by default the service goes down.
+    /// Called for such a request. By default the service stops serving.
     std::function<void()> on_poison;
-    /// Each answer is held back that long.
+    /// Delay before each response.
     std::uint32_t delay_ms = 0;
   };
 
@@ -37,7 +37,7 @@
   void SetDown(bool down) { server_->SetDown(down); }
   void SetDelay(std::uint32_t delay_ms);
 
-  /// While set, requests run but their answers are held back.
+  /// While set, requests run but their responses are withheld.
   void SetHold(bool hold);
 
   std::vector<RunRecord> runs();
--- a/tests/shell/reserved_address_test.cc
+++ b/tests/shell/reserved_address_test.cc
@@ -14,9 +14,9 @@
 
 using boost::asio::ip::tcp;
 
-/// Guards against a process of a test that finds its address taken by another
-/// socket of the same test.
-TEST_CASE("A reserved address is nobody else's") {
+/// Guards against a test process that cannot bind its reserved address because
+/// another socket of the same test has been given that port.
+TEST_CASE("A reserved address is not assigned to another socket") {
   constexpr int kAddresses = 300;
   constexpr int kOthers = 3000;
   std::set<std::string> reserved;
@@ -32,7 +32,7 @@
     CHECK(reserved.count(ToText(others.back().local_endpoint())) == 0);
   }
   for (const std::string& it : reserved) {
-    // Listens, or throws.
+    // Throws if the address is in use.
     const tcp::acceptor owner(io, ValueOf(ParseEndpoint(it)));
     CHECK(ToText(owner.local_endpoint()) == it);
   }
--- a/tests/shell/retry_fleet_test.cc
+++ b/tests/shell/retry_fleet_test.cc
@@ -1,6 +1,7 @@
-// The operator's bound on repeats over fleets that change, whatever the entries
-// know of each other. More worlds by hand: INDIGOLEAD_FIRST_WORLD and
-// INDIGOLEAD_WORLDS.
+// Tests that a fleet stays within the operator's retry limit while entries
+// restart, join or lose contact, however outdated their view of each other is.
+// INDIGOLEAD_FIRST_WORLD and INDIGOLEAD_WORLDS set the first seed and the
+// number of random scenarios.
 
 #include "tests/support/retry_fleet.h"
 
@@ -22,8 +23,8 @@
   CHECK(worst.further <= worst.allowed);
 }
 
-/// Guards against a process that is allowed repeats for having started.
-TEST_CASE("A fleet that is killed again and again keeps the bound on repeats") {
+/// Guards against entries that gain extra retry allowance by restarting.
+TEST_CASE("A fleet that is killed repeatedly stays within the retry limit") {
   RetryFleet::Options options;
   options.entries = GENERATE(1, 4, 5, 30);
   RetryFleet fleet(options);
@@ -39,8 +40,10 @@
   CHECK(fleet.granted() > 0);
 }
 
-/// Guards against parts of the allowance by a list which lacks entries.
-TEST_CASE("A fleet that starts together on an old list keeps the bound") {
+/// Guards against entries that compute their share of the retry allowance from
+/// a list that lacks other entries, and so take too much.
+TEST_CASE(
+    "A fleet that starts with a stale list stays within the retry limit") {
   RetryFleet::Options options;
   options.entries = GENERATE(4, 5, 30, 100);
   RetryFleet fleet(options);
@@ -50,7 +53,7 @@
     fleet.Stop(n);
   }
   fleet.Run(seconds(3));
-  // Lists are of the moment in which nobody was registered.
+  // Reads return the state in which no entry was registered.
   standins::PlatformFaults faults;
   faults.stale_reads = true;
   fleet.platform().SetFaults(faults);
@@ -62,8 +65,8 @@
   CHECK(fleet.granted() > 0);
 }
 
-/// Draws what happens to a fleet. Which kinds of trouble there are differs by
-/// the seed, and so does the load, down to a request a second.
+/// Applies random faults to a fleet. The seed determines the kinds of fault and
+/// the load, which can be as low as one request per second.
 class World {
  public:
   explicit World(std::uint64_t seed)
@@ -145,7 +148,7 @@
   }
 
   RandomSource random_;
-  std::uint64_t kinds_ = 0;  ///< A bit for each kind of trouble.
+  std::uint64_t kinds_ = 0;  ///< One bit per kind of fault.
   RetryFleet fleet_;
 };
 
@@ -154,16 +157,16 @@
   return text ? std::strtoull(text, nullptr, 10) : otherwise;
 }
 
-/// Guards against any series of restarts, cuts and old lists that lets a fleet
-/// repeat more than its operator allows.
-TEST_CASE("Fleets in random worlds keep the bound on repeats") {
+/// Guards against sequences of restarts, lost connections and stale lists that
+/// let a fleet retry more than its operator allows.
+TEST_CASE("Fleets stay within the retry limit under random faults") {
   const std::uint64_t first = NumberFrom("INDIGOLEAD_FIRST_WORLD", 1);
   const std::uint64_t count = NumberFrom("INDIGOLEAD_WORLDS", 100);
   int granted = 0;
   int broken = 0;
   for (std::uint64_t seed = first; seed < first + count && broken < 10;
        ++seed) {
-    INFO("world " << seed);
+    INFO("scenario seed " << seed);
     World world(seed);
     const RetryFleet& fleet = world.Play();
     CheckRule(fleet);
@@ -174,11 +177,12 @@
   CHECK(granted > 0);
 }
 
-/// Guards against the same in worlds in which it was seen.
-TEST_CASE("Fleets in worlds that broke the bound on repeats keep it") {
+/// Regression test with the seeds that once exceeded the limit.
+TEST_CASE(
+    "Fleets stay within the retry limit for seeds that once exceeded it") {
   for (const std::uint64_t seed :
        {223, 240, 346, 468, 482, 506, 508, 656, 788, 817}) {
-    INFO("world " << seed);
+    INFO("scenario seed " << seed);
     World world(seed);
     CheckRule(world.Play());
   }
--- a/tests/shell/standins_test.cc
+++ b/tests/shell/standins_test.cc
@@ -28,7 +28,7 @@
       .dump();
 }
 
-TEST_CASE("The platform stand-in keeps versions and conditions") {
+TEST_CASE("The platform stand-in enforces versions and write conditions") {
   PlatformServer platform;
   const std::string address = platform.address();
   const auto put = [&](const std::string& value, std::uint64_t expected) {
@@ -36,7 +36,7 @@
                     {{"X-Expected-Version", std::to_string(expected)}});
   };
 
-  SECTION("a write is done only at the version expected") {
+  SECTION("a write is applied only at the expected version") {
     CHECK(put("one", 0).status == 200);
     const auto conflict = put("two", 0);
     CHECK(conflict.status == 409);
@@ -45,7 +45,7 @@
     CHECK(HttpCall(address, "GET", "/v1/objects/a/b").body == "two");
   }
 
-  SECTION("a lost answer has taken effect") {
+  SECTION("a write whose response is lost is applied") {
     PlatformFaults faults;
     faults.lose_answers = 1;
     platform.SetFaults(faults);
@@ -54,7 +54,7 @@
     CHECK(put("two", 1).status == 200);
   }
 
-  SECTION("down, it refuses; up again, it still has the objects") {
+  SECTION("it refuses connections while down and keeps its objects") {
     put("one", 0);
     platform.SetDown(true);
     CHECK(HttpCall(address, "GET", "/v1/objects/a/b").status == 0);
@@ -62,7 +62,7 @@
     CHECK(HttpCall(address, "GET", "/v1/objects/a/b").body == "one");
   }
 
-  SECTION("a watch from a version that is gone is told so") {
+  SECTION("a watch from a discarded version is rejected") {
     CHECK(HttpCall(address, "GET", "/v1/watch?prefix=a&from=9").status == 410);
   }
 
@@ -75,7 +75,7 @@
   }
 }
 
-TEST_CASE("The instance list lags") {
+TEST_CASE("The instance list shows changes after a delay") {
   PlatformServer::Options options;
   options.instance_lag = std::chrono::milliseconds(100);
   PlatformServer platform(options);
@@ -89,11 +89,11 @@
   CHECK(shown()[0]["state"] == "leaving");
 }
 
-TEST_CASE("The engine stand-in answers from the prompt alone") {
+TEST_CASE("The engine stand-in's response depends on the prompt alone") {
   EngineServer engine;
   const std::string address = engine.address();
 
-  SECTION("whole answers to two prompts differ, to one prompt agree") {
+  SECTION("responses to different prompts differ, to the same prompt match") {
     const auto ask = [&](const std::string& prompt) {
       const auto answer = HttpCall(address, "POST", "/v1/completions",
                                    Prompt(prompt, 3, false));
@@ -104,7 +104,7 @@
     CHECK(ask("menu").starts_with("w0-"));
   }
 
-  SECTION("a stream can be read again from any event, to the same end") {
+  SECTION("a stream can be resumed from any event with the same result") {
     const auto whole =
         HttpCall(address, "POST", "/v1/completions", Prompt("menu", 20, true),
                  {{"X-Request-Id", "r1"}});
@@ -117,8 +117,8 @@
     CHECK(engine.runs()[0].finished);
   }
 
-  SECTION("the prefix that two prompts share is cached, and reported") {
-    const std::string history(600, 'h');  // Two whole blocks.
+  SECTION("the common prefix of two prompts is cached and reported") {
+    const std::string history(600, 'h');  // Two full blocks.
     const auto cached = [&](const std::string& prompt) {
       const auto answer = HttpCall(address, "POST", "/v1/completions",
                                    Prompt(prompt, 1, false));
@@ -128,7 +128,7 @@
     };
     CHECK(cached(history + " storm") == 0);
     CHECK(cached(history + " calm") == 1);
-    // The stream of events has no end, so each look at it ends by its bound.
+    // The event stream never ends, so each read stops at its time limit.
     CHECK(WaitUntil([&] {
       const auto events = HttpCall(address, "GET", "/cache-events?from=0", "",
                                    {}, std::chrono::milliseconds(300));
@@ -136,7 +136,7 @@
     }));
   }
 
-  SECTION("a cancelled stream has no clean end") {
+  SECTION("a cancelled stream ends with an incomplete response") {
     std::thread reader([&] {
       const auto answer =
           HttpCall(address, "POST", "/v1/completions",
@@ -151,7 +151,7 @@
   }
 }
 
-TEST_CASE("The engine stand-in takes orders as its options say") {
+TEST_CASE("The engine stand-in handles orders according to its options") {
   const bool checks = GENERATE(true, false);
   EngineOptions options;
   options.check_fencing = checks;
@@ -174,7 +174,7 @@
   CHECK(engine.orders().size() == 3);
 }
 
-TEST_CASE("An engine that crashes forgets its streams and has a new boot id") {
+TEST_CASE("A crashed engine loses its streams and gets a new boot id") {
   EngineServer engine;
   const std::string address = engine.address();
   const auto boot_id = [&] {
@@ -189,7 +189,7 @@
   CHECK(boot_id() != before);
 }
 
-TEST_CASE("The service stand-in echoes, whole or in chunks") {
+TEST_CASE("The service stand-in echoes requests, complete or in chunks") {
   ServiceServer service;
   const auto whole = HttpCall(service.address(), "PUT", "/menu?x=1", "body",
                               {{"Idempotency-Key", "k"}});
