--- a/tests/platform/broken_stream_process_test.cc
+++ b/tests/platform/broken_stream_process_test.cc
@@ -1,5 +1,5 @@
-// Streams of targets that are broken off though their connection or framing
-// ends in order, before an entry in a process of its own.
+// Tests of an entry process with targets whose streams are incomplete although
+// their connection or framing ends cleanly.
 
 #include <catch2/catch.hpp>
 #include <string>
@@ -12,7 +12,7 @@
 
 using BodyEnd = ModelWorker::BodyEnd;
 
-/// The stream of a sound engine of the scene.
+/// The complete stream of an engine.
 const char kWholeStream[] =
     "id: 1\ndata: token1\n\nid: 2\ndata: token2\n\n"
     "id: 3\ndata: token3\n\nid: 4\ndata: token4\n\n";
@@ -24,7 +24,7 @@
   }
 }
 
-TEST_CASE("Answers with neither a length nor chunks are served") {
+TEST_CASE("Answers without length or chunked encoding are served") {
   PlatformScene scene;
   REQUIRE(WaitUntil([&] { return scene.Staged("prefill") == 3; }));
   scene.RegisterStages();
@@ -43,10 +43,10 @@
   CHECK(scene.Metric("indigolead_streams_ended_inside_event_total") == "0");
 }
 
-/// Guards against streams that were broken off reaching callers as whole.
-TEST_CASE("A stream that ends inside an event is not ended as whole") {
+/// Guards against truncated streams that reach callers as complete.
+TEST_CASE("A stream that ends inside an event is not reported as complete") {
   const bool by_close = GENERATE(true, false);
-  INFO((by_close ? "ended by the connection" : "in chunks"));
+  INFO((by_close ? "ended by connection close" : "chunked"));
   // Inside the id of an event, its data, and between its two line ends.
   const std::size_t part = GENERATE(3, 12, 19);
   INFO("after " << part << " bytes of the second event");
@@ -57,33 +57,33 @@
   end.by_close = by_close;
   end.cut_after = kEventBytes + part;
 
-  SECTION("to a caller whose request may run once") {
+  SECTION("a request that may run only once is cut off") {
     SetBodyEnd(&scene, end);
     CHECK(scene.Ask("POST", "/audit/1", "once").status == 0);
     CHECK(scene.Runs("once") == 1);
   }
-  SECTION("but goes on at another target where it may") {
+  SECTION("a resumable request continues at another target") {
     SetBodyEnd(&scene, end);
     const HttpAnswer resumed = scene.Ask("POST", "/resume/1", "resumed");
     CHECK(resumed.status == 200);
     CHECK(resumed.body == kWholeStream);
     CHECK(scene.Runs("resumed") == 2);
   }
-  SECTION("nor where the second target breaks it off as well") {
+  SECTION("a resumable request is cut off if the second target truncates it") {
     end.cut_resumed = true;
     SetBodyEnd(&scene, end);
     const HttpAnswer cut = scene.Ask("POST", "/resume/1", "cut");
     CHECK(cut.status == 0);
     CHECK(scene.Runs("cut") == 2);
-    // A reset may overtake what was written; half an event never comes.
+    // A reset may discard bytes already written, but no partial event arrives.
     CHECK(std::string(kWholeStream).rfind(cut.body, 0) == 0);
     CHECK(cut.body.size() % kEventBytes == 0);
   }
 }
 
-/// Guards against a target's crash before its first event reaching callers as
-/// an empty answer.
-TEST_CASE("A stream that ends with its connection and has no event is broken") {
+/// Guards against a target's crash before its first event that reaches callers
+/// as an empty, complete answer.
+TEST_CASE("A stream closed by its connection before any event is broken") {
   PlatformScene scene;
   scene.EarnFurtherAttempts();
   BodyEnd end;
--- a/tests/platform/change_waits_test.cc
+++ b/tests/platform/change_waits_test.cc
@@ -18,9 +18,10 @@
   return settings;
 }
 
-/// Guards against a wait between a change and its use that grows, or is added,
-/// and is in no sum.
-TEST_CASE("The waits that an entry uses add up to the operator's bounds") {
+/// Guards against a delay between a change and its use that grows or is added
+/// without being part of the sum that the operator's bounds limit.
+TEST_CASE(
+    "The sum of the delays in an entry stays within the operator's bounds") {
   const Duration leaving = GENERATE(seconds(2), seconds(3), seconds(4));
   const Duration contact = leaving + seconds(1);
   const auto settings = SettingsOf(leaving, contact);
@@ -29,16 +30,17 @@
   const auto directory = platform::DispatcherOptions(settings).directory;
   const auto relayed = platform::RelayedStoreOptions(settings);
   const auto relay = platform::RelayOptions(settings);
-  // A store that is well, a thread that is late, and the way to a target.
+  // Response time of a healthy store; and a late thread plus the latency to a
+  // target.
   constexpr Duration kAnswer = milliseconds(100);
   constexpr Duration kUse = milliseconds(150);
 
-  SECTION("a change while the store is followed") {
+  SECTION("a change while the watch is established") {
     CHECK(store.watch_pace.max_interval + kAnswer + kUse <= leaving);
     CHECK(relay.feed.min_interval + relayed.answer_within + kAnswer + kUse <=
           leaving);
   }
-  SECTION("one call that is lost drops no target") {
+  SECTION("a single lost call drops no target") {
     const Duration lost = store.watch_pace.max_interval + store.watch_wait +
                           store.watch_slack + watch.min_backoff + kAnswer;
     CHECK(lost < directory.min_outage);
@@ -48,7 +50,7 @@
     CHECK(relay_lost < directory.min_outage);
     CHECK(relay_lost + kUse <= contact);
   }
-  SECTION("a store that comes back") {
+  SECTION("the store becomes reachable again") {
     CHECK(watch.max_backoff + kAnswer + directory.return_grace + kAnswer +
               kUse <=
           contact);
--- a/tests/platform/client_accounts_process_test.cc
+++ b/tests/platform/client_accounts_process_test.cc
@@ -16,7 +16,7 @@
 constexpr char kSalonKey[] = "salon-secret-1";
 constexpr char kOwnerKey[] = "owner-secret-1";
 
-/// A configuration with two client accounts and the keys named.
+/// Returns a configuration with two client accounts and the given keys.
 Json ConfigurationWith(std::uint64_t version,
                        const std::vector<std::string>& salon,
                        const std::vector<std::string>& owner) {
@@ -26,8 +26,9 @@
   return configuration;
 }
 
-/// Asks with new ids until the answer has `status`. Returns false if none has
-/// within the bound for configurations and some time for the test's machine.
+/// Sends requests with new ids until an answer has `status`. Returns false if
+/// none has within 5 s: the bound on configuration changes plus time for a slow
+/// test machine.
 bool BecomesWith(PlatformScene* scene, const std::string& key, int status) {
   int n = 0;
   return WaitUntil(
@@ -38,14 +39,14 @@
       std::chrono::seconds(5));
 }
 
-TEST_CASE("Callers are let in by their keys, and targets told of whom") {
+TEST_CASE("Callers are authenticated by key and targets are told the account") {
   PlatformScene scene;
   scene.store.Put("config", "main",
                   ConfigurationWith(5, {kSalonKey}, {kOwnerKey}));
   REQUIRE(BecomesWith(&scene, "unknown-secret", 401));
 
-  SECTION("each call to a target names the account, none has the key") {
-    // Before the accounts were in force keys were the targets' affair.
+  SECTION("each call to a target names the account and omits the key") {
+    // Keys were passed on to targets until the accounts took effect.
     const int before = scene.KeysSeen();
     for (const char* path : {"/desk/1", "/menu/1", "/audit/1"}) {
       const std::string id = std::string("r-") + (path + 1);
@@ -58,14 +59,14 @@
     }
     CHECK(scene.KeysSeen() == before);
   }
-  SECTION("without a key nothing reaches a target") {
+  SECTION("without a valid key nothing reaches a target") {
     CHECK(scene.Ask("GET", "/desk/1", "r-none").status == 401);
     CHECK(scene.AskWithKey("unknown-secret", "GET", "/desk/1", "r-unknown")
               .status == 401);
     CHECK(scene.Accounts("r-none").empty());
     CHECK(scene.Accounts("r-unknown").empty());
   }
-  SECTION("no log line and no metric has a key, and accounts are counted") {
+  SECTION("logs and metrics contain accounts but no keys") {
     scene.AskWithKey(kSalonKey, "GET", "/desk/1", "r-1");
     scene.AskWithKey(kSalonKey, "GET", "/nowhere/1", "r-2");
     const std::string metrics =
@@ -82,28 +83,28 @@
   }
 }
 
-// An operator takes a key away. An entry that cannot hear of it goes on with
-// what it knows, and must not once it can: callers who were to be shut out
-// would be served as long as the entry lives.
-TEST_CASE("A key that was taken away is refused once the entry can know") {
+// Guards against a revoked key that stays valid as long as the entry runs. An
+// entry that cannot reach the store keeps its configuration, but must apply the
+// revocation once it can.
+TEST_CASE("A revoked key is refused once the entry can reach the store") {
   PlatformScene scene;
   scene.store.Put("config", "main",
                   ConfigurationWith(5, {kSalonKey}, {kOwnerKey}));
   REQUIRE(BecomesWith(&scene, "unknown-secret", 401));
   REQUIRE(scene.AskWithKey(kSalonKey, "GET", "/desk/1", "r-1").status == 200);
 
-  SECTION("at once if nothing is in the way") {
+  SECTION("promptly without faults") {
     scene.store.Put("config", "main", ConfigurationWith(6, {}, {kOwnerKey}));
     CHECK(BecomesWith(&scene, kSalonKey, 401));
     CHECK(scene.AskWithKey(kOwnerKey, "GET", "/desk/1", "r-2").status == 200);
 
-    SECTION("and let in again once it was given back") {
+    SECTION("and accepted again once it is restored") {
       scene.store.Put("config", "main",
                       ConfigurationWith(9, {kSalonKey}, {kOwnerKey}));
       CHECK(BecomesWith(&scene, kSalonKey, 200));
     }
   }
-  SECTION("after the entry was cut off from the store") {
+  SECTION("after a partition between entry and store") {
     scene.store_path.SetPartitioned(true);
     scene.store.Put("config", "main", ConfigurationWith(6, {}, {kOwnerKey}));
     CHECK(scene.AskWithKey(kSalonKey, "GET", "/desk/1", "r-2").status == 200);
@@ -112,14 +113,14 @@
     scene.store_path.SetPartitioned(false);
     CHECK(BecomesWith(&scene, kSalonKey, 401));
   }
-  SECTION("after the entry was frozen") {
+  SECTION("after the entry process was suspended") {
     scene.entry->Pause();
     scene.store.Put("config", "main", ConfigurationWith(6, {}, {kOwnerKey}));
     std::this_thread::sleep_for(milliseconds(1500));
     scene.entry->Resume();
     CHECK(BecomesWith(&scene, kSalonKey, 401));
   }
-  SECTION("and does not come back with an older state of the store") {
+  SECTION("and stays refused when the store serves stale reads") {
     scene.store.Put("config", "main", ConfigurationWith(6, {}, {kOwnerKey}));
     REQUIRE(BecomesWith(&scene, kSalonKey, 401));
     standins::PlatformFaults faults;
@@ -129,7 +130,7 @@
     std::this_thread::sleep_for(milliseconds(1000));
     CHECK(scene.AskWithKey(kSalonKey, "GET", "/desk/1", "r-9").status == 401);
   }
-  SECTION("when it goes to another account") {
+  SECTION("and a key moved to another account counts for that account") {
     scene.store.Put("config", "main",
                     ConfigurationWith(6, {}, {kOwnerKey, kSalonKey}));
     CHECK(WaitUntil([&, n = 0]() mutable {
@@ -138,7 +139,7 @@
       return scene.Accounts(id) == std::vector<std::string>{"owner"};
     }));
   }
-  SECTION("while a document that cannot be used leaves all as it is") {
+  SECTION("and an invalid configuration changes nothing") {
     scene.store.Put("config", "main",
                     ConfigurationWith(6, {kOwnerKey}, {kOwnerKey}));
     REQUIRE(WaitUntil([&] {
@@ -148,7 +149,7 @@
   }
 }
 
-/// Asks `n` times with each of both keys; an id is not used twice.
+/// Sends `n` requests with each of the two keys, all with distinct ids.
 void AskOften(PlatformScene* scene, const std::string& ids, int n) {
   for (int it = 0; it < n; ++it) {
     const std::string id = ids + std::to_string(it);
@@ -166,10 +167,10 @@
   });
 }
 
-// The receiver cannot be asked what it took, so an entry whose answer was lost
-// must repeat the same words; a killed one leaves that to the next process.
-TEST_CASE(
-    "Usage is reported once and exactly, through faults of its receiver") {
+// The receiver cannot be asked what it has recorded. An entry that lost the
+// answer must therefore repeat the identical report, and the next process must
+// do so for an entry that was killed.
+TEST_CASE("Usage is counted exactly once despite faults of the receiver") {
   PlatformScene scene(PlatformScene::Options{.reports_usage = true});
   scene.store.Put("config", "main",
                   ConfigurationWith(5, {kSalonKey}, {kOwnerKey}));
@@ -186,19 +187,19 @@
   CHECK(scene.usage.broken() == std::vector<std::string>{});
 }
 
-TEST_CASE("Usage survives the process that counted it") {
+TEST_CASE("Usage counts survive a restart of the entry") {
   PlatformScene scene(PlatformScene::Options{.reports_usage = true});
   scene.store.Put("config", "main",
                   ConfigurationWith(5, {kSalonKey}, {kOwnerKey}));
   REQUIRE(BecomesWith(&scene, "unknown-secret", 401));
   AskOften(&scene, "a", 5);
 
-  SECTION("a planned stop loses nothing") {
+  SECTION("a graceful stop loses nothing") {
     scene.entry->Terminate();
     REQUIRE(scene.entry->WaitForExit(std::chrono::seconds(10)) == 0);
   }
-  SECTION("a kill loses nothing that was written") {
-    // A window and a half: the counts stand in the store by then.
+  SECTION("a kill loses nothing that was stored") {
+    // One and a half windows, by when the counts are in the store.
     std::this_thread::sleep_for(milliseconds(1700));
     scene.entry->Kill();
   }
--- a/tests/platform/crashing_request_process_test.cc
+++ b/tests/platform/crashing_request_process_test.cc
@@ -1,5 +1,5 @@
-// One request that crashes every target that runs it, repeated by its caller
-// at several entries in processes of their own.
+// Tests of several entry processes with a caller that repeats a request which
+// crashes every target that runs it.
 
 #include <atomic>
 #include <catch2/catch.hpp>
@@ -16,8 +16,8 @@
 using std::chrono::seconds;
 using Time = std::chrono::steady_clock::time_point;
 
-/// A caller that asks for one path on and on, at each entry in turn, under a
-/// new id each time.
+/// Caller that repeatedly requests one path from each entry in turn, with a new
+/// request id each time.
 class RepeatingCaller {
  public:
   RepeatingCaller(std::vector<std::string> entries, std::string method,
@@ -84,7 +84,7 @@
   return crashes;
 }
 
-/// Lets time pass in which targets register as they do each second.
+/// Waits for `length` while the targets keep their registrations up to date.
 void PassTime(PlatformScene* scene, seconds length) {
   const Time end = std::chrono::steady_clock::now() + length;
   while (std::chrono::steady_clock::now() < end) {
@@ -93,10 +93,9 @@
   }
 }
 
-/// Guards against a request that crashes one target after the other, since each
-/// entry passes its caller's repeats on like any other request.
-TEST_CASE("A request that crashes its targets is not sent on and on",
-          "[crash]") {
+/// Guards against a request that crashes one target after another because the
+/// entries forward its caller's repeats like any other request.
+TEST_CASE("A request that crashes its targets is quarantined", "[crash]") {
   PlatformScene scene;
   REQUIRE(WaitUntil([&] { return scene.Staged("prefill") == 3; }));
   scene.AddEntry("front-2");
@@ -123,7 +122,7 @@
   PassTime(&scene, seconds(2));
   CHECK(good.served() > served + 20);
 
-  // Processes that start know nothing of before.
+  // Restarted processes have no memory of the earlier crashes.
   scene.entry->Kill();
   scene.StartEntry();
   scene.further[0].process->Kill();
--- a/tests/platform/day_files_test.cc
+++ b/tests/platform/day_files_test.cc
@@ -19,8 +19,8 @@
   return lines;
 }
 
-/// Returns what is wrong with the day in `text`, whose file is called
-/// `stem`.toml; empty if nothing is.
+/// Returns the first error in the day file `stem`.toml with the contents
+/// `text`, or an empty string if it is valid.
 std::string ProblemOf(const std::string& stem, const std::string& text) {
   static const std::regex kEntry(
       R"(  \{ at = \d+(\.\d+)?, kind = "[a-z_]+")"
@@ -37,27 +37,26 @@
     if (std::regex_match(line, kEntry)) {
       ++entries;
       if (open != 1) {
-        return "an entry stands outside a list: " + line;
+        return "entry outside a list: " + line;
       }
     } else if (line == "name = \"" + stem + "\"") {
       named = true;
     } else if (kHeads.count(line) == 0 && !std::regex_match(line, kSeed) &&
                !std::regex_match(line, kClosing)) {
-      return "not understood: " + line;
+      return "unrecognized line: " + line;
     }
     open += line == "plan = [" || line == "faults = [" ? 1 : 0;
     open -= line == "]" ? 1 : 0;
   }
   if (!named) {
-    return "the day is not named like its file";
+    return "name of the day differs from its file name";
   }
-  return open != 0 ? "a list is not closed"
-                   : (entries == 0 ? "nothing happens" : "");
+  return open != 0 ? "unterminated list" : (entries == 0 ? "no entries" : "");
 }
 
-// A day that cannot be read is left out where it would be played, and what it
-// was to find goes unnoticed.
-TEST_CASE("Each day of our own can be read") {
+// Guards against a malformed day file. Such a file is skipped when the days are
+// played, so the faults that it should reveal go unnoticed.
+TEST_CASE("Each day file in deploy/days is valid") {
   const std::filesystem::path folder =
       std::filesystem::path(INDIGOLEAD_SOURCE_DIR) / "deploy" / "days";
   std::size_t days = 0;
@@ -71,7 +70,7 @@
   }
   CHECK(days >= 21);
 
-  SECTION("and a broken one is noticed") {
+  SECTION("an invalid file is detected") {
     const std::string good =
         "[[day]]\nname = \"a\"\nslot = \"trouble\"\nseed = 1\nlabels = []\n"
         "plan = [\n]\nfaults = [\n  { at = 1.0, kind = \"lossy\" },\n]\n";
--- a/tests/platform/direct_prompt_test.cc
+++ b/tests/platform/direct_prompt_test.cc
@@ -33,8 +33,8 @@
 
 constexpr char kHere[] = "oviedo";
 
-/// An entry before one engine that reads prompts and two that make answers,
-/// the first of them in the entry's own failure domain and so preferred.
+/// Entry with one prefill engine and two decode engines. The `near` one is in
+/// the entry's failure domain and therefore preferred over the `far` one.
 class Scene {
  public:
   explicit Scene(Script reader,
@@ -43,7 +43,7 @@
       : Scene(std::vector<Script>{std::move(reader)}, budget, std::move(near)) {
   }
 
-  /// With one script for each prompt, the last one for those after it too.
+  /// `reader` has one script per prompt; the last one serves all later prompts.
   Scene(std::vector<Script> reader, const EntryRetryBudget::Options& budget,
         Script near = Send(kAnswer))
       : reader_(std::move(reader)),
@@ -59,7 +59,7 @@
     List(false);
   }
 
-  /// Tells the entry of its targets, the near one leaving or not.
+  /// Gives the entry its list of targets, with the near one leaving or not.
   void List(bool near_leaves) {
     listed_ = {
         Target("reader", reader_, kHere, EngineRole::kPrefill),
@@ -69,7 +69,7 @@
     dispatcher_.OnTargets(listed_);
   }
 
-  /// Lists an engine in the near one's place at whose address nobody listens.
+  /// Replaces the near engine by one whose address refuses connections.
   void LoseNearEngine() {
     const ScriptedServer gone({});
     listed_[1].leaving = true;
@@ -77,7 +77,7 @@
     dispatcher_.OnTargets(listed_);
   }
 
-  /// Lists a second reader that reads like the first.
+  /// Lists a second prefill engine, which always succeeds.
   void AddSecondReader() {
     listed_.push_back(
         Target("second", second_reader_, kHere, EngineRole::kPrefill));
@@ -90,7 +90,7 @@
   std::string reader_address(bool first) const {
     return (first ? reader_ : second_reader_).address();
   }
-  /// Returns all that a reader was asked, head and body.
+  /// Returns the heads and bodies of all requests to a prefill engine.
   std::string read_requests(bool first) const {
     std::string all;
     for (const auto& it : (first ? reader_ : second_reader_).requests()) {
@@ -99,21 +99,22 @@
     return all;
   }
 
-  /// Leaves the near engine as the only one that makes answers.
+  /// Leaves the near engine as the only decode engine.
   void LoseFarEngine() {
     listed_[2].leaving = true;
     dispatcher_.OnTargets(listed_);
   }
 
-  /// Lists a second reader, whose process is gone.
+  /// Lists a second prefill engine, whose address refuses connections.
   void AddUnreachableReader() {
     const ScriptedServer gone({});
     listed_.push_back(Target("gone", gone, kHere, EngineRole::kPrefill));
     dispatcher_.OnTargets(listed_);
   }
 
-  /// `shared_part` names what the prompt shares, which decides its home; 0: the
-  /// caller tells nothing of its prompt.
+  /// `shared_part` identifies the shared prefix of the prompt, which decides
+  /// the prefill engine that is its home. With 0 the caller sends no prompt
+  /// parts.
   void Ask(Duration time = milliseconds(1500), std::uint64_t shared_part = 1) {
     status_.reset();
     run_.reset();
@@ -134,8 +135,8 @@
     dispatcher_.OnRequest(request);
   }
 
-  /// Waits until the prompt is at the reader, then stands still for `length`,
-  /// and wakes to the time that has passed before any answer is read.
+  /// Waits until the prefill engine has the prompt, blocks for `length`, and
+  /// then lets the dispatcher see the new time before it processes any answer.
   void FreezeWhileReading(Duration length) {
     const auto limit = std::chrono::steady_clock::now() + seconds(10);
     while (reads() == 0 && std::chrono::steady_clock::now() < limit) {
@@ -146,7 +147,7 @@
     dispatcher_.Tick();
   }
 
-  /// Returns the status that the caller gets in the end.
+  /// Returns the status of the caller's answer.
   int AwaitStatus() {
     const auto limit = std::chrono::steady_clock::now() + seconds(10);
     while (!status_ && std::chrono::steady_clock::now() < limit) {
@@ -158,10 +159,10 @@
     return *status_;
   }
 
-  /// Returns what the caller was told of its run, if it was refused.
+  /// Returns the run state in the refusal, if the request was refused.
   std::optional<RunState> run_state() const { return run_; }
 
-  /// Returns true if some logged line has all of `parts`.
+  /// Returns true if a log line contains all of `parts`.
   bool Logged(const std::vector<std::string>& parts) const {
     return std::any_of(lines_.begin(), lines_.end(), [&](const auto& line) {
       return std::all_of(parts.begin(), parts.end(), [&](const auto& it) {
@@ -175,8 +176,8 @@
   std::size_t far_runs() const { return RunsAt(far_); }
 
  private:
-  /// Returns the requests of callers that came, and not the calls that only ask
-  /// whether the target is alive.
+  /// Returns the number of callers' requests that arrived, without health
+  /// checks.
   static std::size_t RunsAt(const ScriptedServer& server) {
     const std::vector<std::string> requests = server.requests();
     return static_cast<std::size_t>(std::count_if(
@@ -243,20 +244,20 @@
   DirectDispatcher dispatcher_;
 };
 
-// An engine is chosen for the answer before the prompt is read, and leaves
-// while it is. Sent there all the same, the request would reach an engine that
-// this entry has acknowledged to be leaving, and be cut off with it.
-TEST_CASE("An engine that leaves while the prompt is read gets no run") {
+// The decode engine is chosen before prefill and may leave during it. A request
+// sent there after the entry has acknowledged the leave would be cut off with
+// the engine.
+TEST_CASE("A decode engine that leaves during prefill gets no run") {
   Scene scene(Send(kRead));
 
-  SECTION("the nearer engine makes the answer") {
+  SECTION("without a leave the near engine decodes") {
     scene.Ask();
     CHECK(scene.AwaitStatus() == 200);
     CHECK(scene.near_runs() == 1);
     CHECK(scene.far_runs() == 0);
   }
-  SECTION("it leaves meanwhile: the other one makes it") {
-    scene.Ask();  // Placed; nothing has been read yet.
+  SECTION("if the near engine leaves, the far one decodes") {
+    scene.Ask();  // Placed; prefill has not been done yet.
     scene.List(/*near_leaves=*/true);
     CHECK(scene.AwaitStatus() == 200);
     CHECK(scene.reads() == 1);
@@ -265,17 +266,17 @@
   }
 }
 
-// The time of a request runs out while its prompt is read, or while it waits
-// for a connection. Nothing has been sent that runs it, and nothing will be:
-// its caller must learn that, or it could not repeat what may run once only.
-TEST_CASE("A request whose time runs out before it is sent has not run") {
+// The deadline of a request passes during prefill or while it waits for a
+// connection. Nothing that runs it has been sent or will be. The caller must
+// learn this, or it could not repeat a request that may run only once.
+TEST_CASE("A request that times out before its run is sent has not run") {
   Scene scene({{Kind::kSleep, ""}});
 
-  SECTION("its call to the reader ends first") {
+  SECTION("the prefill call times out first") {
     scene.Ask();
     scene.AwaitStatus();
   }
-  SECTION("its own deadline is noticed first") {
+  SECTION("the deadline of the request is noticed first") {
     scene.Ask(milliseconds(250));
     scene.FreezeWhileReading(milliseconds(300));
     scene.AwaitStatus();
@@ -285,26 +286,26 @@
   CHECK(scene.run_state() == RunState::kNotRun);
 }
 
-// A reader fails every prompt. The operator counts each arrival beyond a
-// request's first and leaves one reading out, so each further try brings one
-// arrival more. Charged less, a fleet with a broken reader sends more than its
-// budget allows; charged more, callers are refused who need not be.
-TEST_CASE("A further attempt after a failed reading costs one arrival") {
-  SECTION("with none left none is made") {
+// The prefill engine fails every prompt. The operator counts each arrival after
+// the first of a request, except one prefill, so each retry adds one arrival.
+// Charging less would exceed the retry budget of a fleet with a broken prefill
+// engine; charging more would refuse callers without need.
+TEST_CASE("A retry after a failed prefill costs one arrival") {
+  SECTION("with no budget left there is no retry") {
     Scene scene(Send(kFailure), {0, {0, 0}, 0});
     scene.Ask();
     CHECK(scene.AwaitStatus() == 503);
     CHECK(scene.reads() == 1);
-    // The line names the engine that failed, not only the one that was to run.
+    // The line names the failed prefill engine, not only the decode engine.
     CHECK(scene.Logged({"attempt-refused", "reader=reader"}));
   }
-  SECTION("with two left two are made, not three") {
+  SECTION("a budget of two allows two retries, not three") {
     Scene scene(Send(kFailure), {0, {2, 0}, 2});
     scene.Ask();
     CHECK(scene.AwaitStatus() == 503);
     CHECK(scene.reads() == 3);
   }
-  SECTION("also if the reader breaks off, for its call may be repeated") {
+  SECTION("a reset prefill is retried too, since prefill may be repeated") {
     Scene scene({Reset(), Send(kRead)}, {0, {1, 0}, 1});
     scene.Ask();
     CHECK(scene.AwaitStatus() == 200);
@@ -312,17 +313,17 @@
   }
 }
 
-// The only engine that answers turns every request away. Its arrival counts,
-// and so does the second reading, which a first attempt has no part in.
-TEST_CASE("A further attempt after a refused run costs two arrivals") {
-  SECTION("with one left none is made, and the one is kept") {
+// The only decode engine refuses every request. A retry is charged for its
+// arrival there and for the second prefill.
+TEST_CASE("A retry after a refused run costs two arrivals") {
+  SECTION("a budget of one allows no retry") {
     Scene scene(Send(kRead), {0, {1, 0}, 1}, Send(kChangingRole));
     scene.LoseFarEngine();
     scene.Ask();
     CHECK(scene.AwaitStatus() == 503);
     CHECK(scene.near_runs() == 1);
   }
-  SECTION("with three left one is made, not two") {
+  SECTION("a budget of three allows one retry, not two") {
     Scene scene(Send(kRead), {0, {3, 0}, 3}, Send(kChangingRole));
     scene.LoseFarEngine();
     scene.Ask();
@@ -331,9 +332,9 @@
   }
 }
 
-/// Guards against a prompt of which nothing is told, whose second reading no
-/// budget was asked for.
-TEST_CASE("A further attempt costs two arrivals also where no parts are told") {
+/// Guards against an uncharged second prefill of a request that describes no
+/// prompt parts.
+TEST_CASE("A retry without prompt parts costs two arrivals too") {
   constexpr std::uint64_t kUntold = 0;
   Scene scene(Send(kRead), {0, {1, 0}, 1}, Send(kChangingRole));
   scene.LoseFarEngine();
@@ -342,11 +343,12 @@
   CHECK(scene.near_runs() == 1);
 }
 
-// An engine has crashed and its registration stands for seconds yet. A prompt
-// meant for it never leaves the entry: its target's operator counts nothing, so
-// its caller must not be refused for want of allowance while a second engine
-// reads beside it.
-TEST_CASE("A prompt whose reader cannot be reached goes to another for free") {
+// The registration of a crashed engine remains for some seconds. A prompt for
+// it never leaves the entry, so the targets' operator counts no arrival. The
+// caller must not be refused for lack of retry budget while a second prefill
+// engine is available.
+TEST_CASE(
+    "A prompt for an unreachable prefill engine is retried without charge") {
   Scene scene(Send(kRead), /*budget=*/{0, {0, 0}, 0});
   scene.AddUnreachableReader();
   for (std::uint64_t part = 10; part < 30; ++part) {
@@ -356,20 +358,19 @@
   CHECK(scene.Logged({"attempt-refused", "reader=gone", "prefill_failed"}));
 }
 
-// A reader turns prompts away: it is full, or has started anew under another
-// id. It took nothing, so the attempt after it brings one arrival more than a
-// request may make, and not two.
-TEST_CASE("A prompt that its reader turned away costs one arrival") {
+// A prefill engine refuses prompts because it is full or has restarted under
+// another id. It accepted none, so a retry adds one arrival, not two.
+TEST_CASE("A retry of a refused prefill costs one arrival") {
   const char* const refusal =
       GENERATE("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
                "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n");
-  SECTION("with one left it is made") {
+  SECTION("a budget of one allows the retry") {
     Scene scene({Send(refusal), Send(kRead)}, {0, {1, 0}, 1});
     scene.Ask();
     CHECK(scene.AwaitStatus() == 200);
     CHECK(scene.reads() == 2);
   }
-  SECTION("with none left it is not") {
+  SECTION("an empty budget does not") {
     Scene scene({Send(refusal), Send(kRead)}, {0, {0, 0}, 0});
     scene.Ask();
     CHECK(scene.AwaitStatus() == 503);
@@ -377,11 +378,11 @@
   }
 }
 
-// The engine chosen for the answer changes its role and turns the request away.
-// Its prompt has been read and its KV cache is kept at the reader: another
-// engine takes it over, and the caller notices nothing.
-TEST_CASE("A prompt that was read is taken over by a second engine") {
-  SECTION("for one arrival, without reading it again") {
+// The chosen decode engine changes its role and refuses the request. The
+// prefill engine still holds the KV cache, so another decode engine can take
+// the request over without the caller noticing.
+TEST_CASE("A second decode engine takes over after prefill") {
+  SECTION("for one arrival, without a second prefill") {
     Scene scene(Send(kRead), {0, {1, 0}, 1}, Send(kChangingRole));
     scene.Ask();
     CHECK(scene.AwaitStatus() == 200);
@@ -390,14 +391,14 @@
     CHECK(scene.far_runs() == 1);
     CHECK(scene.Logged({"runner-refused", "target=near", "next=far"}));
   }
-  SECTION("not without an arrival left") {
+  SECTION("not without budget for one arrival") {
     Scene scene(Send(kRead), {0, {0, 0}, 0}, Send(kChangingRole));
     scene.Ask();
     CHECK(scene.AwaitStatus() == 503);
     CHECK(scene.run_state() == RunState::kNotRun);
     CHECK(scene.far_runs() == 0);
   }
-  SECTION("for nothing if the first one cannot be reached") {
+  SECTION("without charge if the first one is unreachable") {
     Scene scene(Send(kRead), {0, {0, 0}, 0});
     scene.LoseNearEngine();
     scene.Ask();
@@ -405,7 +406,7 @@
     CHECK(scene.reads() == 1);
     CHECK(scene.far_runs() == 1);
   }
-  SECTION("an engine that may have run it is no reason to ask another") {
+  SECTION("not if the first one may have run the request") {
     Scene scene(Send(kRead), {0, {10, 0}, 10}, Reset());
     scene.Ask();
     CHECK(scene.AwaitStatus() == 502);
@@ -413,22 +414,22 @@
   }
 }
 
-// A second reader takes a prompt whose shared part the first one holds. It
-// copies that part from there, a thirtieth of the time of reading it. A home
-// that leaves still holds what it has read; the new home copies it.
-TEST_CASE("A reader copies the shared part from its likely holder") {
+// A second prefill engine gets a prompt whose shared prefix the first one holds
+// and copies it from there, which takes a thirtieth of the time of computing
+// it. A leaving home still holds its prefixes, and the new home copies them.
+TEST_CASE("A prefill engine copies the shared prefix from its likely holder") {
   Scene scene(Send(kRead), {0, {10, 0}, 10});
   scene.AddSecondReader();
   scene.Ask();
   CHECK(scene.AwaitStatus() == 200);
   const bool first_is_home = scene.reads() == 1;
 
-  SECTION("from the other one, whichever is home") {
+  SECTION("the home copies from the other engine") {
     CHECK(scene.read_requests(first_is_home)
               .find("Kv-Fetch: " + scene.reader_address(!first_is_home)) !=
           std::string::npos);
   }
-  SECTION("from the home that is leaving") {
+  SECTION("the new home copies from the leaving home") {
     scene.LeaveReader(first_is_home);
     scene.Ask();
     CHECK(scene.AwaitStatus() == 200);
@@ -438,7 +439,7 @@
   }
 }
 
-TEST_CASE("A lone reader has nobody to copy from") {
+TEST_CASE("A single prefill engine copies from no other") {
   Scene scene(Send(kRead));
   scene.Ask();
   CHECK(scene.AwaitStatus() == 200);
@@ -446,9 +447,10 @@
         std::string::npos);
 }
 
-// On a large fleet an entry's part of the allowance is less than one attempt.
-// Its own traffic must still earn one, or no request would ever be tried again.
-TEST_CASE("An entry of a large fleet earns a whole attempt by its traffic") {
+// In a large fleet an entry's share of the retry slack is less than one retry.
+// Its own traffic must still earn whole retries, or no request would ever be
+// retried.
+TEST_CASE("An entry of a large fleet earns whole retries by its traffic") {
   Scene scene(Send(kFailure), {.share = 1, .part = {0.1, 0}});
   scene.Ask();
   scene.AwaitStatus();
@@ -458,8 +460,9 @@
   CHECK(scene.reads() == 4);
 }
 
-// Where there is another, prompts go to it; here the line tells the belief.
-TEST_CASE("An engine that resets prompts is told to be avoided") {
+// Prompts would go to another prefill engine if there was one. With a single
+// one only the log line shows that it is to be avoided.
+TEST_CASE("An engine that resets prompts is logged as avoided") {
   Scene scene(Reset());
   scene.Ask();
   scene.AwaitStatus();
@@ -467,9 +470,9 @@
   CHECK(scene.Logged({"target-avoided", "target=reader"}));
 }
 
-// The nearer of two engines resets every stream before its head, and so never
-// has any in flight.
-TEST_CASE("An engine that resets its streams is soon left alone") {
+// The near engine resets every stream before its head, so it never has requests
+// in flight.
+TEST_CASE("An engine that resets its streams soon gets no more of them") {
   Scene scene(Send(kRead), {0, {10, 0}, 10}, Reset());
   int lost = 0;
   for (int n = 0; n < 8; ++n) {
--- a/tests/platform/fault_table_process_test.cc
+++ b/tests/platform/fault_table_process_test.cc
@@ -1,5 +1,5 @@
-// The faults of each of the four who meet at a request, and what the caller of
-// each kind of request sees, with an entry's process between stand-ins.
+// Tests of an entry process between stand-ins: what the caller of each kind of
+// request sees when a target, the store, the entry or a caller fails.
 
 #include <array>
 #include <catch2/catch.hpp>
@@ -20,7 +20,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// What becomes of one request: its status (0: cut off) and its runs.
+/// Outcome of one request: its status (0 if cut off) and number of runs.
 struct Outcome {
   int status = 0;
   int runs = 0;
@@ -32,8 +32,8 @@
   return os << "status " << it.status << ", runs " << it.runs;
 }
 
-/// One request of each kind, in this order: safe, unsafe, stream, stream that
-/// may be resumed.
+/// Outcomes of one request of each kind, in this order: safe, unsafe, stream,
+/// resumable stream.
 using Outcomes = std::array<Outcome, 4>;
 
 constexpr std::array<const char*, 4> kKinds = {"safe", "unsafe", "stream",
@@ -44,7 +44,8 @@
 
 constexpr Outcomes kServed = {{{200, 1}, {200, 1}, {200, 1}, {200, 1}}};
 
-/// Sends one request of each kind at once. `meanwhile` runs beside them.
+/// Sends one request of each kind concurrently and runs `meanwhile` in the
+/// calling thread.
 Outcomes AskAll(
     PlatformScene* scene, int deadline_ms,
     const std::function<void()>& meanwhile = [] {}) {
@@ -77,11 +78,11 @@
   Outcomes expected;
 };
 
-// Every target has the same fault, so that nothing is left but the truth: 503
-// says that the request has not run and never will, 502 and 504 say nothing.
-// What may run once is sent to one target; what may run again, to as many as
-// its route allows (two).
-TEST_CASE("Faults of targets, by kind of request") {
+// Every target has the same fault, so the status shows what the entry knows:
+// 503 states that the request has not run and never will; 502 and 504 state
+// nothing. A request that may run only once is sent to one target, others to as
+// many as their route allows (two).
+TEST_CASE("Outcomes of target faults by kind of request") {
   const WorkerRow row = GENERATE(values<WorkerRow>({
       {"refuse",
        Behaviour::kRefuses,
@@ -108,7 +109,7 @@
        Behaviour::kFrozen,
        700,
        {{{504, 0}, {504, 0}, {504, 0}, {504, 0}}}},
-      // A stream that may be resumed goes on elsewhere, within one answer.
+      // A resumable stream continues at another target within one answer.
       {"break off",
        Behaviour::kBreaksMidway,
        3000,
@@ -120,16 +121,16 @@
   scene.EarnFurtherAttempts();
   scene.SetBehaviour(row.behaviour);
   CheckOutcomes(AskAll(&scene, row.deadline_ms), row.expected);
-  // The fault over, everything is served: no state of it stays behind.
+  // After the fault requests are served again; it leaves no state behind.
   scene.SetBehaviour(Behaviour::kSound);
   CHECK(WaitUntil(
       [&] { return scene.Ask("POST", "/audit/1", "after").status == 200; },
       seconds(5)));
 }
 
-// The store is away in each of its ways. No kind of request notices; what
-// changed meanwhile is in force soon after.
-TEST_CASE("Faults of the store, by kind of request") {
+// The store fails in each possible way. No kind of request is affected, and a
+// change made meanwhile takes effect soon after the store recovers.
+TEST_CASE("Outcomes of store faults by kind of request") {
   const std::string fault =
       GENERATE("refuses", "resets", "silent", "late", "garbled", "frozen");
   INFO("the store: " << fault);
@@ -141,7 +142,7 @@
   faults.slow_ms = fault == "late" ? 300 : 0;
   faults.garble = fault == "garbled";
   scene.store.SetFaults(faults);
-  // Connections stay open, and nothing comes back on any.
+  // Connections stay open, but no answer arrives on any of them.
   scene.store_path.SetPartitioned(fault == "frozen");
   std::this_thread::sleep_for(milliseconds(400));
   CheckOutcomes(AskAll(&scene, 3000), kServed);
@@ -156,16 +157,17 @@
                 seconds(6)));
 }
 
-// The entry's process stands still or dies while requests are at their targets.
-// Nothing is sent a second time on its return, and nothing that ran is denied.
-TEST_CASE("Faults of the entry, by kind of request") {
+// The entry process is suspended or killed while its requests are at their
+// targets. After it resumes it must not send a request a second time, nor
+// report a request that ran as not run.
+TEST_CASE("Outcomes of entry faults by kind of request") {
   PlatformScene scene;
   scene.SetBehaviour(Behaviour::kLate);  // Targets are at work meanwhile.
   const auto at_targets = [&] {
     return scene.Runs(kKinds[0]) + scene.Runs(kKinds[1]) == 2;
   };
 
-  SECTION("frozen for less than the requests have: all are served") {
+  SECTION("suspended within the deadline: all requests are served") {
     CheckOutcomes(AskAll(&scene, 3000,
                          [&] {
                            REQUIRE(WaitUntil(at_targets));
@@ -175,7 +177,7 @@
                          }),
                   kServed);
   }
-  SECTION("frozen past their deadline: each ends at once, none runs again") {
+  SECTION("suspended past the deadline: requests end, none runs again") {
     const Outcomes seen = AskAll(&scene, 800, [&] {
       REQUIRE(WaitUntil(at_targets));
       scene.entry->Pause();
@@ -184,14 +186,14 @@
     });
     for (std::size_t n = 0; n < seen.size(); ++n) {
       INFO(kKinds[n] << ": " << seen[n]);
-      // A stream whose answer has begun can only be broken off.
+      // A stream whose answer has begun can only be cut off.
       const bool is_broken_stream = n >= 2 && seen[n].status == 0;
       CHECK(
           (seen[n].status == 200 || seen[n].status == 504 || is_broken_stream));
       CHECK(seen[n].runs <= 1);
     }
   }
-  SECTION("killed: connections are cut, which promises nothing") {
+  SECTION("killed: connections are cut off, with unknown outcomes") {
     const Outcomes seen = AskAll(&scene, 3000, [&] {
       REQUIRE(WaitUntil(at_targets));
       scene.entry->Kill();
@@ -202,7 +204,7 @@
       CHECK(seen[n].runs <= 1);
     }
   }
-  SECTION("its settings garbled: it goes on with the ones it has") {
+  SECTION("settings file corrupted: the entry keeps its settings") {
     std::ofstream(std::getenv("INDIGOLEAD_BOOT")) << "\x01=\nnode";
     scene.entry->Signal(SIGHUP);
     std::this_thread::sleep_for(milliseconds(200));
@@ -217,20 +219,20 @@
          "X-Prefix-Hash: 5c:80,91:20\r\nContent-Length: 6\r\n\r\n";
 }
 
-// A caller misbehaves. It harms itself only: nothing runs that was not asked
-// for whole, and the entry serves the next one.
-TEST_CASE("Faults of a caller, by kind of request") {
+// A misbehaving caller affects only itself, and a request that is received
+// incompletely does not run.
+TEST_CASE("Outcomes of caller faults by kind of request") {
   const std::size_t kind = GENERATE(0, 1, 2, 3);
   INFO(kKinds[kind]);
   PlatformScene scene;
 
-  SECTION("garbled: it is told so, and nothing runs") {
+  SECTION("malformed request: answered with 400, nothing runs") {
     RawClient client(scene.callers_address);
     client.Write("\x01\x02 " + Head(kind, "r-1"));
     CHECK(client.ReadToEnd().rfind("HTTP/1.1 400", 0) == 0);
     CHECK(scene.Runs("r-1") == 0);
   }
-  SECTION("silent, or frozen within its request: closed, and nothing runs") {
+  SECTION("idle or incomplete request: closed, nothing runs") {
     RawClient silent(scene.callers_address);
     RawClient frozen(scene.callers_address);
     RawClient without_body(scene.callers_address);
@@ -245,7 +247,7 @@
     CHECK(without_body.closed());
     CHECK(scene.Runs("r-1") == 0);
   }
-  SECTION("late with its bytes, within the time: served") {
+  SECTION("slow request within the header timeout: served") {
     RawClient client(scene.callers_address);
     const std::string head = Head(kind, "r-1");
     for (std::size_t n = 0; n < head.size(); n += 40) {
@@ -257,7 +259,7 @@
     CHECK(seen.rfind("HTTP/1.1 200", 0) == 0);
     CHECK(scene.Runs("r-1") == 1);
   }
-  SECTION("resets while its request is at a target: the entry lets go of it") {
+  SECTION("reset while its request runs: the entry abandons the request") {
     scene.SetBehaviour(Behaviour::kSilent);
     {
       RawClient client(scene.callers_address);
--- a/tests/platform/platform_entry_process_test.cc
+++ b/tests/platform/platform_entry_process_test.cc
@@ -19,7 +19,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Returns true if a connection to "127.0.0.1:PORT" is taken.
+/// Returns true if a connection to "127.0.0.1:PORT" is accepted.
 bool Connects(const std::string& address) {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in to{};
@@ -36,7 +36,7 @@
 TEST_CASE("An entry serves the platform's callers from end to end") {
   PlatformScene scene;
 
-  SECTION("a plain service's answer comes unchanged") {
+  SECTION("a plain service's answer is forwarded unchanged") {
     const HttpAnswer answer = scene.Ask("GET", "/desk/1", "r-1");
     CHECK(answer.status == 200);
     CHECK(answer.body.substr(0, 7) == "menu of");
@@ -44,7 +44,7 @@
     CHECK(answer.Header("X-Response-Signature").substr(0, 4) == "sig-");
     CHECK(scene.Runs("r-1") == 1);
   }
-  SECTION("metrics count it, by the time that it took") {
+  SECTION("metrics count the request and its duration") {
     scene.Ask("GET", "/desk/1", "r-1");
     const std::string text =
         HttpCall(scene.metrics_address, "GET", "/metrics").body;
@@ -53,15 +53,15 @@
     CHECK(text.find("indigolead_answer_seconds_bucket{le=\"+Inf\"} 1\n") !=
           std::string::npos);
   }
-  SECTION("engines are given roles, and a prompt is read by another one") {
-    // Six engines of eight places: half of them read.
+  SECTION("engines get roles and prefill runs on a separate engine") {
+    // Six engines of eight slots each: half of them do prefill.
     REQUIRE(WaitUntil([&] { return scene.Staged("prefill") == 3; }));
     scene.RegisterStages();
     REQUIRE(WaitUntil([&] {
       return scene.Ask("POST", "/audit/1", "warm").status == 200 &&
              scene.Prefills() > 0;
     }));
-    // The entry hears of all roles within the gap between a watch's calls.
+    // The entry learns all roles within the gap between two watch calls.
     std::this_thread::sleep_for(seconds(1));
     const int before = scene.Prefills();
     const HttpAnswer answer = scene.Ask("POST", "/audit/1", "r-2");
@@ -70,7 +70,7 @@
     CHECK(scene.Prefills() == before + 1);
     CHECK(scene.Runs("r-2") == 1);
   }
-  SECTION("a path without route is not found; a new route is found at once") {
+  SECTION("an unknown path gets 404 until its route is added") {
     CHECK(scene.Ask("GET", "/print/1", "r-3").status == 404);
     auto next = MakeConfiguration(9);
     next["routes"].push_back(MakeRoute("print", "/print/", "safe", "app"));
@@ -78,7 +78,7 @@
     CHECK(WaitUntil(
         [&] { return scene.Ask("GET", "/print/1", "r-4").status == 200; },
         seconds(2)));
-    SECTION("and an older configuration changes nothing") {
+    SECTION("and an older configuration is ignored") {
       scene.store.Put("config", "main", MakeConfiguration(5));
       std::this_thread::sleep_for(milliseconds(300));
       CHECK(scene.Ask("GET", "/print/1", "r-5").status == 200);
@@ -86,10 +86,11 @@
   }
 }
 
-// Both targets reset every connection after they have begun to run. A request
-// that may run once must not be sent again, and its caller must not read that
-// it has not run.
-TEST_CASE("A request that may have run is neither repeated nor denied") {
+// All targets reset each connection after the run has begun. A request that may
+// run only once must not be sent again, and its caller must not be told that it
+// has not run.
+TEST_CASE(
+    "A request that may have run is not repeated or reported as not run") {
   PlatformScene scene;
   scene.EarnFurtherAttempts();
   for (ModelWorker& it : scene.workers) {
@@ -101,9 +102,9 @@
   CHECK(scene.Runs("r-2") == 2);
 }
 
-// The store goes away in each of its ways. Callers notice nothing; what changes
-// meanwhile is in force soon after its return.
-TEST_CASE("Requests are served while the store is away") {
+// The store becomes unavailable in several ways. Callers are not affected, and
+// a change made meanwhile takes effect soon after the store recovers.
+TEST_CASE("Requests are served while the store is unavailable") {
   standins::PlatformFaults refusing;
   refusing.refuse = true;
   standins::PlatformFaults resetting;
@@ -127,10 +128,10 @@
       seconds(6)));
 }
 
-// A planned stop: the balancer is told at once, what is on its way ends whole,
-// new callers are still served until the balancer has noticed, and the process
-// ends by itself, before it would be killed.
-TEST_CASE("A planned stop cuts nobody off") {
+// On a graceful stop the entry reports at once that it is not ready, completes
+// the requests in flight, serves new callers until the load balancer has
+// noticed, and exits before it would be killed.
+TEST_CASE("A graceful stop cuts off no request") {
   PlatformScene scene;
   REQUIRE(WaitUntil(
       [&] { return !scene.store.Get("entries", "front-1").is_null(); }));
@@ -141,7 +142,7 @@
   stream.ReadUntil("token1");
   scene.entry->Terminate();
   REQUIRE(WaitUntil([&] { return !scene.Ready(); }, seconds(1)));
-  // It no longer counts among the entries that share the retry allowance.
+  // The entry no longer counts among those that share the retry budget.
   CHECK(
       WaitUntil([&] { return scene.store.Get("entries", "front-1").is_null(); },
                 seconds(2)));
@@ -151,11 +152,12 @@
   CHECK(scene.entry->WaitForExit(seconds(8)) == 0);
 }
 
-// After the order to stop, the balancer still sends new connections until two
-// of its questions, a second apart, have failed; turned away, those callers
-// find nobody. But what is taken more than 3 s after the order may not end
-// before the kill, and its caller sees it cut off by a planned stop.
-TEST_CASE("A planned stop takes connections until the balancer has noticed") {
+// After the stop signal the load balancer still sends new connections until two
+// of its health checks, one second apart, have failed. Callers refused until
+// then are not served at all. A request accepted more than 3 s after the signal
+// may be cut off when the process is killed.
+TEST_CASE(
+    "A stopping entry accepts connections until the balancer has noticed") {
   PlatformScene scene;
   const auto ordered = std::chrono::steady_clock::now();
   scene.entry->Terminate();
@@ -171,9 +173,9 @@
   CHECK(scene.entry->WaitForExit(seconds(8)) == 0);
 }
 
-// Targets register in swarms. Each entry hears of them in a few calls of its
-// watch, not in one for each, and of the last of them soon.
-TEST_CASE("A swarm of changes costs a few calls, and is seen soon") {
+// Many targets may register at once. An entry must learn of them in a few watch
+// calls instead of one call each, and of the last one without delay.
+TEST_CASE("A burst of changes costs few watch calls and is seen soon") {
   PlatformScene scene;
   const auto before = scene.store.watch_calls();
   for (int n = 0; n < 100; ++n) {
@@ -188,11 +190,11 @@
   CHECK(
       WaitUntil([&] { return scene.Ask("GET", "/print/1", "r").status == 200; },
                 seconds(1)));
-  // Two watches, each with a call in 400 ms at most, over 2 s.
+  // Two watches over 2 s, each with at most one call per 400 ms.
   CHECK(scene.store.watch_calls() - before <= 12);
 }
 
-TEST_CASE("Unusable settings end the start with a clear line") {
+TEST_CASE("Invalid settings end the start with an error message") {
   const std::string path =
       (std::filesystem::temp_directory_path() / "indigolead-bad-settings")
           .string();
--- a/tests/platform/retry_budget_process_test.cc
+++ b/tests/platform/retry_budget_process_test.cc
@@ -1,5 +1,5 @@
-// The operator's bound on repeats, as targets see them: what comes to a service
-// beyond the first arrival of each request, from all entries together.
+// Tests of the operator's retry bound as targets see it: the arrivals at a
+// service after the first of each request, from all entries together.
 
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -25,7 +25,7 @@
 
 constexpr int kEntries = 4;
 
-/// Four entries before two plain targets and six engines.
+/// Four entries with two plain targets and six engines.
 class Fleet {
  public:
   Fleet() : platform({.retry_slack = rule.slack}) {
@@ -57,8 +57,8 @@
   PlatformScene platform;
 };
 
-/// Returns the window that uses most of what the rule allows, of the callers'
-/// requests to `service`.
+/// Stops the callers, whose requests go to `service`, and returns the window
+/// that uses the largest part of what the rule allows.
 RetryWindow Worst(Fleet* fleet, SteadyCallers* callers,
                   const std::string& service) {
   const auto sent = callers->Stop();
@@ -66,12 +66,12 @@
                           FurtherArrivals(&fleet->platform, service));
 }
 
-/// Guards against a process that is allowed repeats for having started.
-TEST_CASE("Entries that are killed again and again keep the bound on repeats",
+/// Guards against a retry budget that each process gets at its start.
+TEST_CASE("Entries that are killed repeatedly keep the retry bound",
           "[retry]") {
   Fleet fleet;
   SteadyCallers callers(&fleet.platform, {"GET", "/desk/1"});
-  std::this_thread::sleep_for(seconds(12));  // All save up what they may.
+  std::this_thread::sleep_for(seconds(12));  // All earn a full budget.
   fleet.platform.SetBehaviour(Behaviour::kRefuses);
   std::this_thread::sleep_for(seconds(1));
   for (int n = 0; n < 6; ++n) {
@@ -85,8 +85,9 @@
   CHECK(worst.further > 0);
 }
 
-/// Guards against parts of the allowance by lists that lack entries.
-TEST_CASE("Entries that are stopped and started together keep the bound",
+/// Guards against shares of the retry budget that are computed from incomplete
+/// lists of entries.
+TEST_CASE("Entries that stop and start together keep the retry bound",
           "[retry]") {
   Fleet fleet;
   SteadyCallers callers(&fleet.platform, {"GET", "/desk/1", 6});
@@ -105,7 +106,7 @@
   CHECK(worst.further > 0);
 }
 
-/// Reads what the entry logs for a second: a line that nobody reads is dropped.
+/// Reads the entry's log for one second, since unread lines are dropped.
 void DrainLog(Process* entry) {
   for (int n = 0; n < 50; ++n) {
     entry->output();
@@ -113,7 +114,7 @@
   }
 }
 
-/// Returns what the log of an entry says was charged for each request.
+/// Returns the arrivals charged for each request according to the log.
 std::map<std::string, int> ChargedByRequest(const std::string& log) {
   std::map<std::string, int> charged;
   std::istringstream lines(log);
@@ -128,8 +129,9 @@
   return charged;
 }
 
-/// Guards against arrivals at targets that no budget was asked for.
-TEST_CASE("Targets see no more repeats than their entry has charged",
+/// Guards against further arrivals at targets that were not charged to the
+/// retry budget.
+TEST_CASE("Targets see no more retries than their entry has charged",
           "[retry]") {
   const std::uint64_t seed = GENERATE(1, 2);
   INFO("seed " << seed);
--- a/tests/platform/soak_process_test.cc
+++ b/tests/platform/soak_process_test.cc
@@ -1,5 +1,6 @@
-// Everything fails at random between real processes, for as long as is asked:
-// INDIGOLEAD_SOAK_S seconds (6 by default), by the seed INDIGOLEAD_SOAK_SEED.
+// Soak test with random faults between real processes. INDIGOLEAD_SOAK_S sets
+// its length in seconds (6 by default), INDIGOLEAD_SOAK_SEED the random seed (1
+// by default).
 
 #include <algorithm>
 #include <atomic>
@@ -32,16 +33,16 @@
 
 enum class Kind { kSafe, kUnsafe, kStream, kResumable };
 
-/// Requests a second that a target in need takes.
+/// Requests per second that a target with a limit accepts.
 constexpr double kSoakLimit = 10;
 
-/// The stream of an engine, whose events all have the same length.
+/// The complete stream of an engine. All its events have the same length.
 constexpr char kWholeStream[] =
     "id: 1\ndata: token1\n\nid: 2\ndata: token2\n\n"
     "id: 3\ndata: token3\n\nid: 4\ndata: token4\n\n";
 constexpr std::uint64_t kEventBytes = 20;
 
-/// One request and what its caller got.
+/// One request and the answer to its caller.
 struct Asked {
   std::string id;
   Kind kind = Kind::kSafe;
@@ -55,7 +56,7 @@
   return text ? std::strtoull(text, nullptr, 10) : otherwise;
 }
 
-/// Callers that ask until they are told to stop.
+/// Callers that send requests in a loop until they are stopped.
 class Callers {
  public:
   Callers(PlatformScene* scene, std::uint64_t seed) : scene_(scene) {
@@ -68,7 +69,7 @@
   Callers(const Callers&) = delete;
   Callers& operator=(const Callers&) = delete;
 
-  /// Returns all that was asked.
+  /// Stops the callers and returns all requests.
   std::vector<Asked> Stop() {
     stopping_ = true;
     for (std::thread& it : threads_) {
@@ -109,7 +110,7 @@
   std::vector<std::thread> threads_;
 };
 
-/// Makes one thing fail after the other.
+/// Injects one random fault after another.
 class Troubles {
  public:
   Troubles(PlatformScene* scene, std::uint64_t seed)
@@ -184,8 +185,8 @@
  private:
   std::uint64_t Below(std::uint64_t n) { return random_() % n; }
 
-  /// A target asks for rest or no longer does; one engine and one plain target
-  /// come to say that they leave.
+  /// Makes a target request a pause, or stop requesting one. Occasionally makes
+  /// engine "e1" or plain target "a0" announce for good that it is leaving.
   void NextNotice() {
     constexpr std::optional<double> kRests[] = {std::nullopt, 0.3, 1, 2.5};
     const std::uint64_t n = notice_random_();
@@ -197,8 +198,8 @@
         kRests[notice_random_() % std::size(kRests)]);
   }
 
-  /// The bodies of a target's answers end with their connection, or its streams
-  /// end inside an event, or both, or neither any more.
+  /// Sets at random whether a target's answers end by closing the connection,
+  /// and whether its streams end inside an event.
   void NextBodyEnd() {
     ModelWorker::BodyEnd end;
     end.by_close = body_random_() % 2 == 0;
@@ -211,7 +212,7 @@
     scene_->workers[body_random_() % scene_->workers.size()].SetBodyEnd(end);
   }
 
-  /// A target names a limit, or no longer does.
+  /// Makes a target announce a limit, or stop announcing it.
   void NameLimit(ModelWorker* worker) {
     if (limited_.count(worker) > 0) {
       EndLimit(worker);
@@ -225,8 +226,8 @@
     if (limited_.erase(worker) == 0) {
       return;
     }
-    // A target that garbles or resets all that it gets names its limit to
-    // nobody.
+    // A target that garbles or resets all its answers announces its limit to no
+    // entry.
     if (const auto named_at = worker->limit_named_at()) {
       CHECK(MostInSpan(worker->arrivals(), *named_at + kLimitContact) <=
             MostAllowed(kSoakLimit));
@@ -249,13 +250,13 @@
 
   PlatformScene* scene_;
   RandomSource random_;
-  RandomSource limit_random_;  ///< Apart, so that limits change nothing else.
+  RandomSource limit_random_;  ///< Separate: limits change no other fault.
   RandomSource notice_random_;
   RandomSource body_random_;
-  /// When the entry was started or set going again.
+  /// When the entry was restarted or resumed.
   std::vector<std::chrono::steady_clock::time_point> excuses_;
   std::uint64_t version_ = 10;
-  std::set<ModelWorker*> limited_;  ///< Those that are to name a limit.
+  std::set<ModelWorker*> limited_;  ///< Workers that are to announce a limit.
 };
 
 void CheckAsked(PlatformScene* scene, const Asked& it) {
@@ -277,7 +278,7 @@
   }
 }
 
-/// Checks what the targets of a service saw of its requests again.
+/// Checks the further arrivals at the targets of a service against the rule.
 void CheckRepeats(PlatformScene* scene, const std::vector<Asked>& asked,
                   const std::string& service) {
   std::vector<std::chrono::steady_clock::time_point> sent;
@@ -295,7 +296,7 @@
   CHECK(worst.further <= worst.allowed);
 }
 
-/// Returns the memory that the process has in use, in MB.
+/// Returns the resident memory of the process in MiB.
 std::uint64_t MemoryOf(pid_t pid) {
   std::ifstream status("/proc/" + std::to_string(pid) + "/status");
   for (std::string line; std::getline(status, line);) {
@@ -306,13 +307,14 @@
   return 0;
 }
 
-// Targets, store, paths and the entry fail one after the other and together,
-// while callers ask. What may run once runs once at most, what is denied has
-// not run, what is answered is whole, a target that names a limit gets no more,
-// one that asks for rest gets it, one that says that it leaves is left alone,
-// and repeats keep to what the operator allows; once the troubles are over, all
-// is served again, in the memory that an entry has.
-TEST_CASE("A soak of faults breaks no promise, and ends served") {
+// Targets, the store, its connections and the entry fail one after another and
+// together while callers send requests. A request that may run once must run at
+// most once, a refused one must not have run, and answers must be complete.
+// Limits, requested pauses and announced leaves of targets must be respected,
+// and retries must stay within the operator's bound. After the faults all
+// requests must be served again, within the memory that an entry may use.
+TEST_CASE(
+    "A soak of faults breaks no guarantee and ends with requests served") {
   const std::uint64_t seed = NumberFrom("INDIGOLEAD_SOAK_SEED", 1);
   const auto length = seconds(NumberFrom("INDIGOLEAD_SOAK_S", 6));
   PlatformScene scene;
--- a/tests/platform/stale_lists_test.cc
+++ b/tests/platform/stale_lists_test.cc
@@ -15,9 +15,9 @@
 namespace indigolead::testing {
 namespace {
 
-// The store charges a tenth for reads that may be old, and does not count them
-// in its rate. Every page of such a list must say so.
-TEST_CASE("A list that may be old says so on each page") {
+// The store charges a tenth for reads that allow stale results and does not
+// count them in its rate limit. Every page of such a list must allow them.
+TEST_CASE("A list that may be stale says so on each page") {
   const bool may_be_stale = GENERATE(false, true);
   MetadataStore store;
   for (int n = 0; n < 9; ++n) {  // Three pages of four.
@@ -41,9 +41,10 @@
   CHECK(store.stale_lists() == (may_be_stale ? 3 : 0));
 }
 
-/// Guards against entries that all start at once and serve nobody until each
-/// has read thousands of targets.
-TEST_CASE("The first targets of a long list are told before the rest is read") {
+/// Guards against entries that start together and cannot serve until each has
+/// read thousands of targets.
+TEST_CASE(
+    "The first page of a long list is reported before the others are read") {
   constexpr std::size_t kPage = 4;
   const std::size_t targets = GENERATE(3, 9, 30, 100);
   MetadataStore store;
@@ -77,9 +78,9 @@
   CHECK(std::is_sorted(told.begin(), told.end()));
 }
 
-/// Guards against a list that may be old where one is to be the newest: after
-/// the first one, and in a process that starts while callers come.
-TEST_CASE("Only the first list of a watcher may be old, if any") {
+/// Guards against a stale list where the latest one is needed: after the first
+/// list, and in a process that starts while it already has callers.
+TEST_CASE("Only the first list of a watcher may be stale, if any") {
   const bool first = GENERATE(false, true);
   MetadataStore store;
   store.Put("servers", "a", "x");
@@ -104,8 +105,8 @@
   CHECK(store.stale_lists() == (first ? 1 : 0));
 }
 
-/// A watch of the targets as an entry of a small fleet has it, whose operator
-/// wants a leaving target to get nothing after 2 s.
+/// Watch of the targets, configured as in an entry of a small fleet whose
+/// operator requires that a leaving target gets no requests after 2 s.
 class FollowedTargets {
  public:
   explicit FollowedTargets(const std::string& store_address)
@@ -125,7 +126,7 @@
   bool seen() const { return seen_; }
   bool following() const { return watcher_->following(); }
   void Run(std::chrono::milliseconds length) { io_.run_for(length); }
-  /// Makes calls at the same time, whose connections are kept.
+  /// Makes concurrent calls, whose connections are then kept open.
   void MakeCalls(int calls) {
     for (int n = 0; n < calls; ++n) {
       store_.List("entries/", {}, [](const Result<ObjectStore::Listing>&) {});
@@ -155,9 +156,9 @@
   std::optional<ListWatcher> watcher_;
 };
 
-/// Guards against a target that gets requests for seconds after it left, since
-/// one call of the store went unanswered.
-TEST_CASE("A change is known within its bound though connections go silent") {
+/// Guards against requests to a target for seconds after it left because one
+/// store call was not answered.
+TEST_CASE("A change is seen within its bound though connections go silent") {
   const int kept = GENERATE(0, 1, 6);
   const auto into_wait = std::chrono::milliseconds(GENERATE(20, 700, 1300));
   INFO(kept << " connections kept, " << into_wait.count() << " ms into a call");
@@ -168,7 +169,7 @@
   targets.Run(std::chrono::milliseconds(300));
   REQUIRE(targets.following());
   targets.MakeCalls(kept);
-  store.Put("servers", "b", "x");  // Ends the call that waits.
+  store.Put("servers", "b", "x");  // Ends the waiting call.
   targets.Run(std::chrono::milliseconds(250) + into_wait);
   path.SilenceOpenConnections();
   store.Put("servers", "leaving", "x");
@@ -177,9 +178,9 @@
   CHECK(targets.seen());
 }
 
-/// Guards against the same where the store answers a call that waits late or
-/// never, and others at once.
-TEST_CASE("A change is known within its bound though a waiting call is lost") {
+/// Guards against requests to a target that left, when the store answers
+/// waiting calls late or never but other calls at once.
+TEST_CASE("A change is seen within its bound though a waiting call is lost") {
   MetadataStore store;
   store.Put("servers", "a", "x");
   FollowedTargets targets(store.address());
--- a/tests/platform/store_return_test.cc
+++ b/tests/platform/store_return_test.cc
@@ -12,11 +12,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// From the choice of a target to the request's first byte there.
+/// Time from the choice of a target to the request's first byte there.
 constexpr Duration kUse = milliseconds(100);
 
-/// The operator's two bounds: a target that leaves gets nothing after the
-/// first, from an entry whose store has been well for the second.
+/// The operator's two bounds. A target that has left gets no requests after
+/// `leaving`, from an entry whose store has been reachable for `contact`.
 struct Bounds {
   Duration leaving;
   Duration contact;
@@ -31,7 +31,7 @@
   return settings;
 }
 
-/// A release that goes on while one entry loses the store and has it back.
+/// Simulates a rolling release while one entry loses the store and regains it.
 class ReturnWorld {
  public:
   ReturnWorld(std::uint32_t seed, const Bounds& bounds)
@@ -44,18 +44,19 @@
     RunFor(seconds(2) + milliseconds(Draw(0, 2000)));
   }
 
-  /// Loses the store for `length`; from shortly before its return on, targets
-  /// leave one after the other. Some have said so, others are just removed.
+  /// Makes the store unreachable for `length`. From shortly before its return,
+  /// targets leave one after another: some announce it, others are just
+  /// removed.
   void LoseStore(StorePath way, Duration length) {
     entry_->path().SetPath(way);
-    // Connections fall silent at one moment; whoever opens new ones is served.
+    // Open connections go silent at one moment; new connections work at once.
     const TimePoint back =
         timeline_.now + (way == StorePath::kKeptSilent ? kStep : length);
     RunThrough(back);
   }
 
-  /// As `LoseStore`, and the store drops targets that live. Each is back within
-  /// two seconds of its return.
+  /// As `LoseStore`, but the store also drops live targets. Each of them is
+  /// registered again within two seconds of the return of the store.
   void LoseStoreAndLiveTargets(StorePath way, Duration length) {
     entry_->path().SetPath(way);
     for (int n = kTargets / 2; n < kTargets; ++n) {
@@ -103,7 +104,7 @@
   void TargetLeaves() {
     const int n = next_target_++;
     if (n >= kTargets / 2) {
-      return;  // The other half lives on.
+      return;  // The other half stays.
     }
     const std::string key = "servers/i-" + std::to_string(n);
     left_at_[key] = timeline_.now;
@@ -124,7 +125,8 @@
     }
   }
 
-  /// What may be used now may be reached by a request that is placed now.
+  /// Checks the usable targets. A request that is placed now reaches its target
+  /// after `kUse`.
   void Check() {
     const TimePoint reached = timeline_.now + kUse;
     for (const auto& [key, left_at] : left_at_) {
@@ -149,7 +151,7 @@
   RegistrationTable table_;
   std::unique_ptr<FollowingEntry> entry_;
   std::map<std::string, TimePoint> left_at_;
-  TimePoint in_touch_at_{};  ///< The store has been well for long enough.
+  TimePoint in_touch_at_{};  ///< End of the time `contact`.
   int next_target_ = 0;
   int late_ = 0;
   int live_given_up_ = 0;
@@ -170,9 +172,9 @@
 }
 
 /// Guards against requests to targets that left while an entry could not read
-/// the store, or soon after: each wait on the way kept its own limit, and their
-/// sum passed the operator's bound.
-TEST_CASE("No way of losing the store keeps a target in use that left") {
+/// the store or soon after. Each delay in the chain was within its own limit,
+/// but their sum exceeded the operator's bound.
+TEST_CASE("A target that left is not used after any kind of store outage") {
   const Bounds bounds = AnyBounds();
   const StorePath way =
       GENERATE(StorePath::kRefused, StorePath::kReset, StorePath::kSilent,
@@ -180,7 +182,7 @@
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
     ReturnWorld world(seed, bounds);
     world.LoseStore(way, world.DrawLength());
-    INFO("seed " << seed << ", way " << static_cast<int>(way) << ", bounds "
+    INFO("seed " << seed << ", fault " << static_cast<int>(way) << ", bounds "
                  << TextOf(bounds.leaving) << " and " << TextOf(bounds.contact)
                  << ", used after " << TextOf(world.longest_late()));
     CHECK(world.left() > 0);
@@ -189,16 +191,16 @@
   }
 }
 
-/// Guards against callers that are refused since live targets, which the store
-/// dropped while it was away, are taken for gone.
-TEST_CASE("Live targets that a lost store dropped stay in use") {
+/// Guards against refused callers because live targets that the store dropped
+/// during an outage are assumed to be gone.
+TEST_CASE("Live targets that the store dropped in an outage stay in use") {
   const StorePath way = GENERATE(StorePath::kRefused, StorePath::kReset,
                                  StorePath::kSilent, StorePath::kOneWay);
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
     ReturnWorld world(seed, {seconds(2), seconds(3)});
     world.LoseStoreAndLiveTargets(way, seconds(5) + world.DrawLength() / 4);
-    INFO("seed " << seed << ", way " << static_cast<int>(way) << ", used after "
-                 << TextOf(world.longest_late()));
+    INFO("seed " << seed << ", fault " << static_cast<int>(way)
+                 << ", used after " << TextOf(world.longest_late()));
     CHECK(world.live_given_up() == 0);
     CHECK(world.late() == 0);
   }
--- a/tests/platform/support/metadata_store.cc
+++ b/tests/platform/support/metadata_store.cc
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 
 constexpr char kPrefix[] = "/api/objects/";
-constexpr std::size_t kPage = 4;  // Small, so that tests turn pages.
+constexpr std::size_t kPage = 4;  // Small, so that tests read several pages.
 constexpr milliseconds kStallStep{50};
 
 const standins::HttpHeaders& JsonType() {
@@ -242,7 +242,7 @@
   };
   ++waiting_watches_;
   while (has_nothing_to_tell() && std::chrono::steady_clock::now() < end) {
-    // Woken by changes of other kinds too.
+    // Changes of other kinds end this wait too.
     co_await changed_->Wait(std::chrono::ceil<milliseconds>(
         end - std::chrono::steady_clock::now()));
   }
--- a/tests/platform/support/metadata_store.h
+++ b/tests/platform/support/metadata_store.h
@@ -13,8 +13,8 @@
 
 namespace indigolead::testing {
 
-/// Stand-in of the platform's metadata store: objects by kind and name,
-/// conditional writes, and watches that wait, with faults set from outside.
+/// Stand-in for the platform's metadata store with fault injection. Serves
+/// objects by kind and name, conditional writes and long-polling watches.
 class MetadataStore {
  public:
   MetadataStore();
@@ -24,7 +24,7 @@
 
   std::string address() const { return server_.address(); }
 
-  /// Writes the object, whatever its revision, as an operator or a target.
+  /// Writes the object unconditionally, as an operator or a target does.
   void Put(const std::string& kind, const std::string& name,
            const nlohmann::json& spec);
   void Remove(const std::string& kind, const std::string& name);
@@ -35,18 +35,18 @@
   /// Returns the object's revision; 0 if there is none.
   std::uint64_t RevisionOf(const std::string& kind, const std::string& name);
 
-  /// What becomes of every call until it is set again.
+  /// Sets the faults of all calls from now on.
   void SetFaults(const standins::PlatformFaults& faults);
-  /// Refuses connections and cuts the open ones, or serves again.
+  /// Refuses connections and closes the open ones, or serves again.
   void SetDown(bool down) { server_.SetDown(down); }
-  /// Returns how many calls listed objects and allowed an old state.
+  /// Returns the number of list calls that allowed stale results.
   int stale_lists();
-  /// Returns how many calls of watches came so far.
+  /// Returns the number of watch calls so far.
   int watch_calls();
-  /// Cuts every waiting watch once, or the next call of one if a client is
-  /// between two of its calls.
+  /// Closes the connection of every waiting watch call, or of the next watch
+  /// call if none is waiting.
   void DropWatches();
-  /// Forgets the history: watches from before are told so.
+  /// Discards the history. Watches from an older revision get status 410.
   void Compact();
 
  private:
@@ -80,7 +80,7 @@
                              const std::string& kind, std::string name);
   standins::Task Delete(standins::HttpExchange& exchange,
                         const std::string& kind, std::string name);
-  /// Answers a write that was done, or loses its answer.
+  /// Answers a completed write, or drops the answer.
   standins::Task Confirm(standins::HttpExchange& exchange, std::string body);
   void Store(const std::string& kind, const std::string& name,
              const nlohmann::json& spec);
--- a/tests/platform/support/model_worker.cc
+++ b/tests/platform/support/model_worker.cc
@@ -106,7 +106,7 @@
   }
   co_await exchange.Sleep(kCrashAfter);
   if (!exchange.open()) {
-    co_return;  // Another request has crashed it meanwhile.
+    co_return;  // Another request has crashed the worker meanwhile.
   }
   crashes_.push_back(std::chrono::steady_clock::now());
   running_ = 0;
@@ -129,7 +129,7 @@
     server_.SetDownOnServerThread(false);
     ++born_;
   } catch (const boost::system::system_error&) {
-    StayDown(kStep);  // Somebody else's connection has the port.
+    StayDown(kStep);  // The port is in use by another connection.
   }
 }
 
--- a/tests/platform/support/model_worker.h
+++ b/tests/platform/support/model_worker.h
@@ -17,8 +17,8 @@
 
 namespace indigolead::testing {
 
-/// Stand-in of one of the platform's targets: a model engine that reads
-/// prompts or makes answers by its stage, or a plain service.
+/// Stand-in for a target of the platform: a plain service, or a model engine
+/// that does prefill or decode according to its stage.
 class ModelWorker {
  public:
   struct Options {
@@ -26,45 +26,45 @@
     std::string service;
     std::string failure_domain;
     bool is_engine = true;
-    int events = 4;  ///< Of each stream.
-    /// Between two events of a stream that runs alone; each further one in the
-    /// batch makes all of them as much slower.
+    int events = 4;  ///< Events of each stream.
+    /// Gap between two events of a stream that runs alone. The gap grows in
+    /// proportion to the number of concurrent runs.
     std::chrono::milliseconds event_gap{5};
-    int slots = 8;  ///< Runs at once; further ones are refused.
+    int slots = 8;  ///< Concurrent runs; more are refused.
   };
-  /// What becomes of requests to run.
+  /// How the worker handles requests to run.
   enum class Behaviour {
     kSound,
-    kRefuses,       ///< 503, proved not to have run.
-    kFails,         ///< Runs, and answers 500.
+    kRefuses,       ///< 503, marked as not executed.
+    kFails,         ///< Runs and answers with 500.
     kResets,        ///< Begins to run, then resets the connection.
-    kSilent,        ///< Runs, and never answers.
+    kSilent,        ///< Runs and never answers.
     kFrozen,        ///< Neither runs nor answers.
     kLate,          ///< Answers after `kLateness`.
-    kGarbled,       ///< Runs, and sends bytes that are no answer.
-    kWrongLength,   ///< Runs, states too long a body, and closes.
-    kExtraAnswer,   ///< Sends another answer a moment after the whole one.
-    kBreaksMidway,  ///< The first run of an id resets after two events.
+    kGarbled,       ///< Runs and sends bytes that are not HTTP.
+    kWrongLength,   ///< Runs, states too long a body and resets.
+    kExtraAnswer,   ///< Sends a second answer shortly after the first.
+    kBreaksMidway,  ///< Resets midway: a new stream after two events.
   };
   /// How the bodies of answers to requests end.
   struct BodyEnd {
-    bool by_close = false;  ///< Neither a length nor chunks.
-    /// Bytes after which a stream ends in order without being whole.
+    bool by_close = false;  ///< By closing: neither a length nor chunks.
+    /// Bytes after which a stream ends cleanly but incomplete.
     std::optional<std::size_t> cut_after;
-    bool cut_resumed = false;  ///< Streams that go on after an event as well.
+    bool cut_resumed = false;  ///< Applies to resumed streams too.
   };
   static constexpr std::chrono::milliseconds kLateness{300};
-  /// From the begin of a run that crashes the target to the crash, and from
-  /// there to its next start.
+  /// Time from the start of a run that crashes the target to the crash.
   static constexpr std::chrono::milliseconds kCrashAfter{60};
+  /// Time from the crash to the restart.
   static constexpr std::chrono::milliseconds kDownFor{700};
-  /// A caller's request that came, to run or to have its prompt read.
+  /// Arrival of a caller's request, for a run or for prefill only.
   struct Arrival {
     std::string request_id;
     std::chrono::steady_clock::time_point at;
     std::string path;
-    bool is_reading = false;  ///< Its prompt is to be read, no more.
-    bool accepted = false;    ///< Of a reading: it was not rejected.
+    bool is_reading = false;  ///< Prefill only.
+    bool accepted = false;    ///< The prefill was not rejected.
   };
 
   explicit ModelWorker(Options options);
@@ -78,51 +78,52 @@
   /// Returns how often the request with this id was run.
   int runs(const std::string& request_id);
   int prefills();
-  /// Returns the client accounts told with each arrival of the request, to read
-  /// its prompt or to run it.
+  /// Returns the client account named in each arrival of the request, for
+  /// prefill or for a run.
   std::vector<std::string> accounts(const std::string& request_id);
-  /// Returns the callers' requests that came, in the order in which they did.
+  /// Returns the arrivals of callers' requests in order of time.
   std::vector<Arrival> request_arrivals();
-  /// Returns the service whose target this is.
+  /// Returns the service that this target belongs to.
   const std::string& service() const { return options_.service; }
-  /// Returns how many arrivals had a caller's key with them.
+  /// Returns how many arrivals carried a caller's API key.
   int keys_seen();
   void SetBehaviour(Behaviour behaviour);
   void SetBodyEnd(BodyEnd end);
-  /// Crashes with all that it runs shortly after it has begun to run a request
-  /// of that path, and starts anew a moment later. No path: never.
+  /// Makes the worker crash with all its runs `kCrashAfter` after it starts to
+  /// run a request for `path`, and restart after `kDownFor`. An empty path
+  /// disables this.
   void SetCrashesOn(std::string path);
-  /// Returns when it crashed.
+  /// Returns the times of the crashes.
   std::vector<std::chrono::steady_clock::time_point> crashes();
-  /// Names a limit in all answers from now on, in requests a second, or none.
-  /// It is named only: whatever comes is served.
+  /// Sets the limit, in requests per second, that all answers announce from now
+  /// on, or none. The worker does not enforce it.
   void SetNamedLimit(std::optional<double> limit);
-  /// Returns when an answer first named the limit that is named now; nothing if
-  /// none has yet, as where all answers are lost or garbled.
+  /// Returns when an answer first announced the current limit. Empty if none
+  /// has yet, for instance because the worker resets or garbles all its
+  /// answers.
   std::optional<std::chrono::steady_clock::time_point> limit_named_at();
   using Rest = AskedRest<std::chrono::steady_clock::time_point>;
-  /// Turns all callers' requests away from now on and asks for rest of that
-  /// many seconds, or none.
+  /// Makes the worker refuse all callers' requests from now on with a
+  /// Retry-After of `seconds`, or serve them again.
   void SetAskedRest(std::optional<double> seconds);
-  /// Returns the rests that were asked for.
+  /// Returns the pauses that were requested with Retry-After.
   std::vector<Rest> rests();
-  /// Says in all answers from now on that it leaves, or not.
+  /// Sets whether answers announce from now on that the target is leaving.
   void SetSaysLeaving(bool leaving);
-  /// Returns when answers said that it leaves.
+  /// Returns when answers announced that the target is leaving.
   std::vector<std::chrono::steady_clock::time_point> said_leaving_at();
-  /// Returns when each request came, to run, to read a prompt or of any other
-  /// kind.
+  /// Returns the arrival times of all requests, control calls included.
   std::vector<std::chrono::steady_clock::time_point> arrivals();
 
  private:
   standins::Task Handle(standins::HttpExchange& exchange);
-  /// Turns the request away and asks for rest.
+  /// Refuses the request with a Retry-After header.
   standins::Task AskForRest(standins::HttpExchange& exchange);
   standins::Task Prefill(standins::HttpExchange& exchange);
   standins::Task Run(standins::HttpExchange& exchange);
   standins::Task Order(standins::HttpExchange& exchange);
   standins::Task Wait(standins::HttpExchange& exchange);
-  /// Crashes if the request is one that it crashes on.
+  /// Crashes if the request is for the path that triggers crashes.
   standins::Task CrashIfAsked(standins::HttpExchange& exchange, bool* crashed);
   void StayDown(std::chrono::milliseconds length);
   void StartAnew();
@@ -134,7 +135,7 @@
   standins::Task WriteBody(standins::HttpExchange& exchange, std::string data);
   standins::Task EndBody(standins::HttpExchange& exchange);
   standins::HttpHeaders AnswerHeaders(const std::string& id);
-  /// Returns the headers that every answer has.
+  /// Returns the headers that announce a limit or that the target is leaving.
   standins::HttpHeaders CommonHeaders();
 
   Options options_;
@@ -146,7 +147,7 @@
   std::string crashes_on_;
   std::vector<std::chrono::steady_clock::time_point> crashes_;
   std::unique_ptr<boost::asio::steady_timer> down_;
-  std::int64_t born_ = 1;  ///< Another number for each start.
+  std::int64_t born_ = 1;  ///< Differs for each start of the process.
   int running_ = 0;
   std::map<std::string, int> runs_;
   std::map<std::string, std::vector<std::string>> accounts_;
--- a/tests/platform/support/platform_scene.cc
+++ b/tests/platform/support/platform_scene.cc
@@ -49,14 +49,14 @@
   const bool ready = WaitUntil([&] { return Ready(); });
   INFO("the entry's output: " << entry->output());
   REQUIRE(ready);
-  // Until it has counted the entries it makes next to no further attempts.
+  // An entry makes almost no retries before it knows the number of entries.
   REQUIRE(
       WaitUntil([&] { return Metric("indigolead_entries_counted") == "1"; }));
 }
 
 namespace {
 
-/// Starts the process of an entry whose settings are named by the environment.
+/// Starts an entry process, whose settings file the environment names.
 void StartProcess(const std::string& metrics_address,
                   std::optional<Process>* process) {
   const std::string port =
@@ -153,7 +153,7 @@
 }
 
 void PlatformScene::EarnFurtherAttempts() {
-  // Each earns 0.14 of an arrival, and an attempt makes two at an engine.
+  // Each request earns 0.14 of an arrival, and a retry at an engine costs two.
   constexpr int kRequests = 16;
   for (int n = 0; n < kRequests; ++n) {
     const std::string id = "earns-" + std::to_string(n);
--- a/tests/platform/support/platform_scene.h
+++ b/tests/platform/support/platform_scene.h
@@ -19,23 +19,22 @@
 
 namespace indigolead::testing {
 
-/// Returns one route of a configuration, as the operator writes it.
+/// Returns one route in the JSON form of the platform's configuration.
 nlohmann::json MakeRoute(const std::string& name, const std::string& prefix,
                          const std::string& kind, const std::string& service);
 
-/// Returns a configuration of four routes, one of each kind of request:
-/// "/desk/" (safe), "/menu/" (unsafe), "/audit/" (stream) and "/resume/"
-/// (stream that may be resumed).
+/// Returns a configuration with one route for each kind of request: "/desk/"
+/// (safe), "/menu/" (unsafe), "/audit/" (stream) and "/resume/" (resumable
+/// stream).
 nlohmann::json MakeConfiguration(std::uint64_t version);
 
-/// One entry on a platform of stand-ins: a store behind a relay, six engines
-/// and two plain targets.
+/// Test fixture that runs an entry process against stand-ins of the platform: a
+/// metadata store behind a relay, six engines and two plain targets.
 class PlatformScene {
  public:
   struct Options {
-    bool reports_usage = false;  ///< The platform asks for usage each second.
-    /// What its operator allows of further arrivals beside a share of the
-    /// requests.
+    bool reports_usage = false;  ///< Usage is reported every second.
+    /// Retries that the operator allows in addition to a share of the requests.
     double retry_slack = 50;
   };
   PlatformScene() : PlatformScene(Options{}) {}
@@ -44,10 +43,10 @@
   PlatformScene(const PlatformScene&) = delete;
   PlatformScene& operator=(const PlatformScene&) = delete;
 
-  /// One entry more, with addresses of its own.
+  /// Additional entry process with its own addresses.
   class FurtherEntry {
    public:
-    /// Starts its process, in place of one that has ended.
+    /// Starts the process, replacing one that has ended.
     void Start();
     bool Ready() const;
     /// Returns the value of a counter or gauge; empty if absent.
@@ -60,48 +59,50 @@
     std::optional<Process> process;
   };
 
-  /// Starts the entry's process, in place of one that has ended.
+  /// Starts the entry process, replacing one that has ended.
   void StartEntry();
   bool Ready();
-  /// Starts a further entry, under a name of its own.
+  /// Starts a further entry named `name`.
   void AddEntry(const std::string& name);
-  /// Returns true if every entry is ready and has counted all of them.
+  /// Returns true if every entry is ready and knows the number of all entries.
   bool AllReady();
 
   /// Returns the value of a counter or gauge of the entry; empty if absent.
   std::string Metric(const std::string& name);
 
-  /// Asks the entry whose callers' address this is.
+  /// Sends a request to the entry that listens for callers at `address`.
   static HttpAnswer AskAt(const std::string& address, const std::string& method,
                           const std::string& path, const std::string& id,
                           int deadline_ms);
   HttpAnswer Ask(const std::string& method, const std::string& path,
                  const std::string& id, int deadline_ms = 4000);
-  /// Asks with a caller's key.
+  /// Sends a request with the caller's API key `key`.
   HttpAnswer AskWithKey(const std::string& key, const std::string& method,
                         const std::string& path, const std::string& id);
 
-  /// Asks for what is served, until the entry has earned a further attempt at
-  /// each service: it begins with none.
+  /// Sends successful requests until the entry has earned budget for a retry at
+  /// each service. An entry starts without budget.
   void EarnFurtherAttempts();
 
-  /// Writes each worker's registration as it is now.
+  /// Writes the current registration of each worker to the store.
   void Register();
-  /// Registers the workers with the stages that they have been ordered, and
-  /// waits until the entry knows: it may take some hundred ms to learn of
-  /// changes that come one after the other.
+  /// Registers the workers with the stages that they were ordered to take and
+  /// waits until the entry has seen them, which may take a few hundred
+  /// milliseconds for a series of changes.
   void RegisterStages();
   void SetBehaviour(ModelWorker::Behaviour behaviour);
   ModelWorker& worker(const std::string& id);
 
-  /// Returns the number of prompts read apart, of runs of a request, and of
-  /// engines in a stage.
+  /// Returns the number of separate prefills at all workers.
   int Prefills();
+  /// Returns how often the request `id` was run, at all workers.
   int Runs(const std::string& id);
+  /// Returns the number of engines in `stage`.
   int Staged(const std::string& stage);
-  /// Returns the client accounts told with each arrival of a request, at all
-  /// workers, and how many arrivals had a caller's key with them.
+  /// Returns the client account named in each arrival of a request, at all
+  /// workers.
   std::vector<std::string> Accounts(const std::string& id);
+  /// Returns how many arrivals at all workers carried a caller's API key.
   int KeysSeen();
 
   UsageReceiver usage;
@@ -117,7 +118,7 @@
  private:
   void AddWorker(const std::string& id, const std::string& service,
                  bool is_engine);
-  /// Returns the path of the settings of the entry `name`.
+  /// Writes the settings file of the entry `name` and returns its path.
   std::string WriteSettings(const std::string& name, const std::string& callers,
                             const std::string& ready);
 
--- a/tests/platform/support/repeats.cc
+++ b/tests/platform/support/repeats.cc
@@ -11,7 +11,7 @@
 
 using Arrivals = std::vector<ModelWorker::Arrival>;
 
-/// Returns the arrivals of each request beyond its first, in their order.
+/// Returns the arrivals of each request after its first, in order of time.
 std::map<std::string, Arrivals> FurtherOf(PlatformScene* scene,
                                           const std::string& service) {
   std::map<std::string, Arrivals> by_request;
@@ -38,7 +38,7 @@
   return by_request;
 }
 
-/// Returns the status that the request gets.
+/// Sends one request and returns the status of its answer.
 int Send(const std::string& address, const SteadyCallers::Load& load,
          const std::string& id) {
   std::vector<std::pair<std::string, std::string>> headers = {
--- a/tests/platform/support/repeats.h
+++ b/tests/platform/support/repeats.h
@@ -14,26 +14,26 @@
 
 namespace indigolead::testing {
 
-/// Returns when requests came to the service's targets beyond the first arrival
-/// of each, sorted. The first reading of a prompt that a target accepts is part
-/// of a request's first arrival.
+/// Returns the sorted times of all further arrivals at the service's targets,
+/// which are those after the first arrival of each request. The first prefill
+/// that a target accepts counts as part of a request's first arrival.
 std::vector<std::chrono::steady_clock::time_point> FurtherArrivals(
     PlatformScene* scene, const std::string& service);
 
-/// Returns how many such arrivals each request had, by the request's id.
+/// Returns the number of further arrivals of each request, by request id.
 std::map<std::string, std::size_t> FurtherArrivalsByRequest(
     PlatformScene* scene, const std::string& service);
 
-/// Callers of one kind of request, who spread over all entries and each ask at
-/// a steady pace, whatever they get.
+/// Callers that send one kind of request to all entries in turn, at a constant
+/// rate that does not depend on the answers.
 class SteadyCallers {
  public:
   struct Load {
     std::string method;
     std::string path;
-    double per_second = 32;  ///< Of all of them together.
+    double per_second = 32;  ///< Total of all callers.
     int deadline_ms = 1500;
-    bool has_prompt = false;  ///< Says how long, and which parts it has.
+    bool has_prompt = false;  ///< Sends the length and parts of a prompt.
   };
 
   SteadyCallers(PlatformScene* scene, const Load& load);
@@ -41,9 +41,9 @@
   SteadyCallers(const SteadyCallers&) = delete;
   SteadyCallers& operator=(const SteadyCallers&) = delete;
 
-  /// Lets no further request begin, without waiting for those that have.
+  /// Stops new requests without waiting for those in flight.
   void RequestStop() { stopping_ = true; }
-  /// Returns when each request was sent, sorted.
+  /// Waits for all callers and returns the sorted send times of all requests.
   std::vector<std::chrono::steady_clock::time_point> Stop();
   int served() const { return served_; }
 
--- a/tests/platform/support/return_world.cc
+++ b/tests/platform/support/return_world.cc
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr Duration kWay = milliseconds(2);  ///< To the store, and back.
+constexpr Duration kWay = milliseconds(2);  ///< In each direction.
 constexpr Duration kSlowAnswer = milliseconds(250);
 constexpr Duration kTick = milliseconds(25);
 
@@ -124,7 +124,7 @@
     return;
   }
   it->second.answered = true;
-  // The answer shows the store as it is now, whenever it gets here.
+  // The answer holds the state of the store now, not at its arrival.
   const auto answer = std::move(it->second.answer);
   answer();
 }
--- a/tests/platform/support/return_world.h
+++ b/tests/platform/support/return_world.h
@@ -18,23 +18,23 @@
 #include "store/object_store.h"
 #include "tests/support/watch_world.h"
 
-// Entries that follow the targets through a store that is lost in many ways and
-// comes back, in simulated time.
+// Simulates, in simulated time, an entry that follows the targets in a store
+// which becomes unreachable in several ways and returns.
 namespace indigolead::testing {
 
-/// What becomes of an entry's calls of the store.
+/// How an entry's calls to the store fail, if they do.
 enum class StorePath {
   kWell,
   kRefused,  ///< Answered with 503 at once.
   kReset,    ///< Each connection is reset at once.
   kSilent,   ///< Nothing is answered.
-  kOneWay,   ///< Calls arrive, their answers do not.
-  kSlow,     ///< Each answer comes a quarter of a second late.
-  /// Connections that were open bear nothing any more, new ones are well.
+  kOneWay,   ///< Calls arrive, but their answers are lost.
+  kSlow,     ///< Each answer takes 250 ms.
+  /// Open connections carry no more data; new ones work.
   kKeptSilent,
 };
 
-/// The targets' registrations, with the history of their changes.
+/// Registrations of the targets, with the history of their changes.
 class RegistrationTable {
  public:
   struct Change {
@@ -45,7 +45,7 @@
   void Put(const std::string& key, const std::string& value);
   void Remove(const std::string& key);
   std::uint64_t version() const { return changes_.size(); }
-  /// Returns the changes after `from`.
+  /// Returns the changes after version `from`.
   WatchBatch After(std::uint64_t from) const;
   ObjectStore::Listing Listed() const;
   void OnChange(std::function<void()> hook) {
@@ -60,7 +60,7 @@
   std::vector<std::function<void()>> hooks_;
 };
 
-/// The store as one entry reaches it.
+/// Store client of one entry, with simulated connection faults.
 class PathToStore : public ObjectStore {
  public:
   PathToStore(Timeline* timeline, RegistrationTable* table,
@@ -94,12 +94,12 @@
     bool answered = false;
     bool waits = false;
     std::uint64_t from = 0;
-    bool lost = false;  ///< Its connection bears nothing any more.
+    bool lost = false;  ///< Its connection carries no more data.
     std::function<void()> answer;
     std::function<void(const Error&)> fail;
   };
 
-  /// Makes a call that `answer` ends once the store has it.
+  /// Starts a call, whose `answer` runs once the store has received it.
   std::uint64_t Begin(Duration deadline, Call call);
   void Poll(std::uint64_t from, Duration wait, Duration deadline,
             PolledWatch::PollDone done);
@@ -112,13 +112,14 @@
   RegistrationTable* table_;
   platform::PlatformObjectStore::Options options_;
   StorePath path_ = StorePath::kWell;
-  /// Kept connections that bear nothing; a call that runs out of time shows it.
+  /// True while kept connections carry no data. A call that times out on one
+  /// reveals this and ends it.
   bool kept_silent_ = false;
   std::map<std::uint64_t, Call> open_;
   std::uint64_t calls_ = 0;
 };
 
-/// An entry that judges by the store which targets may get new work.
+/// Entry that decides from the store which targets may get new requests.
 class FollowingEntry {
  public:
   FollowingEntry(Timeline* timeline, RegistrationTable* table,
@@ -126,7 +127,7 @@
                  std::function<double()> jitter);
 
   PathToStore& path() { return path_; }
-  /// Returns the targets that may get new work.
+  /// Returns the targets that may get new requests.
   const std::set<std::string>& usable() const { return usable_; }
 
  private:
--- a/tests/platform/support/scripted_answers.h
+++ b/tests/platform/support/scripted_answers.h
@@ -6,7 +6,7 @@
 
 #include "tests/support/scripted_server.h"
 
-// Answers of the platform's targets, byte by byte.
+// Scripts of raw bytes that stand in for answers of the platform's targets.
 namespace indigolead::testing {
 
 using Script = std::vector<ScriptStep>;
@@ -23,7 +23,7 @@
 /// Returns the script that resets the connection.
 inline Script Reset() { return {{ScriptStep::Kind::kReset, ""}}; }
 
-/// Returns the script that is silent for 300 ms and then resets.
+/// Returns the script that pauses for 300 ms and then resets the connection.
 inline Script SlowReset() {
   return {{ScriptStep::Kind::kPause, ""}, {ScriptStep::Kind::kReset, ""}};
 }
--- a/tests/platform/support/usage_receiver.cc
+++ b/tests/platform/support/usage_receiver.cc
@@ -79,18 +79,18 @@
                         report.at("counts").is_object() && !fence.empty() &&
                         !request.Header("X-Lease-Holder").empty();
   if (!readable) {
-    broken_.push_back("a report that cannot be read");
+    broken_.push_back("usage report cannot be parsed");
     return;
   }
   const std::uint64_t number = std::stoull(fence);
   if (number < highest_) {
-    broken_.push_back("a number fell");
+    broken_.push_back("fencing number decreased");
   }
   highest_ = std::max(highest_, number);
   const auto [it, first] = counts_.emplace(
       report.at("window").get<std::int64_t>(), report.at("counts"));
   if (!first && it->second != report.at("counts")) {
-    broken_.push_back("two contents for a window");
+    broken_.push_back("different reports for one window");
   }
 }
 
--- a/tests/platform/support/usage_receiver.h
+++ b/tests/platform/support/usage_receiver.h
@@ -11,17 +11,17 @@
 
 namespace indigolead::testing {
 
-/// Stand-in of the part of the platform that takes usage reports, and checks
-/// what must hold for all of them together.
+/// Stand-in for the platform's receiver of usage reports. Checks that the
+/// reports are consistent with each other.
 class UsageReceiver {
  public:
-  /// What becomes of a report.
+  /// How the receiver handles a report.
   enum class Behaviour {
     kSound,
-    kBusy,    ///< 503, not taken.
-    kSilent,  ///< Taken, and never answered.
-    kResets,  ///< Taken, and the connection is reset.
-    kSlow,    ///< Taken, and answered after `kSlowness`.
+    kBusy,    ///< Answers 503 without recording the report.
+    kSilent,  ///< Records the report and never answers.
+    kResets,  ///< Records the report and resets the connection.
+    kSlow,    ///< Records the report and answers after `kSlowness`.
   };
   static constexpr std::chrono::milliseconds kSlowness{700};
 
@@ -32,12 +32,12 @@
   std::string address() const { return server_.address(); }
   void SetBehaviour(Behaviour behaviour);
 
-  /// Returns how many requests of `account` the windows taken add up to.
+  /// Returns the requests of `account`, summed over all recorded windows.
   std::uint64_t Requests(const std::string& account);
-  /// Returns the number of windows of which a report was taken.
+  /// Returns the number of windows with a recorded report.
   std::size_t windows();
-  /// Returns what was wrong: two contents for a window, a number that fell, or
-  /// words that cannot be read.
+  /// Returns the violations found: different reports for one window, a fencing
+  /// number that decreased, or a report that cannot be parsed.
   std::vector<std::string> broken();
 
  private:
--- a/tests/platform/target_limit_process_test.cc
+++ b/tests/platform/target_limit_process_test.cc
@@ -1,5 +1,5 @@
-// A target in need names the requests a second that it takes from all entries
-// together; entries in processes of their own, between stand-ins.
+// Tests of entry processes with targets that announce a limit on the requests
+// per second from all entries together.
 
 #include <atomic>
 #include <catch2/catch.hpp>
@@ -16,9 +16,9 @@
 using std::chrono::seconds;
 using Time = std::chrono::steady_clock::time_point;
 
-constexpr double kLimit = 5;  ///< Requests a second.
+constexpr double kLimit = 5;  ///< Requests per second.
 
-/// Callers of every entry, two each, who ask on and on with a pause between.
+/// Two callers per entry that send requests in a loop with a pause between.
 class Callers {
  public:
   Callers(PlatformScene* scene, std::string method, std::string path,
@@ -74,10 +74,10 @@
   std::vector<std::thread> threads_;
 };
 
-/// Guards against a target in need that gets its full share of the requests.
-TEST_CASE(
-    "A target that names a limit gets no more than that from four entries",
-    "[limit]") {
+/// Guards against an overloaded target that still gets its full share of the
+/// requests.
+TEST_CASE("A target that announces a limit gets no more from four entries",
+          "[limit]") {
   PlatformScene scene;
   for (int n = 2; n <= 4; ++n) {
     scene.AddEntry("front-" + std::to_string(n));
@@ -85,7 +85,7 @@
   REQUIRE(WaitUntil([&] { return scene.AllReady(); }));
   ModelWorker& target = scene.worker("a0");
 
-  SECTION("a plain target, whose work goes to the other one") {
+  SECTION("a plain target, whose requests go to the other one") {
     Callers callers(&scene, "GET", "/desk/1");
     std::this_thread::sleep_for(seconds(8));
     target.SetNamedLimit(kLimit);
@@ -94,12 +94,12 @@
     callers.Stop();
     CHECK(MostInSpan(target.arrivals(), named + kLimitContact) <=
           MostAllowed(kLimit));
-    // What it takes is used, and callers notice nothing.
+    // The limit is used, and callers are not affected.
     CHECK(MostInSpan(target.arrivals(), named + kLimitContact) >= 4);
     CHECK(callers.refused() == 0);
   }
-  SECTION("a plain target, with what it got before it named the limit") {
-    // Twice the limit: what it got in its last second without one counts.
+  SECTION("a plain target, counting requests before the announcement") {
+    // Twice the limit: requests in the last second before the limit count.
     Callers callers(&scene, "GET", "/desk/1", milliseconds(400));
     std::this_thread::sleep_for(seconds(8));
     target.SetNamedLimit(kLimit);
@@ -110,7 +110,7 @@
           MostAllowed(kLimit));
     CHECK(callers.refused() == 0);
   }
-  SECTION("an engine, with the prompts that it reads") {
+  SECTION("engines, counting prefill calls") {
     REQUIRE(WaitUntil([&] { return scene.Staged("prefill") == 3; }));
     scene.RegisterStages();
     std::this_thread::sleep_for(seconds(1));
@@ -128,7 +128,7 @@
     }
     CHECK(callers.served() > 0);
   }
-  SECTION("entries that come, go, freeze and die while it is in force") {
+  SECTION("while entries start, stop, freeze and crash") {
     Callers callers(&scene, "GET", "/desk/1");
     std::this_thread::sleep_for(seconds(8));
     target.SetNamedLimit(kLimit);
@@ -152,8 +152,8 @@
   }
 }
 
-/// Guards against callers who wait in vain where every target has a limit.
-TEST_CASE("Callers beyond the limits of all targets are told when to come") {
+/// Guards against callers that wait in vain when every target has a limit.
+TEST_CASE("Callers beyond the limits of all targets get a Retry-After") {
   PlatformScene scene;
   std::this_thread::sleep_for(seconds(8));
   scene.worker("a0").SetNamedLimit(kLimit);
@@ -180,8 +180,8 @@
   CHECK(refused > 0);
 }
 
-/// Guards against entries that learn of a limit only by a request of their own.
-TEST_CASE("Entries without requests hear of a target's limit and of its end") {
+/// Guards against entries that learn of a limit only from their own requests.
+TEST_CASE("Entries without requests learn of a target's limit and of its end") {
   PlatformScene scene;
   scene.AddEntry("front-2");
   REQUIRE(WaitUntil([&] { return scene.AllReady(); }));
@@ -206,7 +206,7 @@
       seconds(8)));
 }
 
-TEST_CASE("An entry tells the operator of a target's limit") {
+TEST_CASE("An entry reports a target's limit to the operator") {
   PlatformScene scene;
   scene.worker("a0").SetNamedLimit(kLimit);
   scene.worker("a1").SetNamedLimit(kLimit);
@@ -220,8 +220,8 @@
   }));
 }
 
-/// Guards against a limit that stays in force when the target has recovered.
-TEST_CASE("A target that no longer names a limit gets its share again",
+/// Guards against a limit that stays in effect after the target has recovered.
+TEST_CASE("A target that no longer announces a limit gets its share again",
           "[limit]") {
   PlatformScene scene;
   ModelWorker& target = scene.worker("a0");
--- a/tests/platform/target_notices_test.cc
+++ b/tests/platform/target_notices_test.cc
@@ -1,5 +1,6 @@
-// What callers get, and what targets see, when targets ask for rest or say that
-// they leave; without a network, in time of its own.
+// Tests, without a network and in simulated time, of what callers and targets
+// see when targets request a pause with Retry-After or announce that they are
+// leaving.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
@@ -18,13 +19,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// One target, as it truly is.
+/// State of one simulated target.
 struct FakeTarget {
-  std::vector<HttpHeader> headers;  ///< Of all its answers.
-  bool refuses = false;             ///< 503, proved not to have run.
-  bool connects = true;             ///< Else calls wait for their connection.
+  std::vector<HttpHeader> headers;  ///< Sent in all answers.
+  bool refuses = false;             ///< 503, marked as not executed.
+  bool connects = true;             ///< If not, calls wait for a connection.
   int arrivals = 0;
-  std::vector<std::function<void()>> waiting;  ///< For their connection.
+  std::vector<std::function<void()>> waiting;  ///< Calls without a connection.
 };
 
 class FakeClient : public TargetClient {
@@ -76,10 +77,10 @@
   FakeTarget* target_;
 };
 
-/// An entry before targets at the addresses by which tests name them.
+/// Entry with simulated targets, which tests identify by their addresses.
 class Scene {
  public:
-  /// `retries` are the arrivals by which requests may be sent again.
+  /// `retries` is the retry budget, in arrivals.
   explicit Scene(double retries = 100)
       : dispatcher_(
             &io_, Options(retries), platform::MakePlatformDialect(), Hooks(),
@@ -111,7 +112,7 @@
     listed_.erase(id);
     Tell();
   }
-  /// Tells the entry the list of targets.
+  /// Gives the entry the list of targets.
   void Tell() {
     std::vector<TargetRecord> listed;
     for (const auto& [id, record] : listed_) {
@@ -122,7 +123,7 @@
     Pass(Duration{0});
   }
 
-  /// The store is lost now, long enough to have dropped live targets.
+  /// Makes the store unreachable for long enough to have dropped live targets.
   void LoseStore() { dispatcher_.OnStoreLost(now_ - seconds(5)); }
 
   FakeTarget& At(const std::string& address) { return targets_[address]; }
@@ -154,7 +155,7 @@
     io_.poll();
   }
 
-  /// Asks as a caller whose request may run once.
+  /// Sends a request that may run only once.
   void Ask(const std::string& service = "app") {
     refusal_.reset();
     answered_ = false;
@@ -175,7 +176,7 @@
   }
   bool answered() const { return answered_; }
   const std::optional<Refusal>& refusal() const { return refusal_; }
-  /// Returns how often a target was found to break its calls.
+  /// Returns how often a target was marked as one to avoid.
   int avoided() const { return avoided_; }
   DirectTransport& transport() { return dispatcher_.transport(); }
 
@@ -219,9 +220,9 @@
   DirectDispatcher dispatcher_;
 };
 
-/// Guards against requests that fail at a target which left while an entry
-/// could not read the list, though others are known to be there.
-TEST_CASE("A target that may have left gets work only where no other can") {
+/// Guards against requests that fail at a target which left while the entry
+/// could not reach the store, although other targets are known to be present.
+TEST_CASE("A target that may have left gets requests only if no other can") {
   const std::string service = GENERATE("app", "llm");
   Scene scene;
   const std::vector<std::string> ids = {"a", "b", "c", "d"};
@@ -239,7 +240,7 @@
     return scene.At(address_of(id)).arrivals;
   };
   ask();
-  // With one request at a time one target takes all of them.
+  // With one request at a time, one target gets all of them.
   const std::string first = *std::max_element(
       ids.begin(), ids.end(),
       [&](const auto& a, const auto& b) { return arrivals(a) < arrivals(b); });
@@ -247,11 +248,11 @@
   scene.LoseStore();
   scene.Unlist(first);
 
-  SECTION("nothing while the others can carry its work") {
+  SECTION("none while the others can take over its load") {
     ask();
     CHECK(arrivals(first) == before);
   }
-  SECTION("all where the others are leaving") {
+  SECTION("all if the others are leaving") {
     for (const std::string& it : ids) {
       if (it != first) {
         scene.List(it, address_of(it), service).leaving = true;
@@ -261,7 +262,7 @@
     ask();
     CHECK(arrivals(first) > before);
   }
-  SECTION("as before where over a quarter is missing") {
+  SECTION("as before if more than a quarter of the targets is missing") {
     scene.Unlist(first == "a" ? "b" : "a");
     ask();
     CHECK(arrivals(first) > before);
@@ -273,7 +274,7 @@
   }
 }
 
-TEST_CASE("A target that asks for rest") {
+TEST_CASE("A target that requests a pause with Retry-After") {
   Scene scene;
   scene.List("a", "10.0.0.1:80");
   scene.AskForRest("10.0.0.1:80", "3");
@@ -282,7 +283,7 @@
   REQUIRE(scene.At("10.0.0.1:80").arrivals == 1);
   scene.Serve("10.0.0.1:80");
 
-  SECTION("gets nothing while it rests, and callers are served elsewhere") {
+  SECTION("gets no requests meanwhile, and callers are served elsewhere") {
     scene.List("b", "10.0.0.2:80");
     for (int n = 0; n < 10; ++n) {
       scene.Ask();
@@ -292,7 +293,7 @@
     CHECK(scene.At("10.0.0.1:80").arrivals == 1);
     CHECK(scene.At("10.0.0.2:80").arrivals == 10);
   }
-  SECTION("as the only one, has its callers told at once when it is back") {
+  SECTION("as the only one, has its callers refused with the time left") {
     scene.Pass(seconds(1));
     scene.Ask();
     REQUIRE(scene.refusal());
@@ -304,12 +305,12 @@
     scene.Ask();
     CHECK(scene.answered());
   }
-  SECTION("gets no orders and frees no handles meanwhile") {
+  SECTION("gets no control calls meanwhile") {
     CHECK(scene.transport().ClientForExtraCall("a") == nullptr);
     scene.Pass(seconds(3));
     CHECK(scene.transport().ClientForExtraCall("a") != nullptr);
   }
-  SECTION("may get requests as soon as a new run of it has registered") {
+  SECTION("gets requests once a new run of it has registered") {
     scene.List("a", "10.0.0.1:80").run = TargetRun{1};
     scene.Tell();
     scene.List("a", "10.0.0.1:80").run = TargetRun{2};
@@ -317,7 +318,7 @@
     scene.Ask();
     CHECK(scene.answered());
   }
-  SECTION("is heard also if its run became known after it was listed") {
+  SECTION("is respected if its run became known after it was listed") {
     scene.List("a", "10.0.0.1:80").run = TargetRun{1};
     scene.Tell();
     scene.Pass(seconds(3));
@@ -327,7 +328,7 @@
     scene.Ask();
     CHECK(scene.At("10.0.0.1:80").arrivals == 2);
   }
-  SECTION("leaves its address to a target that has asked for nothing") {
+  SECTION("does not affect a later target at the same address") {
     scene.Unlist("a");
     scene.List("b", "10.0.0.1:80");
     scene.Ask();
@@ -335,9 +336,9 @@
   }
 }
 
-/// Guards against requests that wait for a connection and are written though
-/// their target has asked for rest meanwhile.
-TEST_CASE("What was decided before a rest is not written") {
+/// Guards against requests that waited for a connection and are sent although
+/// their target has requested a pause meanwhile.
+TEST_CASE("A request placed before a requested pause is not sent") {
   Scene scene(/*retries=*/0);
   scene.List("a", "10.0.0.1:80");
   scene.AskForRest("10.0.0.1:80", "3");
@@ -348,7 +349,7 @@
   scene.Ask();
   REQUIRE(scene.At("10.0.0.1:80").arrivals == 1);
 
-  SECTION("it goes to another target, at no charge") {
+  SECTION("it goes to another target without charge") {
     scene.List("b", "10.0.0.2:80");
     scene.Connect("10.0.0.1:80");
     CHECK(scene.answered());
@@ -360,12 +361,12 @@
     CHECK(scene.refusal()->run == RunState::kNotRun);
   }
   CHECK(scene.At("10.0.0.1:80").arrivals == 1);
-  CHECK(scene.avoided() == 0);  // It is no failure of the target.
+  CHECK(scene.avoided() == 0);  // A pause is not a failure of the target.
 }
 
-/// Guards against requests that were placed before their target left, and are
-/// written to it later.
-TEST_CASE("What was placed before its target left is not written") {
+/// Guards against requests that were placed before their target left and are
+/// sent to it afterwards.
+TEST_CASE("A request placed before its target left is not sent") {
   Scene scene;
   scene.List("a", "1");
   scene.At("1").connects = false;
@@ -391,15 +392,15 @@
   }
 }
 
-TEST_CASE("A target that says in an answer that it leaves") {
+TEST_CASE("A target that announces in an answer that it is leaving") {
   Scene scene;
   scene.List("a", "10.0.0.1:80");
   scene.At("10.0.0.1:80").headers = {{"Server-Leaving", "1"}};
 
-  SECTION("gets no other request, while callers are served elsewhere") {
+  SECTION("gets no more requests, and callers are served elsewhere") {
     scene.Ask();
     REQUIRE(scene.answered());
-    scene.List("b", "10.0.0.2:80");  // The list still has it as ready.
+    scene.List("b", "10.0.0.2:80");  // The list still shows "a" as ready.
     for (int n = 0; n < 5; ++n) {
       scene.Ask();
       CHECK(scene.answered());
@@ -412,7 +413,7 @@
     REQUIRE(scene.refusal());
     CHECK(scene.refusal()->run == RunState::kNotRun);
   }
-  SECTION("says so in a refusal too") {
+  SECTION("may announce it in a refusal too") {
     scene.At("10.0.0.1:80").refuses = true;
     scene.Ask();
     scene.At("10.0.0.1:80").refuses = false;
@@ -429,8 +430,7 @@
     CHECK(scene.answered());
     CHECK(scene.At("10.0.0.1:80").arrivals == 2);
   }
-  SECTION(
-      "in an answer to a call for the run before says nothing of this one") {
+  SECTION("does not affect a new run if the call was for the previous one") {
     scene.List("a", "10.0.0.1:80").run = TargetRun{1};
     scene.Tell();
     scene.At("10.0.0.1:80").connects = false;
@@ -443,8 +443,9 @@
     scene.Ask();
     CHECK(scene.answered());
   }
-  SECTION("to what is sent for an earlier target of its address") {
-    // The earlier one is gone and still listed; it is asked first.
+  SECTION("may announce it in an answer for an earlier target at its address") {
+    // The earlier target at the address is gone, still listed, and chosen
+    // first.
     scene.Unlist("a");
     scene.List("0-gone", "10.0.0.1:80");
     scene.List("a", "10.0.0.1:80");
@@ -454,9 +455,9 @@
   }
 }
 
-/// Guards against what is said while a prompt is read or a handle freed, which
-/// no caller's answer has.
-TEST_CASE("An engine that says while it reads that it leaves reads no more") {
+/// Guards against ignored announcements in answers to prefill and release
+/// calls, which are not forwarded to a caller.
+TEST_CASE("A leaving notice in a prefill answer ends prefills at that engine") {
   Scene scene;
   scene.List("reader", "10.0.0.1:80", "llm", EngineRole::kPrefill);
   scene.List("other", "10.0.0.2:80", "llm", EngineRole::kPrefill);
@@ -471,11 +472,11 @@
   CHECK(scene.At("10.0.0.2:80").arrivals == 1);
 }
 
-TEST_CASE("Engines at rest") {
+TEST_CASE("Engines that request a pause with Retry-After") {
   Scene scene;
   scene.List("reader", "10.0.0.1:80", "llm", EngineRole::kPrefill);
   scene.List("runner", "10.0.0.2:80", "llm", EngineRole::kDecode);
-  SECTION("that read: no prompt is read by those that make answers") {
+  SECTION("prefill engines: decode engines do no prefill instead") {
     scene.AskForRest("10.0.0.1:80", "3");
     scene.Ask("llm");
     scene.Ask("llm");
@@ -484,20 +485,20 @@
     REQUIRE(scene.refusal());
     CHECK(scene.refusal()->code == "targets_at_rest");
   }
-  SECTION("that make answers: no prompt is read in vain") {
+  SECTION("decode engines: no prefill is done in vain") {
     scene.AskForRest("10.0.0.2:80", "3");
     scene.Ask("llm");
-    REQUIRE(scene.At("10.0.0.1:80").arrivals == 2);  // The handle is freed.
+    REQUIRE(scene.At("10.0.0.1:80").arrivals == 2);  // The KV handle is freed.
     scene.Ask("llm");
     CHECK(scene.At("10.0.0.1:80").arrivals == 2);
     CHECK(scene.At("10.0.0.2:80").arrivals == 1);
   }
-  SECTION("of both kinds: callers hear of the one that rests longer") {
+  SECTION("both kinds: callers get the longer of the two pauses") {
     scene.AskForRest("10.0.0.2:80", "1");
-    scene.Ask("llm");  // Asked by the one that makes answers.
+    scene.Ask("llm");  // The decode engine requests a pause.
     scene.List("other", "10.0.0.3:80", "llm", EngineRole::kDecode);
     scene.AskForRest("10.0.0.1:80", "3");
-    scene.Ask("llm");  // Asked by the one that reads.
+    scene.Ask("llm");  // The prefill engine requests a pause.
     REQUIRE(scene.refusal());
     CHECK(scene.refusal()->retry_after > milliseconds(2500));
   }
--- a/tests/platform/target_rest_process_test.cc
+++ b/tests/platform/target_rest_process_test.cc
@@ -1,5 +1,5 @@
-// Targets that ask an entry for rest or say that they leave, before an entry in
-// a process of its own.
+// Tests of an entry process with targets that request a pause with Retry-After
+// or announce that they are leaving.
 
 #include <algorithm>
 #include <atomic>
@@ -16,9 +16,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr double kRestS = 3;  ///< Seconds that targets ask for.
+constexpr double kRestS = 3;  ///< Pause that targets request, in seconds.
 
-/// Callers of one entry who ask on and on with a pause between.
+/// Callers of one entry that send requests in a loop with a pause between.
 class Callers {
  public:
   Callers(PlatformScene* scene, std::string method, std::string path)
@@ -64,7 +64,8 @@
   std::vector<std::thread> threads_;
 };
 
-/// Returns the most requests that came in the time of one rest to any target.
+/// Returns the most requests that reached any target during one requested
+/// pause.
 int MostDuringAnyRest(PlatformScene* scene) {
   int most = 0;
   for (ModelWorker& it : scene->workers) {
@@ -73,9 +74,9 @@
   return most;
 }
 
-/// Guards against requests to a target that has turned one away and asked for
-/// rest.
-TEST_CASE("A target that asks for rest gets it", "[rest]") {
+/// Guards against requests to a target that has refused one and requested a
+/// pause.
+TEST_CASE("A requested pause of a target is respected", "[rest]") {
   PlatformScene scene;
   REQUIRE(WaitUntil([&] { return scene.Ready(); }));
   REQUIRE(WaitUntil([&] { return scene.Staged("prefill") == 3; }));
@@ -83,7 +84,7 @@
   std::this_thread::sleep_for(seconds(1));
   scene.EarnFurtherAttempts();
 
-  SECTION("a plain target, whose work goes to the other one") {
+  SECTION("a plain target, whose requests go to the other one") {
     Callers callers(&scene, "GET", "/desk/1");
     scene.worker("a0").SetAskedRest(kRestS);
     std::this_thread::sleep_for(seconds(8));
@@ -92,7 +93,7 @@
     CHECK(MostDuringAnyRest(&scene) <= kRestAllowed);
     CHECK(callers.served() > 0);
   }
-  SECTION("engines, all that read prompts or all that make answers") {
+  SECTION("all prefill engines or all decode engines") {
     const std::string stage = GENERATE("prefill", "decode");
     INFO(stage);
     Callers callers(&scene, "POST", "/audit/1");
@@ -110,7 +111,7 @@
     std::this_thread::sleep_for(seconds(static_cast<int>(kRestS)));
     CHECK(scene.Ask("POST", "/audit/1", "after").status == 200);
   }
-  SECTION("every target of a service, of which callers hear at once") {
+  SECTION("every target of a service, and callers are refused at once") {
     Callers callers(&scene, "GET", "/desk/1");
     for (ModelWorker& it : scene.workers) {
       it.SetAskedRest(kRestS);
@@ -125,15 +126,16 @@
     for (ModelWorker& it : scene.workers) {
       it.SetAskedRest(std::nullopt);
     }
-    // Its word is kept: what it named as the time is enough.
+    // Targets are used again after the requested time.
     std::this_thread::sleep_for(seconds(static_cast<int>(kRestS)));
     CHECK(scene.Ask("GET", "/desk/1", "after").status == 200);
   }
 }
 
-/// Guards against requests to a target that has said in an answer that it
-/// leaves, while the list still shows it as ready.
-TEST_CASE("A target that says that it leaves gets no request", "[rest]") {
+/// Guards against requests to a target that has announced in an answer that it
+/// is leaving, while the list still shows it as ready.
+TEST_CASE("A target that announces that it is leaving gets no requests",
+          "[rest]") {
   PlatformScene scene;
   REQUIRE(WaitUntil([&] { return scene.Ready(); }));
   ModelWorker& target = scene.worker("a0");
--- a/tests/platform/watch_relay_process_test.cc
+++ b/tests/platform/watch_relay_process_test.cc
@@ -12,10 +12,11 @@
 using std::chrono::seconds;
 
 constexpr int kFurther = 8;
-/// Bound on a configuration that is in force, by the entries' settings.
+/// Time within which a configuration must take effect, by the entries'
+/// settings.
 constexpr seconds kBound{2};
 
-/// Nine entries of one failure domain; the smallest that relays.
+/// Nine entries of one failure domain, the smallest number that uses a relay.
 class Scene {
  public:
   Scene() {
@@ -23,11 +24,11 @@
       platform.AddEntry("further-" + std::to_string(it));
     }
     REQUIRE(WaitUntil([this] { return platform.AllReady(); }));
-    // Lists of entries that were read during the start are read once more.
+    // Entry lists that were read during the start are read once more.
     std::this_thread::sleep_for(seconds(3));
   }
 
-  /// Adds a route, and returns true if all entries but `dead` know it in time.
+  /// Adds a route and returns true if all entries but `dead` know it in time.
   bool NewRouteReachesAll(const PlatformScene::FurtherEntry* dead = nullptr) {
     const std::string name = "print" + std::to_string(++version_);
     auto next = MakeConfiguration(version_);
@@ -45,7 +46,7 @@
         kBound);
   }
 
-  /// Returns the further entry that relays, or null.
+  /// Returns the further entry that acts as the relay, or null.
   PlatformScene::FurtherEntry* Relay() {
     for (PlatformScene::FurtherEntry& it : platform.further) {
       const std::string n =
@@ -70,7 +71,7 @@
   int asked_ = 0;
 };
 
-TEST_CASE("Entries of a failure domain follow the store through one of them") {
+TEST_CASE("Entries of a failure domain watch the store through one relay") {
   Scene scene;
   const int before = scene.platform.store.watch_calls();
   const auto start = std::chrono::steady_clock::now();
@@ -78,14 +79,14 @@
   const std::chrono::duration<double> elapsed =
       std::chrono::steady_clock::now() - start;
   const int calls = scene.platform.store.watch_calls() - before;
-  // A relay makes a call of each of two watches in 0.2 of the bound at most,
-  // one of each was open and one just begins; nine that read for themselves
-  // make 27 in the time of 19.
+  // A relay makes at most one call for each of two watches per 0.2 of the
+  // bound, plus one open at the start and one just begun. Nine entries that
+  // each watch the store make 27 calls in the time of 19.
   const double most = 2 * (elapsed.count() / (0.2 * kBound.count()) + 2);
   CHECK(calls <= most);
   CHECK(scene.NewRouteReachesAll());
 
-  SECTION("and learn of changes in time when that one is killed") {
+  SECTION("and see changes in time when the relay is killed") {
     PlatformScene::FurtherEntry* relay = scene.Relay();
     REQUIRE(relay);
     relay->process->Kill();
