--- a/tests/platform/broken_stream_process_test.cc
+++ b/tests/platform/broken_stream_process_test.cc
@@ -26,15 +26,15 @@
 
 TEST_CASE("Answers without length or chunked encoding are served") {
   PlatformScene scene;
-  REQUIRE(WaitUntil([&] { return scene.Staged("prefill") == 3; }));
+  REQUIRE(WaitUntil([&] { return scene.EnginesInStage("prefill") == 3; }));
   scene.RegisterStages();
   BodyEnd end;
   end.by_close = true;
   SetBodyEnd(&scene, end);
-  CHECK(scene.Ask("GET", "/desk/1", "safe").body.rfind("menu of", 0) == 0);
-  CHECK(scene.Ask("POST", "/menu/1", "unsafe").body.rfind("menu of", 0) == 0);
+  CHECK(scene.Send("GET", "/desk/1", "safe").body.rfind("menu of", 0) == 0);
+  CHECK(scene.Send("POST", "/menu/1", "unsafe").body.rfind("menu of", 0) == 0);
   for (const std::string path : {"/audit/1", "/resume/1"}) {
-    const HttpAnswer stream = scene.Ask("POST", path, path);
+    const HttpAnswer stream = scene.Send("POST", path, path);
     CHECK(stream.status == 200);
     CHECK(stream.body == kWholeStream);
     CHECK(scene.Runs(path) == 1);
@@ -51,7 +51,7 @@
   const std::size_t part = GENERATE(3, 12, 19);
   INFO("after " << part << " bytes of the second event");
   PlatformScene scene;
-  scene.EarnFurtherAttempts();
+  scene.EarnRetryBudget();
 
   BodyEnd end;
   end.by_close = by_close;
@@ -59,12 +59,12 @@
 
   SECTION("a request that may run only once is cut off") {
     SetBodyEnd(&scene, end);
-    CHECK(scene.Ask("POST", "/audit/1", "once").status == 0);
+    CHECK(scene.Send("POST", "/audit/1", "once").status == 0);
     CHECK(scene.Runs("once") == 1);
   }
   SECTION("a resumable request continues at another target") {
     SetBodyEnd(&scene, end);
-    const HttpAnswer resumed = scene.Ask("POST", "/resume/1", "resumed");
+    const HttpAnswer resumed = scene.Send("POST", "/resume/1", "resumed");
     CHECK(resumed.status == 200);
     CHECK(resumed.body == kWholeStream);
     CHECK(scene.Runs("resumed") == 2);
@@ -72,7 +72,7 @@
   SECTION("a resumable request is cut off if the second target truncates it") {
     end.cut_resumed = true;
     SetBodyEnd(&scene, end);
-    const HttpAnswer cut = scene.Ask("POST", "/resume/1", "cut");
+    const HttpAnswer cut = scene.Send("POST", "/resume/1", "cut");
     CHECK(cut.status == 0);
     CHECK(scene.Runs("cut") == 2);
     // A reset may discard bytes already written, but no partial event arrives.
@@ -85,13 +85,13 @@
 /// as an empty, complete answer.
 TEST_CASE("A stream closed by its connection before any event is broken") {
   PlatformScene scene;
-  scene.EarnFurtherAttempts();
+  scene.EarnRetryBudget();
   BodyEnd end;
   end.by_close = true;
   end.cut_after = 0;
   SetBodyEnd(&scene, end);
-  CHECK(scene.Ask("POST", "/audit/1", "once").status == 0);
-  CHECK(scene.Ask("POST", "/resume/1", "resumed").status == 0);
+  CHECK(scene.Send("POST", "/audit/1", "once").status == 0);
+  CHECK(scene.Send("POST", "/resume/1", "resumed").status == 0);
   CHECK(scene.Runs("once") == 1);
   CHECK(scene.Runs("resumed") == 2);
 }
--- a/tests/platform/client_accounts_process_test.cc
+++ b/tests/platform/client_accounts_process_test.cc
@@ -29,12 +29,12 @@
 /// Sends requests with new ids until an answer has `status`. Returns false if
 /// none has within 5 s: the bound on configuration changes plus time for a slow
 /// test machine.
-bool BecomesWith(PlatformScene* scene, const std::string& key, int status) {
+bool StatusBecomes(PlatformScene* scene, const std::string& key, int status) {
   int n = 0;
   return WaitUntil(
       [&] {
         const std::string id = "until-" + std::to_string(++n);
-        return scene->AskWithKey(key, "GET", "/desk/1", id).status == status;
+        return scene->SendWithKey(key, "GET", "/desk/1", id).status == status;
       },
       std::chrono::seconds(5));
 }
@@ -43,32 +43,32 @@
   PlatformScene scene;
   scene.store.Put("config", "main",
                   ConfigurationWith(5, {kSalonKey}, {kOwnerKey}));
-  REQUIRE(BecomesWith(&scene, "unknown-secret", 401));
+  REQUIRE(StatusBecomes(&scene, "unknown-secret", 401));
 
   SECTION("each call to a target names the account and omits the key") {
     // Keys were passed on to targets until the accounts took effect.
-    const int before = scene.KeysSeen();
+    const int before = scene.ArrivalsWithKey();
     for (const char* path : {"/desk/1", "/menu/1", "/audit/1"}) {
       const std::string id = std::string("r-") + (path + 1);
-      CHECK(scene.AskWithKey(kSalonKey, "GET", path, id).status == 200);
+      CHECK(scene.SendWithKey(kSalonKey, "GET", path, id).status == 200);
       const auto accounts = scene.Accounts(id);
       CHECK_FALSE(accounts.empty());
       for (const std::string& it : accounts) {
         CHECK(it == "salon");
       }
     }
-    CHECK(scene.KeysSeen() == before);
+    CHECK(scene.ArrivalsWithKey() == before);
   }
   SECTION("without a valid key nothing reaches a target") {
-    CHECK(scene.Ask("GET", "/desk/1", "r-none").status == 401);
-    CHECK(scene.AskWithKey("unknown-secret", "GET", "/desk/1", "r-unknown")
+    CHECK(scene.Send("GET", "/desk/1", "r-none").status == 401);
+    CHECK(scene.SendWithKey("unknown-secret", "GET", "/desk/1", "r-unknown")
               .status == 401);
     CHECK(scene.Accounts("r-none").empty());
     CHECK(scene.Accounts("r-unknown").empty());
   }
   SECTION("logs and metrics contain accounts but no keys") {
-    scene.AskWithKey(kSalonKey, "GET", "/desk/1", "r-1");
-    scene.AskWithKey(kSalonKey, "GET", "/nowhere/1", "r-2");
+    scene.SendWithKey(kSalonKey, "GET", "/desk/1", "r-1");
+    scene.SendWithKey(kSalonKey, "GET", "/nowhere/1", "r-2");
     const std::string metrics =
         HttpCall(scene.metrics_address, "GET", "/metrics").body;
     CHECK(
@@ -90,52 +90,52 @@
   PlatformScene scene;
   scene.store.Put("config", "main",
                   ConfigurationWith(5, {kSalonKey}, {kOwnerKey}));
-  REQUIRE(BecomesWith(&scene, "unknown-secret", 401));
-  REQUIRE(scene.AskWithKey(kSalonKey, "GET", "/desk/1", "r-1").status == 200);
+  REQUIRE(StatusBecomes(&scene, "unknown-secret", 401));
+  REQUIRE(scene.SendWithKey(kSalonKey, "GET", "/desk/1", "r-1").status == 200);
 
   SECTION("promptly without faults") {
     scene.store.Put("config", "main", ConfigurationWith(6, {}, {kOwnerKey}));
-    CHECK(BecomesWith(&scene, kSalonKey, 401));
-    CHECK(scene.AskWithKey(kOwnerKey, "GET", "/desk/1", "r-2").status == 200);
+    CHECK(StatusBecomes(&scene, kSalonKey, 401));
+    CHECK(scene.SendWithKey(kOwnerKey, "GET", "/desk/1", "r-2").status == 200);
 
     SECTION("and accepted again once it is restored") {
       scene.store.Put("config", "main",
                       ConfigurationWith(9, {kSalonKey}, {kOwnerKey}));
-      CHECK(BecomesWith(&scene, kSalonKey, 200));
+      CHECK(StatusBecomes(&scene, kSalonKey, 200));
     }
   }
   SECTION("after a partition between entry and store") {
-    scene.store_path.SetPartitioned(true);
+    scene.store_relay.SetPartitioned(true);
     scene.store.Put("config", "main", ConfigurationWith(6, {}, {kOwnerKey}));
-    CHECK(scene.AskWithKey(kSalonKey, "GET", "/desk/1", "r-2").status == 200);
-    CHECK(scene.AskWithKey("unknown-secret", "GET", "/desk/1", "r-3").status ==
+    CHECK(scene.SendWithKey(kSalonKey, "GET", "/desk/1", "r-2").status == 200);
+    CHECK(scene.SendWithKey("unknown-secret", "GET", "/desk/1", "r-3").status ==
           401);
-    scene.store_path.SetPartitioned(false);
-    CHECK(BecomesWith(&scene, kSalonKey, 401));
+    scene.store_relay.SetPartitioned(false);
+    CHECK(StatusBecomes(&scene, kSalonKey, 401));
   }
   SECTION("after the entry process was suspended") {
     scene.entry->Pause();
     scene.store.Put("config", "main", ConfigurationWith(6, {}, {kOwnerKey}));
     std::this_thread::sleep_for(milliseconds(1500));
     scene.entry->Resume();
-    CHECK(BecomesWith(&scene, kSalonKey, 401));
+    CHECK(StatusBecomes(&scene, kSalonKey, 401));
   }
   SECTION("and stays refused when the store serves stale reads") {
     scene.store.Put("config", "main", ConfigurationWith(6, {}, {kOwnerKey}));
-    REQUIRE(BecomesWith(&scene, kSalonKey, 401));
+    REQUIRE(StatusBecomes(&scene, kSalonKey, 401));
     standins::PlatformFaults faults;
     faults.stale_reads = true;
     scene.store.SetFaults(faults);
     scene.store.DropWatches();
     std::this_thread::sleep_for(milliseconds(1000));
-    CHECK(scene.AskWithKey(kSalonKey, "GET", "/desk/1", "r-9").status == 401);
+    CHECK(scene.SendWithKey(kSalonKey, "GET", "/desk/1", "r-9").status == 401);
   }
   SECTION("and a key moved to another account counts for that account") {
     scene.store.Put("config", "main",
                     ConfigurationWith(6, {}, {kOwnerKey, kSalonKey}));
     CHECK(WaitUntil([&, n = 0]() mutable {
       const std::string id = "moved-" + std::to_string(++n);
-      scene.AskWithKey(kSalonKey, "GET", "/desk/1", id);
+      scene.SendWithKey(kSalonKey, "GET", "/desk/1", id);
       return scene.Accounts(id) == std::vector<std::string>{"owner"};
     }));
   }
@@ -145,22 +145,23 @@
     REQUIRE(WaitUntil([&] {
       return scene.entry->output().find("share a key") != std::string::npos;
     }));
-    CHECK(scene.AskWithKey(kSalonKey, "GET", "/desk/1", "r-2").status == 200);
+    CHECK(scene.SendWithKey(kSalonKey, "GET", "/desk/1", "r-2").status == 200);
   }
 }
 
 /// Sends `n` requests with each of the two keys, all with distinct ids.
-void AskOften(PlatformScene* scene, const std::string& ids, int n) {
+void SendWithBothKeys(PlatformScene* scene, const std::string& ids, int n) {
   for (int it = 0; it < n; ++it) {
     const std::string id = ids + std::to_string(it);
-    REQUIRE(scene->AskWithKey(kSalonKey, "GET", "/desk/1", id + "s").status ==
+    REQUIRE(scene->SendWithKey(kSalonKey, "GET", "/desk/1", id + "s").status ==
             200);
-    REQUIRE(scene->AskWithKey(kOwnerKey, "GET", "/audit/1", id + "o").status ==
+    REQUIRE(scene->SendWithKey(kOwnerKey, "GET", "/audit/1", id + "o").status ==
             200);
   }
 }
 
-bool Reports(PlatformScene* scene, std::uint64_t salon, std::uint64_t owner) {
+bool UsageBecomes(PlatformScene* scene, std::uint64_t salon,
+                  std::uint64_t owner) {
   return WaitUntil([&] {
     return scene->usage.Requests("salon") == salon &&
            scene->usage.Requests("owner") == owner;
@@ -174,25 +175,25 @@
   PlatformScene scene(PlatformScene::Options{.reports_usage = true});
   scene.store.Put("config", "main",
                   ConfigurationWith(5, {kSalonKey}, {kOwnerKey}));
-  REQUIRE(BecomesWith(&scene, "unknown-secret", 401));
+  REQUIRE(StatusBecomes(&scene, "unknown-secret", 401));
 
   const Behaviour behaviour =
-      GENERATE(Behaviour::kSound, Behaviour::kBusy, Behaviour::kSilent,
+      GENERATE(Behaviour::kHealthy, Behaviour::kBusy, Behaviour::kSilent,
                Behaviour::kResets, Behaviour::kSlow);
   scene.usage.SetBehaviour(behaviour);
-  AskOften(&scene, "a", 5);
+  SendWithBothKeys(&scene, "a", 5);
   std::this_thread::sleep_for(milliseconds(2500));
-  scene.usage.SetBehaviour(Behaviour::kSound);
-  CHECK(Reports(&scene, 5, 5));
-  CHECK(scene.usage.broken() == std::vector<std::string>{});
+  scene.usage.SetBehaviour(Behaviour::kHealthy);
+  CHECK(UsageBecomes(&scene, 5, 5));
+  CHECK(scene.usage.errors() == std::vector<std::string>{});
 }
 
 TEST_CASE("Usage counts survive a restart of the entry") {
   PlatformScene scene(PlatformScene::Options{.reports_usage = true});
   scene.store.Put("config", "main",
                   ConfigurationWith(5, {kSalonKey}, {kOwnerKey}));
-  REQUIRE(BecomesWith(&scene, "unknown-secret", 401));
-  AskOften(&scene, "a", 5);
+  REQUIRE(StatusBecomes(&scene, "unknown-secret", 401));
+  SendWithBothKeys(&scene, "a", 5);
 
   SECTION("a graceful stop loses nothing") {
     scene.entry->Terminate();
@@ -205,8 +206,8 @@
   }
   scene.StartEntry();
   REQUIRE(WaitUntil([&] { return scene.Ready(); }));
-  CHECK(Reports(&scene, 5, 5));
-  CHECK(scene.usage.broken() == std::vector<std::string>{});
+  CHECK(UsageBecomes(&scene, 5, 5));
+  CHECK(scene.usage.errors() == std::vector<std::string>{});
 }
 
 }  // namespace
--- a/tests/platform/crashing_request_process_test.cc
+++ b/tests/platform/crashing_request_process_test.cc
@@ -26,7 +26,7 @@
         method_(std::move(method)),
         path_(std::move(path)),
         pause_(pause),
-        thread_([this] { Ask(); }) {}
+        thread_([this] { Send(); }) {}
   ~RepeatingCaller() { Stop(); }
   RepeatingCaller(const RepeatingCaller&) = delete;
   RepeatingCaller& operator=(const RepeatingCaller&) = delete;
@@ -37,16 +37,16 @@
       thread_.join();
     }
   }
-  int asked() const { return asked_; }
+  int sent_count() const { return sent_count_; }
   int served() const { return served_; }
 
  private:
-  void Ask() {
+  void Send() {
     while (!stopping_) {
-      const int n = asked_++;
+      const int n = sent_count_++;
       const std::string& entry =
           entries_[static_cast<std::size_t>(n) % entries_.size()];
-      const HttpAnswer answer = PlatformScene::AskAt(
+      const HttpAnswer answer = PlatformScene::SendTo(
           entry, method_, path_, path_ + "#" + std::to_string(n), 3000);
       served_ += answer.status == 200 ? 1 : 0;
       std::this_thread::sleep_for(pause_);
@@ -58,7 +58,7 @@
   std::string path_;
   milliseconds pause_;
   std::atomic<bool> stopping_{false};
-  std::atomic<int> asked_{0};
+  std::atomic<int> sent_count_{0};
   std::atomic<int> served_{0};
   std::thread thread_;
 };
@@ -85,7 +85,7 @@
 }
 
 /// Waits for `length` while the targets keep their registrations up to date.
-void PassTime(PlatformScene* scene, seconds length) {
+void WaitWhileRegistering(PlatformScene* scene, seconds length) {
   const Time end = std::chrono::steady_clock::now() + length;
   while (std::chrono::steady_clock::now() < end) {
     scene->Register();
@@ -97,7 +97,7 @@
 /// entries forward its caller's repeats like any other request.
 TEST_CASE("A request that crashes its targets is quarantined", "[crash]") {
   PlatformScene scene;
-  REQUIRE(WaitUntil([&] { return scene.Staged("prefill") == 3; }));
+  REQUIRE(WaitUntil([&] { return scene.EnginesInStage("prefill") == 3; }));
   scene.AddEntry("front-2");
   scene.AddEntry("front-3");
   REQUIRE(WaitUntil([&] { return scene.AllReady(); }, seconds(30)));
@@ -117,9 +117,9 @@
   scene.Register();
   RepeatingCaller bad(entries, method, crashing, milliseconds(150));
   RepeatingCaller good(entries, method, innocent, milliseconds(20));
-  PassTime(&scene, seconds(7));
+  WaitWhileRegistering(&scene, seconds(7));
   const int served = good.served();
-  PassTime(&scene, seconds(2));
+  WaitWhileRegistering(&scene, seconds(2));
   CHECK(good.served() > served + 20);
 
   // Restarted processes have no memory of the earlier crashes.
@@ -127,15 +127,15 @@
   scene.StartEntry();
   scene.further[0].process->Kill();
   scene.further[0].Start();
-  PassTime(&scene, seconds(5));
+  WaitWhileRegistering(&scene, seconds(5));
   bad.Stop();
   good.Stop();
   const std::vector<Time> crashes = CrashesOf(&scene);
   CHECK(crashes.size() >= kCrashesToStop);
-  CHECK(bad.asked() > 20);
+  CHECK(bad.sent_count() > 20);
   CHECK(SentOnAfterCrashes(crashes, ArrivalsOf(&scene, crashing)) <=
         kSentOnAllowed);
-  const HttpAnswer refused = scene.Ask(method, crashing, "last");
+  const HttpAnswer refused = scene.Send(method, crashing, "last");
   CHECK(refused.status == 503);
   CHECK_FALSE(refused.Header("Retry-After").empty());
 }
--- a/tests/platform/direct_prompt_test.cc
+++ b/tests/platform/direct_prompt_test.cc
@@ -21,17 +21,17 @@
 using testing::Script;
 using testing::Send;
 
-const char* const kRead =
+const char* const kPrefillAnswer =
     "HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\n"
     R"({"kv-handle":"h1","tokens":   100})";
 const char* const kFailure =
     "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
 
-const char* const kChangingRole =
+const char* const kNotExecuted =
     "HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\n"
     "Content-Length: 0\r\n\r\n";
 
-constexpr char kHere[] = "oviedo";
+constexpr char kLocalDomain[] = "oviedo";
 
 /// Entry with one prefill engine and two decode engines. The `near` one is in
 /// the entry's failure domain and therefore preferred over the `far` one.
@@ -56,34 +56,35 @@
     routes.version = 1;
     routes.services = {{"llm", 100, EngineTraits{}}};
     dispatcher_.OnRoutes(routes);
-    List(false);
+    ListTargets(false);
   }
 
   /// Gives the entry its list of targets, with the near one leaving or not.
-  void List(bool near_leaves) {
+  void ListTargets(bool near_leaves) {
     listed_ = {
-        Target("reader", reader_, kHere, EngineRole::kPrefill),
-        Target("near", near_, kHere, EngineRole::kDecode, near_leaves),
+        Target("reader", reader_, kLocalDomain, EngineRole::kPrefill),
+        Target("near", near_, kLocalDomain, EngineRole::kDecode, near_leaves),
         Target("far", far_, "bilbao", EngineRole::kDecode),
     };
     dispatcher_.OnTargets(listed_);
   }
 
   /// Replaces the near engine by one whose address refuses connections.
-  void LoseNearEngine() {
+  void MakeNearEngineUnreachable() {
     const ScriptedServer gone({});
     listed_[1].leaving = true;
-    listed_.push_back(Target("near-lost", gone, kHere, EngineRole::kDecode));
+    listed_.push_back(
+        Target("near-lost", gone, kLocalDomain, EngineRole::kDecode));
     dispatcher_.OnTargets(listed_);
   }
 
   /// Lists a second prefill engine, which always succeeds.
   void AddSecondReader() {
     listed_.push_back(
-        Target("second", second_reader_, kHere, EngineRole::kPrefill));
+        Target("second", second_reader_, kLocalDomain, EngineRole::kPrefill));
     dispatcher_.OnTargets(listed_);
   }
-  void LeaveReader(bool first) {
+  void MarkReaderLeaving(bool first) {
     listed_[first ? 0 : 3].leaving = true;
     dispatcher_.OnTargets(listed_);
   }
@@ -91,7 +92,7 @@
     return (first ? reader_ : second_reader_).address();
   }
   /// Returns the heads and bodies of all requests to a prefill engine.
-  std::string read_requests(bool first) const {
+  std::string prefill_requests(bool first) const {
     std::string all;
     for (const auto& it : (first ? reader_ : second_reader_).requests()) {
       all += it;
@@ -100,7 +101,7 @@
   }
 
   /// Leaves the near engine as the only decode engine.
-  void LoseFarEngine() {
+  void MarkFarEngineLeaving() {
     listed_[2].leaving = true;
     dispatcher_.OnTargets(listed_);
   }
@@ -108,14 +109,15 @@
   /// Lists a second prefill engine, whose address refuses connections.
   void AddUnreachableReader() {
     const ScriptedServer gone({});
-    listed_.push_back(Target("gone", gone, kHere, EngineRole::kPrefill));
+    listed_.push_back(Target("gone", gone, kLocalDomain, EngineRole::kPrefill));
     dispatcher_.OnTargets(listed_);
   }
 
   /// `shared_part` identifies the shared prefix of the prompt, which decides
   /// the prefill engine that is its home. With 0 the caller sends no prompt
   /// parts.
-  void Ask(Duration time = milliseconds(1500), std::uint64_t shared_part = 1) {
+  void SendRequest(Duration time = milliseconds(1500),
+                   std::uint64_t shared_part = 1) {
     status_.reset();
     run_.reset();
     auto request = std::make_shared<CallerRequest>();
@@ -137,9 +139,9 @@
 
   /// Waits until the prefill engine has the prompt, blocks for `length`, and
   /// then lets the dispatcher see the new time before it processes any answer.
-  void FreezeWhileReading(Duration length) {
+  void BlockDuringPrefill(Duration length) {
     const auto limit = std::chrono::steady_clock::now() + seconds(10);
-    while (reads() == 0 && std::chrono::steady_clock::now() < limit) {
+    while (prefill_calls() == 0 && std::chrono::steady_clock::now() < limit) {
       io_.run_for(milliseconds(5));
       io_.restart();
     }
@@ -171,7 +173,7 @@
     });
   }
 
-  std::size_t reads() const { return RunsAt(reader_); }
+  std::size_t prefill_calls() const { return RunsAt(reader_); }
   std::size_t near_runs() const { return RunsAt(near_); }
   std::size_t far_runs() const { return RunsAt(far_); }
 
@@ -202,8 +204,8 @@
   static DirectDispatcher::Options Options(
       const EntryRetryBudget::Options& budget) {
     DirectDispatcher::Options options;
-    options.failure_domain = kHere;
-    options.placement.failure_domain = kHere;
+    options.failure_domain = kLocalDomain;
+    options.placement.failure_domain = kLocalDomain;
     options.flow.charge_refused_attempts = true;
     options.flow.no_target_wait = Duration{0};
     options.flow.retry_round_delay = milliseconds(1);
@@ -234,7 +236,7 @@
   boost::asio::io_context io_;
   MetricsRegistry metrics_;
   ScriptedServer reader_;
-  ScriptedServer second_reader_{{Send(kRead)}};
+  ScriptedServer second_reader_{{Send(kPrefillAnswer)}};
   ScriptedServer near_;
   ScriptedServer far_;
   std::vector<TargetRecord> listed_;
@@ -248,19 +250,19 @@
 // sent there after the entry has acknowledged the leave would be cut off with
 // the engine.
 TEST_CASE("A decode engine that leaves during prefill gets no run") {
-  Scene scene(Send(kRead));
+  Scene scene(Send(kPrefillAnswer));
 
   SECTION("without a leave the near engine decodes") {
-    scene.Ask();
+    scene.SendRequest();
     CHECK(scene.AwaitStatus() == 200);
     CHECK(scene.near_runs() == 1);
     CHECK(scene.far_runs() == 0);
   }
   SECTION("if the near engine leaves, the far one decodes") {
-    scene.Ask();  // Placed; prefill has not been done yet.
-    scene.List(/*near_leaves=*/true);
+    scene.SendRequest();  // Placed; prefill has not been done yet.
+    scene.ListTargets(/*near_leaves=*/true);
     CHECK(scene.AwaitStatus() == 200);
-    CHECK(scene.reads() == 1);
+    CHECK(scene.prefill_calls() == 1);
     CHECK(scene.near_runs() == 0);
     CHECK(scene.far_runs() == 1);
   }
@@ -273,15 +275,15 @@
   Scene scene({{Kind::kSleep, ""}});
 
   SECTION("the prefill call times out first") {
-    scene.Ask();
+    scene.SendRequest();
     scene.AwaitStatus();
   }
   SECTION("the deadline of the request is noticed first") {
-    scene.Ask(milliseconds(250));
-    scene.FreezeWhileReading(milliseconds(300));
+    scene.SendRequest(milliseconds(250));
+    scene.BlockDuringPrefill(milliseconds(300));
     scene.AwaitStatus();
   }
-  CHECK(scene.reads() >= 1);
+  CHECK(scene.prefill_calls() >= 1);
   CHECK(scene.near_runs() + scene.far_runs() == 0);
   CHECK(scene.run_state() == RunState::kNotRun);
 }
@@ -293,23 +295,23 @@
 TEST_CASE("A retry after a failed prefill costs one arrival") {
   SECTION("with no budget left there is no retry") {
     Scene scene(Send(kFailure), {0, {0, 0}, 0});
-    scene.Ask();
+    scene.SendRequest();
     CHECK(scene.AwaitStatus() == 503);
-    CHECK(scene.reads() == 1);
+    CHECK(scene.prefill_calls() == 1);
     // The line names the failed prefill engine, not only the decode engine.
     CHECK(scene.Logged({"attempt-refused", "reader=reader"}));
   }
   SECTION("a budget of two allows two retries, not three") {
     Scene scene(Send(kFailure), {0, {2, 0}, 2});
-    scene.Ask();
+    scene.SendRequest();
     CHECK(scene.AwaitStatus() == 503);
-    CHECK(scene.reads() == 3);
+    CHECK(scene.prefill_calls() == 3);
   }
   SECTION("a reset prefill is retried too, since prefill may be repeated") {
-    Scene scene({Reset(), Send(kRead)}, {0, {1, 0}, 1});
-    scene.Ask();
+    Scene scene({Reset(), Send(kPrefillAnswer)}, {0, {1, 0}, 1});
+    scene.SendRequest();
     CHECK(scene.AwaitStatus() == 200);
-    CHECK(scene.reads() == 2);
+    CHECK(scene.prefill_calls() == 2);
   }
 }
 
@@ -317,16 +319,16 @@
 // arrival there and for the second prefill.
 TEST_CASE("A retry after a refused run costs two arrivals") {
   SECTION("a budget of one allows no retry") {
-    Scene scene(Send(kRead), {0, {1, 0}, 1}, Send(kChangingRole));
-    scene.LoseFarEngine();
-    scene.Ask();
+    Scene scene(Send(kPrefillAnswer), {0, {1, 0}, 1}, Send(kNotExecuted));
+    scene.MarkFarEngineLeaving();
+    scene.SendRequest();
     CHECK(scene.AwaitStatus() == 503);
     CHECK(scene.near_runs() == 1);
   }
   SECTION("a budget of three allows one retry, not two") {
-    Scene scene(Send(kRead), {0, {3, 0}, 3}, Send(kChangingRole));
-    scene.LoseFarEngine();
-    scene.Ask();
+    Scene scene(Send(kPrefillAnswer), {0, {3, 0}, 3}, Send(kNotExecuted));
+    scene.MarkFarEngineLeaving();
+    scene.SendRequest();
     CHECK(scene.AwaitStatus() == 503);
     CHECK(scene.near_runs() == 2);
   }
@@ -335,10 +337,10 @@
 /// Guards against an uncharged second prefill of a request that describes no
 /// prompt parts.
 TEST_CASE("A retry without prompt parts costs two arrivals too") {
-  constexpr std::uint64_t kUntold = 0;
-  Scene scene(Send(kRead), {0, {1, 0}, 1}, Send(kChangingRole));
-  scene.LoseFarEngine();
-  scene.Ask(milliseconds(1500), kUntold);
+  constexpr std::uint64_t kNoPromptParts = 0;
+  Scene scene(Send(kPrefillAnswer), {0, {1, 0}, 1}, Send(kNotExecuted));
+  scene.MarkFarEngineLeaving();
+  scene.SendRequest(milliseconds(1500), kNoPromptParts);
   CHECK(scene.AwaitStatus() == 503);
   CHECK(scene.near_runs() == 1);
 }
@@ -349,10 +351,10 @@
 // engine is available.
 TEST_CASE(
     "A prompt for an unreachable prefill engine is retried without charge") {
-  Scene scene(Send(kRead), /*budget=*/{0, {0, 0}, 0});
+  Scene scene(Send(kPrefillAnswer), /*budget=*/{0, {0, 0}, 0});
   scene.AddUnreachableReader();
   for (std::uint64_t part = 10; part < 30; ++part) {
-    scene.Ask(milliseconds(1500), part);
+    scene.SendRequest(milliseconds(1500), part);
     CHECK(scene.AwaitStatus() == 200);
   }
   CHECK(scene.Logged({"attempt-refused", "reader=gone", "prefill_failed"}));
@@ -365,16 +367,16 @@
       GENERATE("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
                "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n");
   SECTION("a budget of one allows the retry") {
-    Scene scene({Send(refusal), Send(kRead)}, {0, {1, 0}, 1});
-    scene.Ask();
+    Scene scene({Send(refusal), Send(kPrefillAnswer)}, {0, {1, 0}, 1});
+    scene.SendRequest();
     CHECK(scene.AwaitStatus() == 200);
-    CHECK(scene.reads() == 2);
+    CHECK(scene.prefill_calls() == 2);
   }
   SECTION("an empty budget does not") {
-    Scene scene({Send(refusal), Send(kRead)}, {0, {0, 0}, 0});
-    scene.Ask();
+    Scene scene({Send(refusal), Send(kPrefillAnswer)}, {0, {0, 0}, 0});
+    scene.SendRequest();
     CHECK(scene.AwaitStatus() == 503);
-    CHECK(scene.reads() == 1);
+    CHECK(scene.prefill_calls() == 1);
   }
 }
 
@@ -383,32 +385,32 @@
 // the request over without the caller noticing.
 TEST_CASE("A second decode engine takes over after prefill") {
   SECTION("for one arrival, without a second prefill") {
-    Scene scene(Send(kRead), {0, {1, 0}, 1}, Send(kChangingRole));
-    scene.Ask();
+    Scene scene(Send(kPrefillAnswer), {0, {1, 0}, 1}, Send(kNotExecuted));
+    scene.SendRequest();
     CHECK(scene.AwaitStatus() == 200);
-    CHECK(scene.reads() == 1);
+    CHECK(scene.prefill_calls() == 1);
     CHECK(scene.near_runs() == 1);
     CHECK(scene.far_runs() == 1);
     CHECK(scene.Logged({"runner-refused", "target=near", "next=far"}));
   }
   SECTION("not without budget for one arrival") {
-    Scene scene(Send(kRead), {0, {0, 0}, 0}, Send(kChangingRole));
-    scene.Ask();
+    Scene scene(Send(kPrefillAnswer), {0, {0, 0}, 0}, Send(kNotExecuted));
+    scene.SendRequest();
     CHECK(scene.AwaitStatus() == 503);
     CHECK(scene.run_state() == RunState::kNotRun);
     CHECK(scene.far_runs() == 0);
   }
   SECTION("without charge if the first one is unreachable") {
-    Scene scene(Send(kRead), {0, {0, 0}, 0});
-    scene.LoseNearEngine();
-    scene.Ask();
+    Scene scene(Send(kPrefillAnswer), {0, {0, 0}, 0});
+    scene.MakeNearEngineUnreachable();
+    scene.SendRequest();
     CHECK(scene.AwaitStatus() == 200);
-    CHECK(scene.reads() == 1);
+    CHECK(scene.prefill_calls() == 1);
     CHECK(scene.far_runs() == 1);
   }
   SECTION("not if the first one may have run the request") {
-    Scene scene(Send(kRead), {0, {10, 0}, 10}, Reset());
-    scene.Ask();
+    Scene scene(Send(kPrefillAnswer), {0, {10, 0}, 10}, Reset());
+    scene.SendRequest();
     CHECK(scene.AwaitStatus() == 502);
     CHECK(scene.far_runs() == 0);
   }
@@ -418,32 +420,32 @@
 // and copies it from there, which takes a thirtieth of the time of computing
 // it. A leaving home still holds its prefixes, and the new home copies them.
 TEST_CASE("A prefill engine copies the shared prefix from its likely holder") {
-  Scene scene(Send(kRead), {0, {10, 0}, 10});
+  Scene scene(Send(kPrefillAnswer), {0, {10, 0}, 10});
   scene.AddSecondReader();
-  scene.Ask();
+  scene.SendRequest();
   CHECK(scene.AwaitStatus() == 200);
-  const bool first_is_home = scene.reads() == 1;
+  const bool first_is_home = scene.prefill_calls() == 1;
 
   SECTION("the home copies from the other engine") {
-    CHECK(scene.read_requests(first_is_home)
+    CHECK(scene.prefill_requests(first_is_home)
               .find("Kv-Fetch: " + scene.reader_address(!first_is_home)) !=
           std::string::npos);
   }
   SECTION("the new home copies from the leaving home") {
-    scene.LeaveReader(first_is_home);
-    scene.Ask();
+    scene.MarkReaderLeaving(first_is_home);
+    scene.SendRequest();
     CHECK(scene.AwaitStatus() == 200);
-    CHECK(scene.read_requests(!first_is_home)
+    CHECK(scene.prefill_requests(!first_is_home)
               .find("Kv-Fetch: " + scene.reader_address(first_is_home)) !=
           std::string::npos);
   }
 }
 
 TEST_CASE("A single prefill engine copies from no other") {
-  Scene scene(Send(kRead));
-  scene.Ask();
+  Scene scene(Send(kPrefillAnswer));
+  scene.SendRequest();
   CHECK(scene.AwaitStatus() == 200);
-  CHECK(scene.read_requests(/*first=*/true).find("Kv-Fetch") ==
+  CHECK(scene.prefill_requests(/*first=*/true).find("Kv-Fetch") ==
         std::string::npos);
 }
 
@@ -452,31 +454,31 @@
 // retried.
 TEST_CASE("An entry of a large fleet earns whole retries by its traffic") {
   Scene scene(Send(kFailure), {.share = 1, .part = {0.1, 0}});
-  scene.Ask();
+  scene.SendRequest();
   scene.AwaitStatus();
-  CHECK(scene.reads() == 2);
-  scene.Ask();
+  CHECK(scene.prefill_calls() == 2);
+  scene.SendRequest();
   scene.AwaitStatus();
-  CHECK(scene.reads() == 4);
+  CHECK(scene.prefill_calls() == 4);
 }
 
 // Prompts would go to another prefill engine if there was one. With a single
 // one only the log line shows that it is to be avoided.
 TEST_CASE("An engine that resets prompts is logged as avoided") {
   Scene scene(Reset());
-  scene.Ask();
+  scene.SendRequest();
   scene.AwaitStatus();
-  CHECK(scene.reads() >= 2);
+  CHECK(scene.prefill_calls() >= 2);
   CHECK(scene.Logged({"target-avoided", "target=reader"}));
 }
 
 // The near engine resets every stream before its head, so it never has requests
 // in flight.
 TEST_CASE("An engine that resets its streams soon gets no more of them") {
-  Scene scene(Send(kRead), {0, {10, 0}, 10}, Reset());
+  Scene scene(Send(kPrefillAnswer), {0, {10, 0}, 10}, Reset());
   int lost = 0;
   for (int n = 0; n < 8; ++n) {
-    scene.Ask();
+    scene.SendRequest();
     lost += scene.AwaitStatus() == 200 ? 0 : 1;
   }
   CHECK(lost == 2);
--- a/tests/platform/fault_table_process_test.cc
+++ b/tests/platform/fault_table_process_test.cc
@@ -46,13 +46,13 @@
 
 /// Sends one request of each kind concurrently and runs `meanwhile` in the
 /// calling thread.
-Outcomes AskAll(
+Outcomes SendOneOfEachKind(
     PlatformScene* scene, int deadline_ms,
     const std::function<void()>& meanwhile = [] {}) {
   std::array<std::future<HttpAnswer>, 4> answers;
   for (std::size_t n = 0; n < answers.size(); ++n) {
     answers[n] = std::async(std::launch::async, [=] {
-      return scene->Ask(kMethods[n], kPaths[n], kKinds[n], deadline_ms);
+      return scene->Send(kMethods[n], kPaths[n], kKinds[n], deadline_ms);
     });
   }
   meanwhile();
@@ -118,13 +118,13 @@
   }));
   INFO("targets " << row.fault);
   PlatformScene scene;
-  scene.EarnFurtherAttempts();
+  scene.EarnRetryBudget();
   scene.SetBehaviour(row.behaviour);
-  CheckOutcomes(AskAll(&scene, row.deadline_ms), row.expected);
+  CheckOutcomes(SendOneOfEachKind(&scene, row.deadline_ms), row.expected);
   // After the fault requests are served again; it leaves no state behind.
-  scene.SetBehaviour(Behaviour::kSound);
+  scene.SetBehaviour(Behaviour::kHealthy);
   CHECK(WaitUntil(
-      [&] { return scene.Ask("POST", "/audit/1", "after").status == 200; },
+      [&] { return scene.Send("POST", "/audit/1", "after").status == 200; },
       seconds(5)));
 }
 
@@ -143,18 +143,18 @@
   faults.garble = fault == "garbled";
   scene.store.SetFaults(faults);
   // Connections stay open, but no answer arrives on any of them.
-  scene.store_path.SetPartitioned(fault == "frozen");
+  scene.store_relay.SetPartitioned(fault == "frozen");
   std::this_thread::sleep_for(milliseconds(400));
-  CheckOutcomes(AskAll(&scene, 3000), kServed);
+  CheckOutcomes(SendOneOfEachKind(&scene, 3000), kServed);
   CHECK(scene.Ready());
   auto next = MakeConfiguration(20);
   next["routes"].push_back(MakeRoute("print", "/print/", "safe", "app"));
   scene.store.Put("config", "main", next);
   scene.store.SetFaults({});
-  scene.store_path.SetPartitioned(false);
-  CHECK(
-      WaitUntil([&] { return scene.Ask("GET", "/print/1", "p").status == 200; },
-                seconds(6)));
+  scene.store_relay.SetPartitioned(false);
+  CHECK(WaitUntil(
+      [&] { return scene.Send("GET", "/print/1", "p").status == 200; },
+      seconds(6)));
 }
 
 // The entry process is suspended or killed while its requests are at their
@@ -168,17 +168,18 @@
   };
 
   SECTION("suspended within the deadline: all requests are served") {
-    CheckOutcomes(AskAll(&scene, 3000,
-                         [&] {
-                           REQUIRE(WaitUntil(at_targets));
-                           scene.entry->Pause();
-                           std::this_thread::sleep_for(milliseconds(600));
-                           scene.entry->Resume();
-                         }),
-                  kServed);
+    CheckOutcomes(
+        SendOneOfEachKind(&scene, 3000,
+                          [&] {
+                            REQUIRE(WaitUntil(at_targets));
+                            scene.entry->Pause();
+                            std::this_thread::sleep_for(milliseconds(600));
+                            scene.entry->Resume();
+                          }),
+        kServed);
   }
   SECTION("suspended past the deadline: requests end, none runs again") {
-    const Outcomes seen = AskAll(&scene, 800, [&] {
+    const Outcomes seen = SendOneOfEachKind(&scene, 800, [&] {
       REQUIRE(WaitUntil(at_targets));
       scene.entry->Pause();
       std::this_thread::sleep_for(milliseconds(1500));
@@ -194,7 +195,7 @@
     }
   }
   SECTION("killed: connections are cut off, with unknown outcomes") {
-    const Outcomes seen = AskAll(&scene, 3000, [&] {
+    const Outcomes seen = SendOneOfEachKind(&scene, 3000, [&] {
       REQUIRE(WaitUntil(at_targets));
       scene.entry->Kill();
     });
@@ -208,7 +209,7 @@
     std::ofstream(std::getenv("INDIGOLEAD_BOOT")) << "\x01=\nnode";
     scene.entry->Signal(SIGHUP);
     std::this_thread::sleep_for(milliseconds(200));
-    CheckOutcomes(AskAll(&scene, 3000), kServed);
+    CheckOutcomes(SendOneOfEachKind(&scene, 3000), kServed);
   }
 }
 
--- a/tests/platform/platform_entry_process_test.cc
+++ b/tests/platform/platform_entry_process_test.cc
@@ -37,7 +37,7 @@
   PlatformScene scene;
 
   SECTION("a plain service's answer is forwarded unchanged") {
-    const HttpAnswer answer = scene.Ask("GET", "/desk/1", "r-1");
+    const HttpAnswer answer = scene.Send("GET", "/desk/1", "r-1");
     CHECK(answer.status == 200);
     CHECK(answer.body.substr(0, 7) == "menu of");
     CHECK(answer.Header("X-Request-Id") == "r-1");
@@ -45,7 +45,7 @@
     CHECK(scene.Runs("r-1") == 1);
   }
   SECTION("metrics count the request and its duration") {
-    scene.Ask("GET", "/desk/1", "r-1");
+    scene.Send("GET", "/desk/1", "r-1");
     const std::string text =
         HttpCall(scene.metrics_address, "GET", "/metrics").body;
     CHECK(text.find("indigolead_requests_answered_total 1\n") !=
@@ -55,33 +55,33 @@
   }
   SECTION("engines get roles and prefill runs on a separate engine") {
     // Six engines of eight slots each: half of them do prefill.
-    REQUIRE(WaitUntil([&] { return scene.Staged("prefill") == 3; }));
+    REQUIRE(WaitUntil([&] { return scene.EnginesInStage("prefill") == 3; }));
     scene.RegisterStages();
     REQUIRE(WaitUntil([&] {
-      return scene.Ask("POST", "/audit/1", "warm").status == 200 &&
+      return scene.Send("POST", "/audit/1", "warm").status == 200 &&
              scene.Prefills() > 0;
     }));
     // The entry learns all roles within the gap between two watch calls.
     std::this_thread::sleep_for(seconds(1));
     const int before = scene.Prefills();
-    const HttpAnswer answer = scene.Ask("POST", "/audit/1", "r-2");
+    const HttpAnswer answer = scene.Send("POST", "/audit/1", "r-2");
     CHECK(answer.status == 200);
     CHECK(answer.body.find("token4") != std::string::npos);
     CHECK(scene.Prefills() == before + 1);
     CHECK(scene.Runs("r-2") == 1);
   }
   SECTION("an unknown path gets 404 until its route is added") {
-    CHECK(scene.Ask("GET", "/print/1", "r-3").status == 404);
+    CHECK(scene.Send("GET", "/print/1", "r-3").status == 404);
     auto next = MakeConfiguration(9);
     next["routes"].push_back(MakeRoute("print", "/print/", "safe", "app"));
     scene.store.Put("config", "main", next);
     CHECK(WaitUntil(
-        [&] { return scene.Ask("GET", "/print/1", "r-4").status == 200; },
+        [&] { return scene.Send("GET", "/print/1", "r-4").status == 200; },
         seconds(2)));
     SECTION("and an older configuration is ignored") {
       scene.store.Put("config", "main", MakeConfiguration(5));
       std::this_thread::sleep_for(milliseconds(300));
-      CHECK(scene.Ask("GET", "/print/1", "r-5").status == 200);
+      CHECK(scene.Send("GET", "/print/1", "r-5").status == 200);
     }
   }
 }
@@ -92,13 +92,13 @@
 TEST_CASE(
     "A request that may have run is not repeated or reported as not run") {
   PlatformScene scene;
-  scene.EarnFurtherAttempts();
+  scene.EarnRetryBudget();
   for (ModelWorker& it : scene.workers) {
     it.SetBehaviour(ModelWorker::Behaviour::kResets);
   }
-  CHECK(scene.Ask("POST", "/menu/1", "r-1").status == 502);
+  CHECK(scene.Send("POST", "/menu/1", "r-1").status == 502);
   CHECK(scene.Runs("r-1") == 1);
-  CHECK(scene.Ask("GET", "/desk/1", "r-2").status == 502);
+  CHECK(scene.Send("GET", "/desk/1", "r-2").status == 502);
   CHECK(scene.Runs("r-2") == 2);
 }
 
@@ -115,7 +115,7 @@
   PlatformScene scene;
   scene.store.SetFaults(faults);
   std::this_thread::sleep_for(milliseconds(400));
-  CHECK(scene.Ask("GET", "/desk/1", "r-1").status == 200);
+  CHECK(scene.Send("GET", "/desk/1", "r-1").status == 200);
   CHECK(scene.Ready());
   scene.store.Put("config", "main", MakeConfiguration(12));
   scene.store.Compact();
@@ -124,7 +124,7 @@
   next["routes"].push_back(MakeRoute("print", "/print/", "safe", "app"));
   scene.store.Put("config", "main", next);
   CHECK(WaitUntil(
-      [&] { return scene.Ask("GET", "/print/1", "r-2").status == 200; },
+      [&] { return scene.Send("GET", "/print/1", "r-2").status == 200; },
       seconds(6)));
 }
 
@@ -146,7 +146,7 @@
   CHECK(
       WaitUntil([&] { return scene.store.Get("entries", "front-1").is_null(); },
                 seconds(2)));
-  CHECK(scene.Ask("GET", "/desk/1", "r-2").status == 200);
+  CHECK(scene.Send("GET", "/desk/1", "r-2").status == 200);
   const std::string whole = stream.ReadUntil("0\r\n\r\n");
   CHECK(whole.find("token4") != std::string::npos);
   CHECK(scene.entry->WaitForExit(seconds(8)) == 0);
@@ -161,15 +161,15 @@
   PlatformScene scene;
   const auto ordered = std::chrono::steady_clock::now();
   scene.entry->Terminate();
-  milliseconds last_taken{0};
+  milliseconds last_accepted{0};
   while (Connects(scene.callers_address)) {
-    last_taken = std::chrono::duration_cast<milliseconds>(
+    last_accepted = std::chrono::duration_cast<milliseconds>(
         std::chrono::steady_clock::now() - ordered);
-    REQUIRE(last_taken < seconds(7));
+    REQUIRE(last_accepted < seconds(7));
     std::this_thread::sleep_for(milliseconds(20));
   }
-  CHECK(last_taken > milliseconds(2200));
-  CHECK(last_taken < milliseconds(3000));
+  CHECK(last_accepted > milliseconds(2200));
+  CHECK(last_accepted < milliseconds(3000));
   CHECK(scene.entry->WaitForExit(seconds(8)) == 0);
 }
 
@@ -187,9 +187,9 @@
   auto next = MakeConfiguration(9);
   next["routes"].push_back(MakeRoute("print", "/print/", "safe", "app"));
   scene.store.Put("config", "main", next);
-  CHECK(
-      WaitUntil([&] { return scene.Ask("GET", "/print/1", "r").status == 200; },
-                seconds(1)));
+  CHECK(WaitUntil(
+      [&] { return scene.Send("GET", "/print/1", "r").status == 200; },
+      seconds(1)));
   // Two watches over 2 s, each with at most one call per 400 ms.
   CHECK(scene.store.watch_calls() - before <= 12);
 }
--- a/tests/platform/retry_budget_process_test.cc
+++ b/tests/platform/retry_budget_process_test.cc
@@ -59,8 +59,8 @@
 
 /// Stops the callers, whose requests go to `service`, and returns the window
 /// that uses the largest part of what the rule allows.
-RetryWindow Worst(Fleet* fleet, SteadyCallers* callers,
-                  const std::string& service) {
+RetryWindow WorstWindow(Fleet* fleet, SteadyCallers* callers,
+                        const std::string& service) {
   const auto sent = callers->Stop();
   return WorstRetryWindow(fleet->rule, sent,
                           FurtherArrivals(&fleet->platform, service));
@@ -79,7 +79,7 @@
     fleet.StartAll();
     std::this_thread::sleep_for(milliseconds(2100));
   }
-  const RetryWindow worst = Worst(&fleet, &callers, "app");
+  const RetryWindow worst = WorstWindow(&fleet, &callers, "app");
   INFO(worst);
   CHECK(worst.further <= worst.allowed);
   CHECK(worst.further > 0);
@@ -100,7 +100,7 @@
     fleet.StartAll();
     std::this_thread::sleep_for(milliseconds(900));
   }
-  const RetryWindow worst = Worst(&fleet, &callers, "app");
+  const RetryWindow worst = WorstWindow(&fleet, &callers, "app");
   INFO(worst);
   CHECK(worst.further <= worst.allowed);
   CHECK(worst.further > 0);
@@ -136,7 +136,7 @@
   const std::uint64_t seed = GENERATE(1, 2);
   INFO("seed " << seed);
   constexpr Behaviour kBehaviours[] = {
-      Behaviour::kSound,       Behaviour::kRefuses,     Behaviour::kFails,
+      Behaviour::kHealthy,     Behaviour::kRefuses,     Behaviour::kFails,
       Behaviour::kResets,      Behaviour::kSilent,      Behaviour::kFrozen,
       Behaviour::kLate,        Behaviour::kGarbled,     Behaviour::kWrongLength,
       Behaviour::kExtraAnswer, Behaviour::kBreaksMidway};
@@ -152,7 +152,7 @@
                                 .path = "/resume/1",
                                 .per_second = 10,
                                 .has_prompt = true});
-  SteadyCallers untold(&scene, {"POST", "/audit/2", 8});
+  SteadyCallers without_prompt(&scene, {"POST", "/audit/2", 8});
   for (int n = 0; n < 100; ++n) {
     ModelWorker& worker = scene.workers[random() % scene.workers.size()];
     worker.SetBehaviour(kBehaviours[random() % std::size(kBehaviours)]);
@@ -160,8 +160,8 @@
     scene.entry->output();
     std::this_thread::sleep_for(milliseconds(150));
   }
-  scene.SetBehaviour(Behaviour::kSound);
-  const auto callers = {&desk, &menu, &audit, &resume, &untold};
+  scene.SetBehaviour(Behaviour::kHealthy);
+  const auto callers = {&desk, &menu, &audit, &resume, &without_prompt};
   for (SteadyCallers* it : callers) {
     it->RequestStop();
   }
--- a/tests/platform/soak_process_test.cc
+++ b/tests/platform/soak_process_test.cc
@@ -43,7 +43,7 @@
 constexpr std::uint64_t kEventBytes = 20;
 
 /// One request and the answer to its caller.
-struct Asked {
+struct SentRequest {
   std::string id;
   Kind kind = Kind::kSafe;
   std::chrono::steady_clock::time_point sent_at;
@@ -62,7 +62,7 @@
   Callers(PlatformScene* scene, std::uint64_t seed) : scene_(scene) {
     constexpr std::uint64_t kCallers = 6;
     for (std::uint64_t n = 0; n < kCallers; ++n) {
-      threads_.emplace_back([this, n, seed] { Ask(n, seed); });
+      threads_.emplace_back([this, n, seed] { Send(n, seed); });
     }
   }
   ~Callers() { Stop(); }
@@ -70,34 +70,34 @@
   Callers& operator=(const Callers&) = delete;
 
   /// Stops the callers and returns all requests.
-  std::vector<Asked> Stop() {
+  std::vector<SentRequest> Stop() {
     stopping_ = true;
     for (std::thread& it : threads_) {
       it.join();
     }
     threads_.clear();
-    return asked_;
+    return sent_requests_;
   }
 
  private:
-  void Ask(std::uint64_t number, std::uint64_t seed) {
+  void Send(std::uint64_t number, std::uint64_t seed) {
     constexpr const char* kPaths[] = {"/desk/1", "/menu/1", "/audit/1",
                                       "/resume/1"};
     const RandomSource random = MakeSeededRandom(seed * 100 + number);
     for (int n = 0; !stopping_; ++n) {
-      Asked it;
+      SentRequest it;
       it.id = "c" + std::to_string(number) + "-" + std::to_string(n);
       it.kind = static_cast<Kind>(random() % 4);
       it.sent_at = std::chrono::steady_clock::now();
       const int deadline_ms = 400 + static_cast<int>(random() % 1600);
       const HttpAnswer answer =
-          scene_->Ask(it.kind == Kind::kSafe ? "GET" : "POST",
-                      kPaths[static_cast<int>(it.kind)], it.id, deadline_ms);
+          scene_->Send(it.kind == Kind::kSafe ? "GET" : "POST",
+                       kPaths[static_cast<int>(it.kind)], it.id, deadline_ms);
       it.status = answer.status;
       it.body = answer.body;
       {
         const std::lock_guard lock(mutex_);
-        asked_.push_back(std::move(it));
+        sent_requests_.push_back(std::move(it));
       }
       std::this_thread::sleep_for(milliseconds(20));
     }
@@ -106,36 +106,36 @@
   PlatformScene* scene_;
   std::atomic<bool> stopping_{false};
   std::mutex mutex_;
-  std::vector<Asked> asked_;
+  std::vector<SentRequest> sent_requests_;
   std::vector<std::thread> threads_;
 };
 
 /// Injects one random fault after another.
-class Troubles {
+class FaultInjector {
  public:
-  Troubles(PlatformScene* scene, std::uint64_t seed)
+  FaultInjector(PlatformScene* scene, std::uint64_t seed)
       : scene_(scene),
         random_(MakeSeededRandom(seed)),
         limit_random_(MakeSeededRandom(~seed)),
         notice_random_(MakeSeededRandom(seed * 3 + 1)),
         body_random_(MakeSeededRandom(seed * 5 + 2)) {}
 
-  void Next() {
+  void InjectFault() {
     constexpr Behaviour kBehaviours[] = {
-        Behaviour::kSound,       Behaviour::kRefuses,
+        Behaviour::kHealthy,     Behaviour::kRefuses,
         Behaviour::kFails,       Behaviour::kResets,
         Behaviour::kSilent,      Behaviour::kFrozen,
         Behaviour::kLate,        Behaviour::kGarbled,
         Behaviour::kWrongLength, Behaviour::kExtraAnswer,
         Behaviour::kBreaksMidway};
     if (limit_random_() % 8 == 0) {
-      NameLimit(&scene_->workers[limit_random_() % scene_->workers.size()]);
+      ToggleLimit(&scene_->workers[limit_random_() % scene_->workers.size()]);
     }
     if (notice_random_() % 4 == 0) {
-      NextNotice();
+      ChangeNotice();
     }
     if (body_random_() % 4 == 0) {
-      NextBodyEnd();
+      ChangeBodyEnd();
     }
     ModelWorker& worker = scene_->workers[Below(scene_->workers.size())];
     switch (Below(8)) {
@@ -145,21 +145,21 @@
         worker.SetBehaviour(kBehaviours[Below(std::size(kBehaviours))]);
         break;
       case 3:
-        scene_->SetBehaviour(Behaviour::kSound);
+        scene_->SetBehaviour(Behaviour::kHealthy);
         break;
       case 4:
-        StoreTrouble();
+        InjectStoreFault();
         break;
       case 5:
         scene_->entry->Pause();
         std::this_thread::sleep_for(milliseconds(50 + Below(700)));
         scene_->entry->Resume();
-        excuses_.push_back(std::chrono::steady_clock::now());
+        entry_disruptions_.push_back(std::chrono::steady_clock::now());
         break;
       case 6:
         scene_->entry->Kill();
         scene_->StartEntry();
-        excuses_.push_back(std::chrono::steady_clock::now());
+        entry_disruptions_.push_back(std::chrono::steady_clock::now());
         break;
       default:
         scene_->Register();
@@ -167,16 +167,17 @@
     }
   }
 
-  void End() {
+  void EndFaults() {
     for (ModelWorker& it : scene_->workers) {
       EndLimit(&it);
-      it.SetAskedRest(std::nullopt);
+      it.SetRequestedPause(std::nullopt);
       it.SetBodyEnd({});
-      CHECK(MostDuringRest(it.rests(), it.arrivals(), excuses_) <=
-            kRestAllowed);
-      CHECK(AfterLeaving(it.said_leaving_at(), it.arrivals(), excuses_) == 0);
+      CHECK(MostDuringRest(it.requested_pauses(), it.arrivals(),
+                           entry_disruptions_) <= kRestAllowed);
+      CHECK(AfterLeaving(it.leaving_announced_at(), it.arrivals(),
+                         entry_disruptions_) == 0);
     }
-    scene_->SetBehaviour(Behaviour::kSound);
+    scene_->SetBehaviour(Behaviour::kHealthy);
     scene_->store.SetFaults({});
     scene_->store.SetDown(false);
     scene_->Register();
@@ -187,20 +188,20 @@
 
   /// Makes a target request a pause, or stop requesting one. Occasionally makes
   /// engine "e1" or plain target "a0" announce for good that it is leaving.
-  void NextNotice() {
-    constexpr std::optional<double> kRests[] = {std::nullopt, 0.3, 1, 2.5};
+  void ChangeNotice() {
+    constexpr std::optional<double> kPauses[] = {std::nullopt, 0.3, 1, 2.5};
     const std::uint64_t n = notice_random_();
     if (n % 8 == 0) {
-      scene_->worker(n % 16 == 0 ? "e1" : "a0").SetSaysLeaving(true);
+      scene_->worker(n % 16 == 0 ? "e1" : "a0").SetAnnouncesLeaving(true);
       return;
     }
-    scene_->workers[n / 8 % scene_->workers.size()].SetAskedRest(
-        kRests[notice_random_() % std::size(kRests)]);
+    scene_->workers[n / 8 % scene_->workers.size()].SetRequestedPause(
+        kPauses[notice_random_() % std::size(kPauses)]);
   }
 
   /// Sets at random whether a target's answers end by closing the connection,
   /// and whether its streams end inside an event.
-  void NextBodyEnd() {
+  void ChangeBodyEnd() {
     ModelWorker::BodyEnd end;
     end.by_close = body_random_() % 2 == 0;
     if (body_random_() % 2 == 0) {
@@ -213,12 +214,12 @@
   }
 
   /// Makes a target announce a limit, or stop announcing it.
-  void NameLimit(ModelWorker* worker) {
+  void ToggleLimit(ModelWorker* worker) {
     if (limited_.count(worker) > 0) {
       EndLimit(worker);
       return;
     }
-    worker->SetNamedLimit(kSoakLimit);
+    worker->SetAnnouncedLimit(kSoakLimit);
     limited_.insert(worker);
   }
 
@@ -228,14 +229,14 @@
     }
     // A target that garbles or resets all its answers announces its limit to no
     // entry.
-    if (const auto named_at = worker->limit_named_at()) {
-      CHECK(MostInSpan(worker->arrivals(), *named_at + kLimitContact) <=
+    if (const auto announced_at = worker->limit_announced_at()) {
+      CHECK(MostInSpan(worker->arrivals(), *announced_at + kLimitContact) <=
             MostAllowed(kSoakLimit));
     }
-    worker->SetNamedLimit(std::nullopt);
+    worker->SetAnnouncedLimit(std::nullopt);
   }
 
-  void StoreTrouble() {
+  void InjectStoreFault() {
     standins::PlatformFaults faults;
     faults.refuse = Below(4) == 0;
     faults.stall = Below(4) == 0;
@@ -244,7 +245,7 @@
     faults.lose_answers = Below(3);
     scene_->store.SetFaults(faults);
     if (Below(2) == 0) {
-      scene_->store_path.SilenceOpenConnections();
+      scene_->store_relay.SilenceOpenConnections();
     }
   }
 
@@ -254,19 +255,19 @@
   RandomSource notice_random_;
   RandomSource body_random_;
   /// When the entry was restarted or resumed.
-  std::vector<std::chrono::steady_clock::time_point> excuses_;
+  std::vector<std::chrono::steady_clock::time_point> entry_disruptions_;
   std::uint64_t version_ = 10;
   std::set<ModelWorker*> limited_;  ///< Workers that are to announce a limit.
 };
 
-void CheckAsked(PlatformScene* scene, const Asked& it) {
+void CheckRequest(PlatformScene* scene, const SentRequest& it) {
   const int runs = scene->Runs(it.id);
   INFO(it.id << ", kind " << static_cast<int>(it.kind) << ": status "
              << it.status << ", runs " << runs << ", " << it.body);
   const bool once = it.kind == Kind::kUnsafe || it.kind == Kind::kStream;
   CHECK(runs <= (once ? 1 : 2));
-  const bool denied = it.status == 503 || it.status == 429;
-  if (once && denied) {
+  const bool is_refusal = it.status == 503 || it.status == 429;
+  if (once && is_refusal) {
     CHECK(runs == 0);
   }
   if (it.status == 200) {
@@ -279,10 +280,11 @@
 }
 
 /// Checks the further arrivals at the targets of a service against the rule.
-void CheckRepeats(PlatformScene* scene, const std::vector<Asked>& asked,
+void CheckRetries(PlatformScene* scene,
+                  const std::vector<SentRequest>& sent_requests,
                   const std::string& service) {
   std::vector<std::chrono::steady_clock::time_point> sent;
-  for (const Asked& it : asked) {
+  for (const SentRequest& it : sent_requests) {
     const bool plain = it.kind == Kind::kSafe || it.kind == Kind::kUnsafe;
     if (plain == (service == "app")) {
       sent.push_back(it.sent_at);
@@ -318,24 +320,24 @@
   const std::uint64_t seed = NumberFrom("INDIGOLEAD_SOAK_SEED", 1);
   const auto length = seconds(NumberFrom("INDIGOLEAD_SOAK_S", 6));
   PlatformScene scene;
-  std::vector<Asked> asked;
+  std::vector<SentRequest> sent_requests;
   {
     Callers callers(&scene, seed);
-    Troubles troubles(&scene, seed);
+    FaultInjector injector(&scene, seed);
     const auto end = std::chrono::steady_clock::now() + length;
     while (std::chrono::steady_clock::now() < end) {
-      troubles.Next();
+      injector.InjectFault();
       std::this_thread::sleep_for(milliseconds(150));
     }
-    troubles.End();
-    asked = callers.Stop();
+    injector.EndFaults();
+    sent_requests = callers.Stop();
   }
-  CheckRepeats(&scene, asked, "app");
-  CheckRepeats(&scene, asked, "llm");
+  CheckRetries(&scene, sent_requests, "app");
+  CheckRetries(&scene, sent_requests, "llm");
   std::map<int, int> by_status;
   std::map<std::string, int> by_code;
-  for (const Asked& it : asked) {
-    CheckAsked(&scene, it);
+  for (const SentRequest& it : sent_requests) {
+    CheckRequest(&scene, it);
     ++by_status[it.status];
     if (it.status == 503) {
       ++by_code[it.body.substr(0, it.body.find(':'))];
@@ -356,8 +358,8 @@
   CHECK(by_status[200] > 0);
   CHECK(WaitUntil(
       [&] {
-        return scene.Ask("POST", "/audit/1", "after").status == 200 &&
-               scene.Ask("GET", "/desk/1", "after").status == 200;
+        return scene.Send("POST", "/audit/1", "after").status == 200 &&
+               scene.Send("GET", "/desk/1", "after").status == 200;
       },
       seconds(10)));
   CHECK(MemoryOf(scene.entry->pid()) < 64);
--- a/tests/platform/stale_lists_test.cc
+++ b/tests/platform/stale_lists_test.cc
@@ -58,13 +58,13 @@
   ListWatcher::Options options;
   options.prefix = "servers/";
   options.list = {CallPriority::kConfig, std::chrono::seconds(10)};
-  std::vector<std::size_t> told;
+  std::vector<std::size_t> reported_sizes;
   ListWatcher::Hooks hooks;
   hooks.on_part = [&](const ListWatcher::State& it) {
-    told.push_back(it.size());
+    reported_sizes.push_back(it.size());
   };
   hooks.on_state = [&](const ListWatcher::State& it, std::uint64_t) {
-    told.push_back(it.size());
+    reported_sizes.push_back(it.size());
     io.stop();
   };
   hooks.jitter = [] { return 0.5; };
@@ -72,10 +72,10 @@
                       MakeNullEventLog());
   watcher.Start();
   io.run_for(std::chrono::seconds(10));
-  REQUIRE_FALSE(told.empty());
-  CHECK(told.front() == std::min(kPage, targets));
-  CHECK(told.back() == targets);
-  CHECK(std::is_sorted(told.begin(), told.end()));
+  REQUIRE_FALSE(reported_sizes.empty());
+  CHECK(reported_sizes.front() == std::min(kPage, targets));
+  CHECK(reported_sizes.back() == targets);
+  CHECK(std::is_sorted(reported_sizes.begin(), reported_sizes.end()));
 }
 
 /// Guards against a stale list where the latest one is needed: after the first
--- a/tests/platform/store_return_test.cc
+++ b/tests/platform/store_return_test.cc
@@ -32,33 +32,34 @@
 }
 
 /// Simulates a rolling release while one entry loses the store and regains it.
-class ReturnWorld {
+class StoreOutageSimulation {
  public:
-  ReturnWorld(std::uint32_t seed, const Bounds& bounds)
+  StoreOutageSimulation(std::uint32_t seed, const Bounds& bounds)
       : bounds_(bounds), random_(seed) {
     for (int n = 0; n < kTargets; ++n) {
       table_.Put("servers/i-" + std::to_string(n), "ready");
     }
-    entry_ = std::make_unique<FollowingEntry>(
-        &timeline_, &table_, SettingsWith(bounds), [this] { return Share(); });
+    entry_ = std::make_unique<FollowingEntry>(&timeline_, &table_,
+                                              SettingsWith(bounds),
+                                              [this] { return RandomShare(); });
     RunFor(seconds(2) + milliseconds(Draw(0, 2000)));
   }
 
   /// Makes the store unreachable for `length`. From shortly before its return,
   /// targets leave one after another: some announce it, others are just
   /// removed.
-  void LoseStore(StorePath way, Duration length) {
-    entry_->path().SetPath(way);
+  void LoseStore(StorePath fault, Duration length) {
+    entry_->path().SetPath(fault);
     // Open connections go silent at one moment; new connections work at once.
     const TimePoint back =
-        timeline_.now + (way == StorePath::kKeptSilent ? kStep : length);
+        timeline_.now + (fault == StorePath::kKeptSilent ? kStep : length);
     RunThrough(back);
   }
 
   /// As `LoseStore`, but the store also drops live targets. Each of them is
   /// registered again within two seconds of the return of the store.
-  void LoseStoreAndLiveTargets(StorePath way, Duration length) {
-    entry_->path().SetPath(way);
+  void LoseStoreAndLiveTargets(StorePath fault, Duration length) {
+    entry_->path().SetPath(fault);
     for (int n = kTargets / 2; n < kTargets; ++n) {
       const std::string key = "servers/i-" + std::to_string(n);
       timeline_.After(length / 2, [this, key] { table_.Remove(key); });
@@ -70,7 +71,7 @@
 
   Duration longest_late() const { return longest_late_; }
   int late() const { return late_; }
-  int live_given_up() const { return live_given_up_; }
+  int live_dropped() const { return live_dropped_; }
   int left() const { return static_cast<int>(left_at_.size()); }
 
   Duration DrawLength() { return milliseconds(Draw(300, 9000)); }
@@ -82,11 +83,13 @@
   int Draw(int least, int most) {
     return std::uniform_int_distribution<int>(least, most)(random_);
   }
-  double Share() { return std::uniform_real_distribution<>(0, 1)(random_); }
+  double RandomShare() {
+    return std::uniform_real_distribution<>(0, 1)(random_);
+  }
 
   void RunThrough(TimePoint back) {
     const TimePoint end = back + seconds(6);
-    in_touch_at_ = back + bounds_.contact;
+    contact_due_at_ = back + bounds_.contact;
     TimePoint next = back - milliseconds(Draw(0, 4000));
     while (timeline_.now < end) {
       const bool was_lost = timeline_.now < back;
@@ -96,7 +99,7 @@
       }
       RunFor(kStep);
       if (was_lost && timeline_.now >= back) {
-        entry_->path().SetPath(StorePath::kWell);
+        entry_->path().SetPath(StorePath::kHealthy);
       }
     }
   }
@@ -131,7 +134,7 @@
     const TimePoint reached = timeline_.now + kUse;
     for (const auto& [key, left_at] : left_at_) {
       const bool bound =
-          reached > left_at + bounds_.leaving && reached > in_touch_at_;
+          reached > left_at + bounds_.leaving && reached > contact_due_at_;
       if (bound && entry_->usable().count(key) > 0) {
         ++late_;
         longest_late_ = std::max<Duration>(longest_late_, reached - left_at);
@@ -140,7 +143,7 @@
     for (int n = kTargets / 2; n < kTargets && entry_; ++n) {
       const std::string key = "servers/i-" + std::to_string(n);
       const bool usable = entry_->usable().count(key) > 0;
-      live_given_up_ += started_ && !usable ? 1 : 0;
+      live_dropped_ += started_ && !usable ? 1 : 0;
     }
     started_ = entry_ && !entry_->usable().empty();
   }
@@ -151,15 +154,15 @@
   RegistrationTable table_;
   std::unique_ptr<FollowingEntry> entry_;
   std::map<std::string, TimePoint> left_at_;
-  TimePoint in_touch_at_{};  ///< End of the time `contact`.
+  TimePoint contact_due_at_{};  ///< End of the time `contact`.
   int next_target_ = 0;
   int late_ = 0;
-  int live_given_up_ = 0;
+  int live_dropped_ = 0;
   bool started_ = false;
   Duration longest_late_{0};
 };
 
-Bounds AnyBounds() {
+Bounds GenerateBounds() {
   return GENERATE(Bounds{seconds(2), seconds(3)},
                   Bounds{seconds(3), seconds(4)},
                   Bounds{seconds(4), seconds(5)});
@@ -175,34 +178,35 @@
 /// the store or soon after. Each delay in the chain was within its own limit,
 /// but their sum exceeded the operator's bound.
 TEST_CASE("A target that left is not used after any kind of store outage") {
-  const Bounds bounds = AnyBounds();
-  const StorePath way =
+  const Bounds bounds = GenerateBounds();
+  const StorePath fault =
       GENERATE(StorePath::kRefused, StorePath::kReset, StorePath::kSilent,
                StorePath::kOneWay, StorePath::kSlow, StorePath::kKeptSilent);
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
-    ReturnWorld world(seed, bounds);
-    world.LoseStore(way, world.DrawLength());
-    INFO("seed " << seed << ", fault " << static_cast<int>(way) << ", bounds "
+    StoreOutageSimulation simulation(seed, bounds);
+    simulation.LoseStore(fault, simulation.DrawLength());
+    INFO("seed " << seed << ", fault " << static_cast<int>(fault) << ", bounds "
                  << TextOf(bounds.leaving) << " and " << TextOf(bounds.contact)
-                 << ", used after " << TextOf(world.longest_late()));
-    CHECK(world.left() > 0);
-    CHECK(world.late() == 0);
-    CHECK(world.live_given_up() == 0);
+                 << ", used after " << TextOf(simulation.longest_late()));
+    CHECK(simulation.left() > 0);
+    CHECK(simulation.late() == 0);
+    CHECK(simulation.live_dropped() == 0);
   }
 }
 
 /// Guards against refused callers because live targets that the store dropped
 /// during an outage are assumed to be gone.
 TEST_CASE("Live targets that the store dropped in an outage stay in use") {
-  const StorePath way = GENERATE(StorePath::kRefused, StorePath::kReset,
-                                 StorePath::kSilent, StorePath::kOneWay);
+  const StorePath fault = GENERATE(StorePath::kRefused, StorePath::kReset,
+                                   StorePath::kSilent, StorePath::kOneWay);
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
-    ReturnWorld world(seed, {seconds(2), seconds(3)});
-    world.LoseStoreAndLiveTargets(way, seconds(5) + world.DrawLength() / 4);
-    INFO("seed " << seed << ", fault " << static_cast<int>(way)
-                 << ", used after " << TextOf(world.longest_late()));
-    CHECK(world.live_given_up() == 0);
-    CHECK(world.late() == 0);
+    StoreOutageSimulation simulation(seed, {seconds(2), seconds(3)});
+    simulation.LoseStoreAndLiveTargets(
+        fault, seconds(5) + simulation.DrawLength() / 4);
+    INFO("seed " << seed << ", fault " << static_cast<int>(fault)
+                 << ", used after " << TextOf(simulation.longest_late()));
+    CHECK(simulation.live_dropped() == 0);
+    CHECK(simulation.late() == 0);
   }
 }
 
--- a/tests/platform/support/metadata_store.cc
+++ b/tests/platform/support/metadata_store.cc
@@ -96,7 +96,7 @@
   });
 }
 
-MetadataStore::Objects& MetadataStore::Readable(const std::string& kind) {
+MetadataStore::Objects& MetadataStore::VisibleObjects(const std::string& kind) {
   return faults_.stale_reads ? stale_kinds_[kind] : kinds_[kind];
 }
 
@@ -200,7 +200,7 @@
 
 Task MetadataStore::Read(HttpExchange& exchange, const std::string& kind,
                          std::string name) {
-  const Objects& objects = Readable(kind);
+  const Objects& objects = VisibleObjects(kind);
   const auto it = objects.find(name);
   if (it == objects.end()) {
     co_await exchange.Reply(404, "", {});
@@ -215,7 +215,7 @@
   const std::string after = exchange.request().Query("after");
   Json items = Json::array();
   bool more = false;
-  for (const auto& [name, object] : Readable(kind)) {
+  for (const auto& [name, object] : VisibleObjects(kind)) {
     if (name <= after) {
       continue;
     }
@@ -276,15 +276,15 @@
   const auto held = kinds_[kind].find(name);
   const bool exists = held != kinds_[kind].end();
   const std::uint64_t expected = metadata.value("revision", std::uint64_t{0});
-  const bool fits =
+  const bool precondition_holds =
       request.method == "POST"
           ? !exists
           : exists && (expected == 0 || expected == held->second.revision);
-  if (!fits && !exists) {
+  if (!precondition_holds && !exists) {
     co_await exchange.Reply(404, "", {});
     co_return;
   }
-  if (!fits) {
+  if (!precondition_holds) {
     std::string held_now = JsonOf(name, held->second).dump();
     co_await exchange.Reply(409, std::move(held_now), JsonType());
     co_return;
--- a/tests/platform/support/metadata_store.h
+++ b/tests/platform/support/metadata_store.h
@@ -87,7 +87,7 @@
   void Announce(const std::string& kind, const std::string& name,
                 Object* object);
   void Erase(const std::string& kind, const std::string& name);
-  Objects& Readable(const std::string& kind);
+  Objects& VisibleObjects(const std::string& kind);
   nlohmann::json JsonOf(const std::string& name, const Object& object) const;
   nlohmann::json EventsSince(const std::string& kind,
                              std::uint64_t revision) const;
--- a/tests/platform/support/model_worker.cc
+++ b/tests/platform/support/model_worker.cc
@@ -23,7 +23,7 @@
 ModelWorker::ModelWorker(Options options)
     : options_(std::move(options)),
       server_(0, [this](HttpExchange& exchange) { return Handle(exchange); }) {
-  down_ = std::make_unique<boost::asio::steady_timer>(server_.io());
+  restart_timer_ = std::make_unique<boost::asio::steady_timer>(server_.io());
   server_.Start();
 }
 
@@ -39,7 +39,7 @@
   }
   server_.Invoke([&] {
     if (!crashes_on_.empty()) {
-      registration["born"] = born_;
+      registration["born"] = start_number_;
     }
   });
   return registration;
@@ -75,9 +75,9 @@
   return arrivals;
 }
 
-int ModelWorker::keys_seen() {
+int ModelWorker::arrivals_with_key() {
   int n = 0;
-  server_.Invoke([&] { n = keys_seen_; });
+  server_.Invoke([&] { n = arrivals_with_key_; });
   return n;
 }
 
@@ -111,60 +111,60 @@
   crashes_.push_back(std::chrono::steady_clock::now());
   running_ = 0;
   orders_ = 0;
-  StayDown(kDownFor);
+  GoDownFor(kDownFor);
 }
 
-void ModelWorker::StayDown(std::chrono::milliseconds length) {
+void ModelWorker::GoDownFor(std::chrono::milliseconds length) {
   server_.SetDownOnServerThread(true);
-  down_->expires_after(length);
-  down_->async_wait([this](const boost::system::error_code& ec) {
+  restart_timer_->expires_after(length);
+  restart_timer_->async_wait([this](const boost::system::error_code& ec) {
     if (!ec) {
-      StartAnew();
+      Restart();
     }
   });
 }
 
-void ModelWorker::StartAnew() {
+void ModelWorker::Restart() {
   try {
     server_.SetDownOnServerThread(false);
-    ++born_;
+    ++start_number_;
   } catch (const boost::system::system_error&) {
-    StayDown(kStep);  // The port is in use by another connection.
+    GoDownFor(kStep);  // The port is in use by another connection.
   }
 }
 
-void ModelWorker::SetNamedLimit(std::optional<double> limit) {
+void ModelWorker::SetAnnouncedLimit(std::optional<double> limit) {
   server_.Invoke([&] {
-    named_limit_ = limit;
-    limit_named_at_.reset();
+    announced_limit_ = limit;
+    limit_announced_at_.reset();
   });
 }
 
 std::optional<std::chrono::steady_clock::time_point>
-ModelWorker::limit_named_at() {
-  std::optional<std::chrono::steady_clock::time_point> named_at;
-  server_.Invoke([&] { named_at = limit_named_at_; });
-  return named_at;
+ModelWorker::limit_announced_at() {
+  std::optional<std::chrono::steady_clock::time_point> announced_at;
+  server_.Invoke([&] { announced_at = limit_announced_at_; });
+  return announced_at;
 }
 
-void ModelWorker::SetAskedRest(std::optional<double> seconds) {
-  server_.Invoke([&] { asked_rest_ = seconds; });
+void ModelWorker::SetRequestedPause(std::optional<double> seconds) {
+  server_.Invoke([&] { requested_pause_ = seconds; });
 }
 
-std::vector<ModelWorker::Rest> ModelWorker::rests() {
-  std::vector<Rest> rests;
-  server_.Invoke([&] { rests = rests_; });
-  return rests;
+std::vector<ModelWorker::RequestedPause> ModelWorker::requested_pauses() {
+  std::vector<RequestedPause> requested_pauses;
+  server_.Invoke([&] { requested_pauses = requested_pauses_; });
+  return requested_pauses;
 }
 
-void ModelWorker::SetSaysLeaving(bool leaving) {
-  server_.Invoke([&] { says_leaving_ = leaving; });
+void ModelWorker::SetAnnouncesLeaving(bool leaving) {
+  server_.Invoke([&] { announces_leaving_ = leaving; });
 }
 
 std::vector<std::chrono::steady_clock::time_point>
-ModelWorker::said_leaving_at() {
+ModelWorker::leaving_announced_at() {
   std::vector<std::chrono::steady_clock::time_point> at;
-  server_.Invoke([&] { at = said_leaving_at_; });
+  server_.Invoke([&] { at = leaving_announced_at_; });
   return at;
 }
 
@@ -177,7 +177,7 @@
 Task ModelWorker::Handle(HttpExchange& exchange) {
   const HttpRequest& request = exchange.request();
   arrivals_.push_back(std::chrono::steady_clock::now());
-  keys_seen_ += request.Header("Authorization").empty() ? 0 : 1;
+  arrivals_with_key_ += request.Header("Authorization").empty() ? 0 : 1;
   if (!IdOf(exchange).empty()) {
     accounts_[IdOf(exchange)].push_back(request.Header("X-Tenant"));
     request_arrivals_.push_back({IdOf(exchange), arrivals_.back(), request.path,
@@ -185,15 +185,15 @@
   }
   const std::string expected = request.Header("X-Expect-Instance");
   if (!expected.empty() && expected != options_.id) {
-    co_await exchange.Reply(421, "", CommonHeaders());
+    co_await exchange.Reply(421, "", NoticeHeaders());
   } else if (request.path == "/api/report") {
     const Json report = {{"stage", stage_}, {"seq", orders_}, {"busy", false}};
     std::string body = report.dump();
-    co_await exchange.Reply(200, std::move(body), CommonHeaders());
+    co_await exchange.Reply(200, std::move(body), NoticeHeaders());
   } else if (request.path == "/api/order") {
     co_await Order(exchange);
-  } else if (asked_rest_ && !IdOf(exchange).empty()) {
-    co_await AskForRest(exchange);
+  } else if (requested_pause_ && !IdOf(exchange).empty()) {
+    co_await RequestPause(exchange);
   } else if (request.Header("X-Stage") == "prefill") {
     co_await Prefill(exchange);
   } else {
@@ -210,18 +210,18 @@
   } else {
     ++orders_;
     stage_ = order.at("stage").get<std::string>();
-    co_await exchange.Reply(202, "", CommonHeaders());
+    co_await exchange.Reply(202, "", NoticeHeaders());
   }
 }
 
-Task ModelWorker::AskForRest(HttpExchange& exchange) {
-  rests_.push_back(
+Task ModelWorker::RequestPause(HttpExchange& exchange) {
+  requested_pauses_.push_back(
       {arrivals_.back(),
        std::chrono::duration_cast<std::chrono::steady_clock::duration>(
-           std::chrono::duration<double>(*asked_rest_))});
-  HttpHeaders headers = CommonHeaders();
+           std::chrono::duration<double>(*requested_pause_))});
+  HttpHeaders headers = NoticeHeaders();
   headers.emplace_back("X-Not-Executed", "1");
-  headers.emplace_back("Retry-After", std::to_string(*asked_rest_));
+  headers.emplace_back("Retry-After", std::to_string(*requested_pause_));
   co_await exchange.Reply(503, "", std::move(headers));
 }
 
@@ -237,7 +237,7 @@
   const Json reply = {{"kv-handle", "h" + std::to_string(prefills_)},
                       {"tokens", 100}};
   std::string body = reply.dump();
-  co_await exchange.Reply(200, std::move(body), CommonHeaders());
+  co_await exchange.Reply(200, std::move(body), NoticeHeaders());
 }
 
 Task ModelWorker::Run(HttpExchange& exchange) {
@@ -246,7 +246,7 @@
     co_return;
   }
   if (behaviour_ == Behaviour::kRefuses || running_ >= options_.slots) {
-    HttpHeaders headers = CommonHeaders();
+    HttpHeaders headers = NoticeHeaders();
     headers.emplace_back("X-Not-Executed", "1");
     co_await exchange.Reply(503, "", std::move(headers));
     co_return;
@@ -306,21 +306,21 @@
 }
 
 HttpHeaders ModelWorker::AnswerHeaders(const std::string& id) {
-  HttpHeaders headers = CommonHeaders();
+  HttpHeaders headers = NoticeHeaders();
   headers.emplace_back("X-Request-Id", id);
   headers.emplace_back("X-Response-Signature", "sig-" + options_.id);
   return headers;
 }
 
-HttpHeaders ModelWorker::CommonHeaders() {
+HttpHeaders ModelWorker::NoticeHeaders() {
   const auto now = std::chrono::steady_clock::now();
   HttpHeaders headers;
-  if (named_limit_) {
-    limit_named_at_ = limit_named_at_.value_or(now);
-    headers.emplace_back("Server-Limit", std::to_string(*named_limit_));
+  if (announced_limit_) {
+    limit_announced_at_ = limit_announced_at_.value_or(now);
+    headers.emplace_back("Server-Limit", std::to_string(*announced_limit_));
   }
-  if (says_leaving_) {
-    said_leaving_at_.push_back(now);
+  if (announces_leaving_) {
+    leaving_announced_at_.push_back(now);
     headers.emplace_back("Server-Leaving", "1");
   }
   return headers;
@@ -360,7 +360,7 @@
   const bool cut =
       body_end_.cut_after && (last.empty() || body_end_.cut_resumed);
   std::size_t left = body_end_.cut_after.value_or(0);
-  co_await StartBody(exchange, "text/event-stream", CommonHeaders());
+  co_await StartBody(exchange, "text/event-stream", NoticeHeaders());
   for (int n = first; n <= options_.events && exchange.open(); ++n) {
     if (breaks && n == first + 2) {
       exchange.Abort();
--- a/tests/platform/support/model_worker.h
+++ b/tests/platform/support/model_worker.h
@@ -34,7 +34,7 @@
   };
   /// How the worker handles requests to run.
   enum class Behaviour {
-    kSound,
+    kHealthy,
     kRefuses,       ///< 503, marked as not executed.
     kFails,         ///< Runs and answers with 500.
     kResets,        ///< Begins to run, then resets the connection.
@@ -63,7 +63,7 @@
     std::string request_id;
     std::chrono::steady_clock::time_point at;
     std::string path;
-    bool is_reading = false;  ///< Prefill only.
+    bool is_prefill = false;  ///< Prefill only.
     bool accepted = false;    ///< The prefill was not rejected.
   };
 
@@ -86,7 +86,7 @@
   /// Returns the service that this target belongs to.
   const std::string& service() const { return options_.service; }
   /// Returns how many arrivals carried a caller's API key.
-  int keys_seen();
+  int arrivals_with_key();
   void SetBehaviour(Behaviour behaviour);
   void SetBodyEnd(BodyEnd end);
   /// Makes the worker crash with all its runs `kCrashAfter` after it starts to
@@ -97,36 +97,36 @@
   std::vector<std::chrono::steady_clock::time_point> crashes();
   /// Sets the limit, in requests per second, that all answers announce from now
   /// on, or none. The worker does not enforce it.
-  void SetNamedLimit(std::optional<double> limit);
+  void SetAnnouncedLimit(std::optional<double> limit);
   /// Returns when an answer first announced the current limit. Empty if none
   /// has yet, for instance because the worker resets or garbles all its
   /// answers.
-  std::optional<std::chrono::steady_clock::time_point> limit_named_at();
-  using Rest = AskedRest<std::chrono::steady_clock::time_point>;
+  std::optional<std::chrono::steady_clock::time_point> limit_announced_at();
+  using RequestedPause = AskedRest<std::chrono::steady_clock::time_point>;
   /// Makes the worker refuse all callers' requests from now on with a
   /// Retry-After of `seconds`, or serve them again.
-  void SetAskedRest(std::optional<double> seconds);
+  void SetRequestedPause(std::optional<double> seconds);
   /// Returns the pauses that were requested with Retry-After.
-  std::vector<Rest> rests();
+  std::vector<RequestedPause> requested_pauses();
   /// Sets whether answers announce from now on that the target is leaving.
-  void SetSaysLeaving(bool leaving);
+  void SetAnnouncesLeaving(bool leaving);
   /// Returns when answers announced that the target is leaving.
-  std::vector<std::chrono::steady_clock::time_point> said_leaving_at();
+  std::vector<std::chrono::steady_clock::time_point> leaving_announced_at();
   /// Returns the arrival times of all requests, control calls included.
   std::vector<std::chrono::steady_clock::time_point> arrivals();
 
  private:
   standins::Task Handle(standins::HttpExchange& exchange);
   /// Refuses the request with a Retry-After header.
-  standins::Task AskForRest(standins::HttpExchange& exchange);
+  standins::Task RequestPause(standins::HttpExchange& exchange);
   standins::Task Prefill(standins::HttpExchange& exchange);
   standins::Task Run(standins::HttpExchange& exchange);
   standins::Task Order(standins::HttpExchange& exchange);
   standins::Task Wait(standins::HttpExchange& exchange);
   /// Crashes if the request is for the path that triggers crashes.
   standins::Task CrashIfAsked(standins::HttpExchange& exchange, bool* crashed);
-  void StayDown(std::chrono::milliseconds length);
-  void StartAnew();
+  void GoDownFor(std::chrono::milliseconds length);
+  void Restart();
   standins::Task Misbehave(standins::HttpExchange& exchange, bool* answer);
   standins::Task Answer(standins::HttpExchange& exchange);
   standins::Task Stream(standins::HttpExchange& exchange);
@@ -136,30 +136,30 @@
   standins::Task EndBody(standins::HttpExchange& exchange);
   standins::HttpHeaders AnswerHeaders(const std::string& id);
   /// Returns the headers that announce a limit or that the target is leaving.
-  standins::HttpHeaders CommonHeaders();
+  standins::HttpHeaders NoticeHeaders();
 
   Options options_;
   std::string stage_ = "decode";
   std::uint64_t orders_ = 0;
   int prefills_ = 0;
-  Behaviour behaviour_ = Behaviour::kSound;
+  Behaviour behaviour_ = Behaviour::kHealthy;
   BodyEnd body_end_;
   std::string crashes_on_;
   std::vector<std::chrono::steady_clock::time_point> crashes_;
-  std::unique_ptr<boost::asio::steady_timer> down_;
-  std::int64_t born_ = 1;  ///< Differs for each start of the process.
+  std::unique_ptr<boost::asio::steady_timer> restart_timer_;
+  std::int64_t start_number_ = 1;  ///< Differs for each start of the process.
   int running_ = 0;
   std::map<std::string, int> runs_;
   std::map<std::string, std::vector<std::string>> accounts_;
   std::vector<Arrival> request_arrivals_;
-  int keys_seen_ = 0;
-  std::optional<double> named_limit_;
-  std::optional<std::chrono::steady_clock::time_point> limit_named_at_;
+  int arrivals_with_key_ = 0;
+  std::optional<double> announced_limit_;
+  std::optional<std::chrono::steady_clock::time_point> limit_announced_at_;
   std::vector<std::chrono::steady_clock::time_point> arrivals_;
-  std::optional<double> asked_rest_;  ///< In seconds.
-  std::vector<Rest> rests_;
-  bool says_leaving_ = false;
-  std::vector<std::chrono::steady_clock::time_point> said_leaving_at_;
+  std::optional<double> requested_pause_;  ///< In seconds.
+  std::vector<RequestedPause> requested_pauses_;
+  bool announces_leaving_ = false;
+  std::vector<std::chrono::steady_clock::time_point> leaving_announced_at_;
   standins::HttpServer server_;
 };
 
--- a/tests/platform/support/platform_scene.cc
+++ b/tests/platform/support/platform_scene.cc
@@ -134,10 +134,10 @@
   return MetricAt(metrics_address, name);
 }
 
-HttpAnswer PlatformScene::AskAt(const std::string& address,
-                                const std::string& method,
-                                const std::string& path, const std::string& id,
-                                int deadline_ms) {
+HttpAnswer PlatformScene::SendTo(const std::string& address,
+                                 const std::string& method,
+                                 const std::string& path, const std::string& id,
+                                 int deadline_ms) {
   return HttpCall(address, method, path, "prices",
                   {{"X-Request-Id", id},
                    {"X-Deadline-Ms", std::to_string(deadline_ms)},
@@ -146,26 +146,26 @@
                   std::chrono::seconds(10));
 }
 
-HttpAnswer PlatformScene::Ask(const std::string& method,
-                              const std::string& path, const std::string& id,
-                              int deadline_ms) {
-  return AskAt(callers_address, method, path, id, deadline_ms);
+HttpAnswer PlatformScene::Send(const std::string& method,
+                               const std::string& path, const std::string& id,
+                               int deadline_ms) {
+  return SendTo(callers_address, method, path, id, deadline_ms);
 }
 
-void PlatformScene::EarnFurtherAttempts() {
+void PlatformScene::EarnRetryBudget() {
   // Each request earns 0.14 of an arrival, and a retry at an engine costs two.
   constexpr int kRequests = 16;
   for (int n = 0; n < kRequests; ++n) {
     const std::string id = "earns-" + std::to_string(n);
-    REQUIRE(Ask("GET", "/desk/1", id).status == 200);
-    REQUIRE(Ask("POST", "/audit/1", id).status == 200);
+    REQUIRE(Send("GET", "/desk/1", id).status == 200);
+    REQUIRE(Send("POST", "/audit/1", id).status == 200);
   }
 }
 
-HttpAnswer PlatformScene::AskWithKey(const std::string& key,
-                                     const std::string& method,
-                                     const std::string& path,
-                                     const std::string& id) {
+HttpAnswer PlatformScene::SendWithKey(const std::string& key,
+                                      const std::string& method,
+                                      const std::string& path,
+                                      const std::string& id) {
   return HttpCall(callers_address, method, path, "prices",
                   {{"X-Request-Id", id},
                    {"X-Deadline-Ms", "4000"},
@@ -184,10 +184,10 @@
   return accounts;
 }
 
-int PlatformScene::KeysSeen() {
+int PlatformScene::ArrivalsWithKey() {
   int n = 0;
   for (ModelWorker& it : workers) {
-    n += it.keys_seen();
+    n += it.arrivals_with_key();
   }
   return n;
 }
@@ -258,7 +258,7 @@
   return n;
 }
 
-int PlatformScene::Staged(const std::string& stage) {
+int PlatformScene::EnginesInStage(const std::string& stage) {
   int n = 0;
   for (ModelWorker& it : workers) {
     n += it.Registration().value("stage", "") == stage ? 1 : 0;
@@ -288,7 +288,7 @@
   out << "node=" << name
       << "\nzone=bilbao-a\nregion=norte\nlisten.front=" << callers
       << "\nlisten.ready=" << ready
-      << "\nplatform.address=" << store_path.address()
+      << "\nplatform.address=" << store_relay.address()
       << "\nip=127.0.0.1\nport-range=" << PortOf(ReserveAddress())
       << "\nlimits.max-fds=1000\nbounds.grace-s=8\nbounds.lease-ms=500\n"
          "bounds.contact-ms=3000\nbounds.retry-budget-ratio=0.2\n"
--- a/tests/platform/support/platform_scene.h
+++ b/tests/platform/support/platform_scene.h
@@ -71,18 +71,18 @@
   std::string Metric(const std::string& name);
 
   /// Sends a request to the entry that listens for callers at `address`.
-  static HttpAnswer AskAt(const std::string& address, const std::string& method,
-                          const std::string& path, const std::string& id,
-                          int deadline_ms);
-  HttpAnswer Ask(const std::string& method, const std::string& path,
-                 const std::string& id, int deadline_ms = 4000);
+  static HttpAnswer SendTo(const std::string& address,
+                           const std::string& method, const std::string& path,
+                           const std::string& id, int deadline_ms);
+  HttpAnswer Send(const std::string& method, const std::string& path,
+                  const std::string& id, int deadline_ms = 4000);
   /// Sends a request with the caller's API key `key`.
-  HttpAnswer AskWithKey(const std::string& key, const std::string& method,
-                        const std::string& path, const std::string& id);
+  HttpAnswer SendWithKey(const std::string& key, const std::string& method,
+                         const std::string& path, const std::string& id);
 
   /// Sends successful requests until the entry has earned budget for a retry at
   /// each service. An entry starts without budget.
-  void EarnFurtherAttempts();
+  void EarnRetryBudget();
 
   /// Writes the current registration of each worker to the store.
   void Register();
@@ -98,16 +98,16 @@
   /// Returns how often the request `id` was run, at all workers.
   int Runs(const std::string& id);
   /// Returns the number of engines in `stage`.
-  int Staged(const std::string& stage);
+  int EnginesInStage(const std::string& stage);
   /// Returns the client account named in each arrival of a request, at all
   /// workers.
   std::vector<std::string> Accounts(const std::string& id);
   /// Returns how many arrivals at all workers carried a caller's API key.
-  int KeysSeen();
+  int ArrivalsWithKey();
 
   UsageReceiver usage;
   MetadataStore store;
-  standins::RelayServer store_path{0, store.address()};
+  standins::RelayServer store_relay{0, store.address()};
   std::deque<ModelWorker> workers;
   std::string callers_address = ReserveAddress();
   std::string ready_address = ReserveAddress();
--- a/tests/platform/support/repeats.cc
+++ b/tests/platform/support/repeats.cc
@@ -12,8 +12,8 @@
 using Arrivals = std::vector<ModelWorker::Arrival>;
 
 /// Returns the arrivals of each request after its first, in order of time.
-std::map<std::string, Arrivals> FurtherOf(PlatformScene* scene,
-                                          const std::string& service) {
+std::map<std::string, Arrivals> FurtherArrivalsOf(PlatformScene* scene,
+                                                  const std::string& service) {
   std::map<std::string, Arrivals> by_request;
   for (ModelWorker& worker : scene->workers) {
     if (worker.service() == service) {
@@ -25,11 +25,11 @@
   for (auto& [id, arrivals] : by_request) {
     std::sort(arrivals.begin(), arrivals.end(),
               [](const auto& a, const auto& b) { return a.at < b.at; });
-    const auto first_reading = std::find_if(
+    const auto first_prefill = std::find_if(
         arrivals.begin(), arrivals.end(),
-        [](const auto& it) { return it.is_reading && it.accepted; });
-    if (first_reading != arrivals.end()) {
-      arrivals.erase(first_reading);
+        [](const auto& it) { return it.is_prefill && it.accepted; });
+    if (first_prefill != arrivals.end()) {
+      arrivals.erase(first_prefill);
     }
     if (!arrivals.empty()) {
       arrivals.erase(arrivals.begin());
@@ -58,7 +58,7 @@
 std::vector<Time> FurtherArrivals(PlatformScene* scene,
                                   const std::string& service) {
   std::vector<Time> further;
-  for (const auto& [id, arrivals] : FurtherOf(scene, service)) {
+  for (const auto& [id, arrivals] : FurtherArrivalsOf(scene, service)) {
     for (const ModelWorker::Arrival& it : arrivals) {
       further.push_back(it.at);
     }
@@ -70,7 +70,7 @@
 std::map<std::string, std::size_t> FurtherArrivalsByRequest(
     PlatformScene* scene, const std::string& service) {
   std::map<std::string, std::size_t> counts;
-  for (const auto& [id, arrivals] : FurtherOf(scene, service)) {
+  for (const auto& [id, arrivals] : FurtherArrivalsOf(scene, service)) {
     counts[id] = arrivals.size();
   }
   return counts;
@@ -83,7 +83,7 @@
     addresses_.push_back(it.callers_address);
   }
   for (int n = 0; n < kCallers; ++n) {
-    threads_.emplace_back([this, n] { Ask(n); });
+    threads_.emplace_back([this, n] { SendRequests(n); });
   }
 }
 
@@ -97,7 +97,7 @@
   return sent_;
 }
 
-void SteadyCallers::Ask(int caller) {
+void SteadyCallers::SendRequests(int caller) {
   std::string kind = load_.path.substr(1);
   std::replace(kind.begin(), kind.end(), '/', '-');
   const std::chrono::duration<double> gap(kCallers / load_.per_second);
--- a/tests/platform/support/repeats.h
+++ b/tests/platform/support/repeats.h
@@ -50,7 +50,7 @@
  private:
   static constexpr int kCallers = 16;
 
-  void Ask(int caller);
+  void SendRequests(int caller);
 
   Load load_;
   std::vector<std::string> addresses_;  ///< Of all entries.
--- a/tests/platform/support/return_world.cc
+++ b/tests/platform/support/return_world.cc
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr Duration kWay = milliseconds(2);  ///< In each direction.
+constexpr Duration kLatency = milliseconds(2);  ///< In each direction.
 constexpr Duration kSlowAnswer = milliseconds(250);
 constexpr Duration kTick = milliseconds(25);
 
@@ -31,16 +31,16 @@
 
 void RegistrationTable::Put(const std::string& key, const std::string& value) {
   objects_[key] = {key, value, changes_.size() + 1};
-  Make({key, value});
+  Append({key, value});
 }
 
 void RegistrationTable::Remove(const std::string& key) {
   if (objects_.erase(key) > 0) {
-    Make({key, std::nullopt});
+    Append({key, std::nullopt});
   }
 }
 
-void RegistrationTable::Make(Change change) {
+void RegistrationTable::Append(Change change) {
   changes_.push_back(std::move(change));
   for (const auto& it : hooks_) {
     it();
@@ -65,29 +65,30 @@
   return listing;
 }
 
-PathToStore::PathToStore(Timeline* timeline, RegistrationTable* table,
-                         const platform::PlatformObjectStore::Options& options)
+FaultyStoreClient::FaultyStoreClient(
+    Timeline* timeline, RegistrationTable* table,
+    const platform::PlatformObjectStore::Options& options)
     : timeline_(timeline), table_(table), options_(options) {
   table_->OnChange([this] { OnChange(); });
 }
 
-void PathToStore::SetPath(StorePath path) {
+void FaultyStoreClient::SetPath(StorePath path) {
   const bool cuts = path == StorePath::kReset || path == StorePath::kRefused;
-  if (path != StorePath::kWell && path != StorePath::kSlow) {
+  if (path != StorePath::kHealthy && path != StorePath::kSlow) {
     for (auto& [id, call] : open_) {
       call.lost = true;
       if (cuts) {
-        timeline_->After(kWay, [this, id = id] {
+        timeline_->After(kLatency, [this, id = id] {
           Fail(id, PathError(ErrorCode::kUnavailable, "reset"));
         });
       }
     }
   }
   kept_silent_ = path == StorePath::kKeptSilent;
-  path_ = path == StorePath::kKeptSilent ? StorePath::kWell : path;
+  path_ = path == StorePath::kKeptSilent ? StorePath::kHealthy : path;
 }
 
-std::uint64_t PathToStore::Begin(Duration deadline, Call call) {
+std::uint64_t FaultyStoreClient::Begin(Duration deadline, Call call) {
   const std::uint64_t id = ++calls_;
   call.lost = kept_silent_;
   open_[id] = std::move(call);
@@ -96,16 +97,16 @@
     Fail(id, PathError(ErrorCode::kTimeout, "no answer before the deadline"));
   });
   if (path_ == StorePath::kRefused || path_ == StorePath::kReset) {
-    timeline_->After(2 * kWay, [this, id] {
+    timeline_->After(2 * kLatency, [this, id] {
       Fail(id, PathError(ErrorCode::kUnavailable, "refused"));
     });
-  } else if (path_ == StorePath::kWell || path_ == StorePath::kSlow) {
-    timeline_->After(kWay, [this, id] { Arrive(id); });
+  } else if (path_ == StorePath::kHealthy || path_ == StorePath::kSlow) {
+    timeline_->After(kLatency, [this, id] { Arrive(id); });
   }
   return id;
 }
 
-void PathToStore::Arrive(std::uint64_t id) {
+void FaultyStoreClient::Arrive(std::uint64_t id) {
   const auto it = open_.find(id);
   if (it == open_.end() || it->second.lost) {
     return;
@@ -116,11 +117,12 @@
   }
 }
 
-void PathToStore::Answer(std::uint64_t id) {
+void FaultyStoreClient::Answer(std::uint64_t id) {
   const auto it = open_.find(id);
-  const bool unheard =
+  const bool answers_lost =
       path_ == StorePath::kSilent || path_ == StorePath::kOneWay;
-  if (it == open_.end() || it->second.lost || it->second.answered || unheard) {
+  if (it == open_.end() || it->second.lost || it->second.answered ||
+      answers_lost) {
     return;
   }
   it->second.answered = true;
@@ -129,14 +131,14 @@
   answer();
 }
 
-void PathToStore::Fail(std::uint64_t id, const Error& error) {
+void FaultyStoreClient::Fail(std::uint64_t id, const Error& error) {
   const auto node = open_.extract(id);
   if (!node.empty()) {
     node.mapped().fail(error);
   }
 }
 
-void PathToStore::OnChange() {
+void FaultyStoreClient::OnChange() {
   std::vector<std::uint64_t> waiting;
   for (const auto& [id, call] : open_) {
     if (call.arrived && call.waits && call.from < table_->version()) {
@@ -148,14 +150,15 @@
   }
 }
 
-void PathToStore::List(const std::string& /*prefix*/,
-                       const CallOptions& options, Callback<Listing> done) {
+void FaultyStoreClient::List(const std::string& /*prefix*/,
+                             const CallOptions& options,
+                             Callback<Listing> done) {
   Call call;
   call.fail = [done](const Error& error) { done(error); };
   const std::uint64_t id = calls_ + 1;
   call.answer = [this, id, done] {
-    const Duration way = path_ == StorePath::kSlow ? kSlowAnswer : kWay;
-    timeline_->After(way, [this, id, done, listed = table_->Listed()] {
+    const Duration latency = path_ == StorePath::kSlow ? kSlowAnswer : kLatency;
+    timeline_->After(latency, [this, id, done, listed = table_->Listed()] {
       if (!open_.extract(id).empty()) {
         done(listed);
       }
@@ -164,16 +167,16 @@
   Begin(options.deadline, std::move(call));
 }
 
-void PathToStore::Poll(std::uint64_t from, Duration wait, Duration deadline,
-                       PolledWatch::PollDone done) {
+void FaultyStoreClient::Poll(std::uint64_t from, Duration wait,
+                             Duration deadline, PolledWatch::PollDone done) {
   Call call;
   call.waits = wait > Duration{0};
   call.from = from;
   call.fail = [done](const Error& error) { done(error); };
   const std::uint64_t id = calls_ + 1;
   call.answer = [this, id, from, done] {
-    const Duration way = path_ == StorePath::kSlow ? kSlowAnswer : kWay;
-    timeline_->After(way, [this, id, done, batch = table_->After(from)] {
+    const Duration latency = path_ == StorePath::kSlow ? kSlowAnswer : kLatency;
+    timeline_->After(latency, [this, id, done, batch = table_->After(from)] {
       if (!open_.extract(id).empty()) {
         done(batch);
       }
@@ -181,7 +184,7 @@
   };
   Begin(deadline, std::move(call));
   if (wait > Duration{0}) {
-    timeline_->After(wait + kWay, [this, id] {
+    timeline_->After(wait + kLatency, [this, id] {
       const auto it = open_.find(id);
       if (it != open_.end() && it->second.arrived) {
         Answer(id);
@@ -190,17 +193,17 @@
   }
 }
 
-void PathToStore::ReadChanges(const std::string& /*prefix*/,
-                              std::uint64_t from_version,
-                              const CallOptions& options,
-                              Callback<WatchBatch> done) {
+void FaultyStoreClient::ReadChanges(const std::string& /*prefix*/,
+                                    std::uint64_t from_version,
+                                    const CallOptions& options,
+                                    Callback<WatchBatch> done) {
   const bool kept_silent = kept_silent_;
   kept_silent_ = kept_silent && !options.new_connection;
   Poll(from_version, Duration{0}, options.deadline, std::move(done));
   kept_silent_ = kept_silent;
 }
 
-std::unique_ptr<ObjectStore::Watch> PathToStore::StartWatch(
+std::unique_ptr<ObjectStore::Watch> FaultyStoreClient::StartWatch(
     const std::string& /*prefix*/, std::uint64_t from_version,
     OnWatchEvents on_events, std::function<void(const Error&)> on_end) {
   PolledWatch::Hooks hooks;
@@ -218,27 +221,29 @@
       });
 }
 
-void PathToStore::Get(const std::string& /*key*/,
-                      const CallOptions& /*options*/,
-                      Callback<std::optional<StoredObject>> done) {
+void FaultyStoreClient::Get(const std::string& /*key*/,
+                            const CallOptions& /*options*/,
+                            Callback<std::optional<StoredObject>> done) {
   done(PathError(ErrorCode::kInvalidInput, "not offered"));
 }
 
-void PathToStore::Put(const std::string& /*key*/, const std::string& /*value*/,
-                      ExpectedVersion /*expected*/,
-                      const CallOptions& /*options*/,
-                      Callback<std::uint64_t> done) {
+void FaultyStoreClient::Put(const std::string& /*key*/,
+                            const std::string& /*value*/,
+                            ExpectedVersion /*expected*/,
+                            const CallOptions& /*options*/,
+                            Callback<std::uint64_t> done) {
   done(PathError(ErrorCode::kInvalidInput, "not offered"));
 }
 
-void PathToStore::Delete(const std::string& /*key*/,
-                         ExpectedVersion /*expected*/,
-                         const CallOptions& /*options*/, Callback<Unit> done) {
+void FaultyStoreClient::Delete(const std::string& /*key*/,
+                               ExpectedVersion /*expected*/,
+                               const CallOptions& /*options*/,
+                               Callback<Unit> done) {
   done(PathError(ErrorCode::kInvalidInput, "not offered"));
 }
 
-void PathToStore::ListInstances(const CallOptions& /*options*/,
-                                Callback<InstanceList> done) {
+void FaultyStoreClient::ListInstances(const CallOptions& /*options*/,
+                                      Callback<InstanceList> done) {
   done(PathError(ErrorCode::kInvalidInput, "not offered"));
 }
 
--- a/tests/platform/support/return_world.h
+++ b/tests/platform/support/return_world.h
@@ -24,7 +24,7 @@
 
 /// How an entry's calls to the store fail, if they do.
 enum class StorePath {
-  kWell,
+  kHealthy,
   kRefused,  ///< Answered with 503 at once.
   kReset,    ///< Each connection is reset at once.
   kSilent,   ///< Nothing is answered.
@@ -53,7 +53,7 @@
   }
 
  private:
-  void Make(Change change);
+  void Append(Change change);
 
   std::map<std::string, StoredObject> objects_;
   std::vector<Change> changes_;
@@ -61,10 +61,10 @@
 };
 
 /// Store client of one entry, with simulated connection faults.
-class PathToStore : public ObjectStore {
+class FaultyStoreClient : public ObjectStore {
  public:
-  PathToStore(Timeline* timeline, RegistrationTable* table,
-              const platform::PlatformObjectStore::Options& options);
+  FaultyStoreClient(Timeline* timeline, RegistrationTable* table,
+                    const platform::PlatformObjectStore::Options& options);
 
   void SetPath(StorePath path);
   std::uint64_t calls() const { return calls_; }
@@ -111,7 +111,7 @@
   Timeline* timeline_;
   RegistrationTable* table_;
   platform::PlatformObjectStore::Options options_;
-  StorePath path_ = StorePath::kWell;
+  StorePath path_ = StorePath::kHealthy;
   /// True while kept connections carry no data. A call that times out on one
   /// reveals this and ends it.
   bool kept_silent_ = false;
@@ -126,7 +126,7 @@
                  const platform::PlatformSettings& settings,
                  std::function<double()> jitter);
 
-  PathToStore& path() { return path_; }
+  FaultyStoreClient& path() { return path_; }
   /// Returns the targets that may get new requests.
   const std::set<std::string>& usable() const { return usable_; }
 
@@ -136,7 +136,7 @@
   void Tick();
 
   Timeline* timeline_;
-  PathToStore path_;
+  FaultyStoreClient path_;
   TargetDirectory directory_;
   std::set<std::string> usable_;
   TargetFollower follower_;
--- a/tests/platform/support/usage_receiver.cc
+++ b/tests/platform/support/usage_receiver.cc
@@ -40,10 +40,10 @@
   return n;
 }
 
-std::vector<std::string> UsageReceiver::broken() {
-  std::vector<std::string> broken;
-  server_.Invoke([&] { broken = broken_; });
-  return broken;
+std::vector<std::string> UsageReceiver::errors() {
+  std::vector<std::string> errors;
+  server_.Invoke([&] { errors = errors_; });
+  return errors;
 }
 
 Task UsageReceiver::Handle(HttpExchange& exchange) {
@@ -56,7 +56,7 @@
     co_await exchange.Reply(503, "", {});
     co_return;
   }
-  Take(exchange.request());
+  Record(exchange.request());
   if (behaviour_ == Behaviour::kResets) {
     exchange.Abort();
     co_return;
@@ -70,7 +70,7 @@
   co_await exchange.Reply(200, "", {});
 }
 
-void UsageReceiver::Take(const HttpRequest& request) {
+void UsageReceiver::Record(const HttpRequest& request) {
   const Json report = Json::parse(request.body, nullptr, false);
   const std::string fence = request.Header("X-Fencing-Token");
   const bool readable = report.is_object() && report.contains("window") &&
@@ -79,18 +79,18 @@
                         report.at("counts").is_object() && !fence.empty() &&
                         !request.Header("X-Lease-Holder").empty();
   if (!readable) {
-    broken_.push_back("usage report cannot be parsed");
+    errors_.push_back("usage report cannot be parsed");
     return;
   }
   const std::uint64_t number = std::stoull(fence);
   if (number < highest_) {
-    broken_.push_back("fencing number decreased");
+    errors_.push_back("fencing number decreased");
   }
   highest_ = std::max(highest_, number);
   const auto [it, first] = counts_.emplace(
       report.at("window").get<std::int64_t>(), report.at("counts"));
   if (!first && it->second != report.at("counts")) {
-    broken_.push_back("different reports for one window");
+    errors_.push_back("different reports for one window");
   }
 }
 
--- a/tests/platform/support/usage_receiver.h
+++ b/tests/platform/support/usage_receiver.h
@@ -17,7 +17,7 @@
  public:
   /// How the receiver handles a report.
   enum class Behaviour {
-    kSound,
+    kHealthy,
     kBusy,    ///< Answers 503 without recording the report.
     kSilent,  ///< Records the report and never answers.
     kResets,  ///< Records the report and resets the connection.
@@ -38,16 +38,16 @@
   std::size_t windows();
   /// Returns the violations found: different reports for one window, a fencing
   /// number that decreased, or a report that cannot be parsed.
-  std::vector<std::string> broken();
+  std::vector<std::string> errors();
 
  private:
   standins::Task Handle(standins::HttpExchange& exchange);
-  void Take(const standins::HttpRequest& request);
+  void Record(const standins::HttpRequest& request);
 
-  Behaviour behaviour_ = Behaviour::kSound;
+  Behaviour behaviour_ = Behaviour::kHealthy;
   std::map<std::int64_t, nlohmann::json> counts_;  ///< By window.
   std::uint64_t highest_ = 0;
-  std::vector<std::string> broken_;
+  std::vector<std::string> errors_;
   standins::HttpServer server_;
 };
 
--- a/tests/platform/target_limit_process_test.cc
+++ b/tests/platform/target_limit_process_test.cc
@@ -29,7 +29,7 @@
         pause_(pause) {
     for (std::size_t n = 0; n < scene_->further.size() + 1; ++n) {
       for (int caller = 0; caller < 2; ++caller) {
-        threads_.emplace_back([this, n] { Ask(n); });
+        threads_.emplace_back([this, n] { Send(n); });
       }
     }
   }
@@ -48,14 +48,14 @@
   int refused() const { return refused_; }
 
  private:
-  void Ask(std::size_t entry) {
+  void Send(std::size_t entry) {
     const std::string address =
         entry == 0 ? scene_->callers_address
                    : scene_->further[entry - 1].callers_address;
     while (!stopping_) {
       const std::string id = "r-" + std::to_string(++next_id_);
       const int status =
-          scene_->AskAt(address, method_, path_, id, /*deadline_ms=*/1500)
+          scene_->SendTo(address, method_, path_, id, /*deadline_ms=*/1500)
               .status;
       served_ += status == 200 ? 1 : 0;
       refused_ += status == 503 ? 1 : 0;
@@ -88,42 +88,42 @@
   SECTION("a plain target, whose requests go to the other one") {
     Callers callers(&scene, "GET", "/desk/1");
     std::this_thread::sleep_for(seconds(8));
-    target.SetNamedLimit(kLimit);
-    const Time named = std::chrono::steady_clock::now();
+    target.SetAnnouncedLimit(kLimit);
+    const Time announced_at = std::chrono::steady_clock::now();
     std::this_thread::sleep_for(seconds(12));
     callers.Stop();
-    CHECK(MostInSpan(target.arrivals(), named + kLimitContact) <=
+    CHECK(MostInSpan(target.arrivals(), announced_at + kLimitContact) <=
           MostAllowed(kLimit));
     // The limit is used, and callers are not affected.
-    CHECK(MostInSpan(target.arrivals(), named + kLimitContact) >= 4);
+    CHECK(MostInSpan(target.arrivals(), announced_at + kLimitContact) >= 4);
     CHECK(callers.refused() == 0);
   }
   SECTION("a plain target, counting requests before the announcement") {
     // Twice the limit: requests in the last second before the limit count.
     Callers callers(&scene, "GET", "/desk/1", milliseconds(400));
     std::this_thread::sleep_for(seconds(8));
-    target.SetNamedLimit(kLimit);
-    const Time named = std::chrono::steady_clock::now();
+    target.SetAnnouncedLimit(kLimit);
+    const Time announced_at = std::chrono::steady_clock::now();
     std::this_thread::sleep_for(seconds(8));
     callers.Stop();
-    CHECK(MostInSpanEnding(target.arrivals(), named + kLimitContact) <=
+    CHECK(MostInSpanEnding(target.arrivals(), announced_at + kLimitContact) <=
           MostAllowed(kLimit));
     CHECK(callers.refused() == 0);
   }
   SECTION("engines, counting prefill calls") {
-    REQUIRE(WaitUntil([&] { return scene.Staged("prefill") == 3; }));
+    REQUIRE(WaitUntil([&] { return scene.EnginesInStage("prefill") == 3; }));
     scene.RegisterStages();
     std::this_thread::sleep_for(seconds(1));
     Callers callers(&scene, "POST", "/audit/1");
     std::this_thread::sleep_for(seconds(8));
     for (ModelWorker& it : scene.workers) {
-      it.SetNamedLimit(kLimit);
+      it.SetAnnouncedLimit(kLimit);
     }
-    const Time named = std::chrono::steady_clock::now();
+    const Time announced_at = std::chrono::steady_clock::now();
     std::this_thread::sleep_for(seconds(12));
     callers.Stop();
     for (ModelWorker& it : scene.workers) {
-      CHECK(MostInSpan(it.arrivals(), named + kLimitContact) <=
+      CHECK(MostInSpan(it.arrivals(), announced_at + kLimitContact) <=
             MostAllowed(kLimit));
     }
     CHECK(callers.served() > 0);
@@ -131,8 +131,8 @@
   SECTION("while entries start, stop, freeze and crash") {
     Callers callers(&scene, "GET", "/desk/1");
     std::this_thread::sleep_for(seconds(8));
-    target.SetNamedLimit(kLimit);
-    const Time named = std::chrono::steady_clock::now();
+    target.SetAnnouncedLimit(kLimit);
+    const Time announced_at = std::chrono::steady_clock::now();
     std::this_thread::sleep_for(seconds(2));
     scene.further[0].process->Kill();
     scene.further[0].Start();
@@ -147,7 +147,7 @@
     std::this_thread::sleep_for(seconds(12));
     more.Stop();
     callers.Stop();
-    CHECK(MostInSpan(target.arrivals(), named + kLimitContact) <=
+    CHECK(MostInSpan(target.arrivals(), announced_at + kLimitContact) <=
           MostAllowed(kLimit));
   }
 }
@@ -156,14 +156,14 @@
 TEST_CASE("Callers beyond the limits of all targets get a Retry-After") {
   PlatformScene scene;
   std::this_thread::sleep_for(seconds(8));
-  scene.worker("a0").SetNamedLimit(kLimit);
-  scene.worker("a1").SetNamedLimit(kLimit);
+  scene.worker("a0").SetAnnouncedLimit(kLimit);
+  scene.worker("a1").SetAnnouncedLimit(kLimit);
   int served = 0;
   int refused = 0;
   for (int n = 0; n < 100; ++n) {
-    const Time asked = std::chrono::steady_clock::now();
+    const Time sent_at = std::chrono::steady_clock::now();
     const HttpAnswer answer =
-        scene.Ask("GET", "/desk/1", "r-" + std::to_string(n));
+        scene.Send("GET", "/desk/1", "r-" + std::to_string(n));
     INFO(answer.status << " " << answer.body);
     if (answer.status == 200) {
       ++served;
@@ -171,7 +171,7 @@
     }
     ++refused;
     REQUIRE(answer.status == 503);
-    CHECK(std::chrono::steady_clock::now() - asked < milliseconds(150));
+    CHECK(std::chrono::steady_clock::now() - sent_at < milliseconds(150));
     CHECK(std::stod("0" + answer.Header("Retry-After")) > 0);
     CHECK(scene.Runs("r-" + std::to_string(n)) == 0);
     std::this_thread::sleep_for(milliseconds(10));
@@ -190,17 +190,17 @@
                .body.find("\nindigolead_targets_limited 1\n") !=
            std::string::npos;
   };
-  scene.worker("a0").SetNamedLimit(kLimit);
+  scene.worker("a0").SetAnnouncedLimit(kLimit);
   scene.worker("a1").SetBehaviour(ModelWorker::Behaviour::kRefuses);
-  scene.Ask("GET", "/desk/1", "r-1");
+  scene.Send("GET", "/desk/1", "r-1");
   CHECK(WaitUntil(limited_at_other, seconds(2)));
   CHECK(scene.store.Get("servers", "a0").contains("address"));
 
-  scene.worker("a0").SetNamedLimit(std::nullopt);
+  scene.worker("a0").SetAnnouncedLimit(std::nullopt);
   std::this_thread::sleep_for(seconds(8));
   CHECK(WaitUntil(
       [&] {
-        scene.Ask("GET", "/desk/1", "r-2");
+        scene.Send("GET", "/desk/1", "r-2");
         return !limited_at_other();
       },
       seconds(8)));
@@ -208,9 +208,9 @@
 
 TEST_CASE("An entry reports a target's limit to the operator") {
   PlatformScene scene;
-  scene.worker("a0").SetNamedLimit(kLimit);
-  scene.worker("a1").SetNamedLimit(kLimit);
-  scene.Ask("GET", "/desk/1", "r-1");
+  scene.worker("a0").SetAnnouncedLimit(kLimit);
+  scene.worker("a1").SetAnnouncedLimit(kLimit);
+  scene.Send("GET", "/desk/1", "r-1");
   CHECK(scene.Metric("indigolead_targets_limited") == "1");
   CHECK(WaitUntil([&] {
     const std::string& log = scene.entry->output();
@@ -225,10 +225,10 @@
           "[limit]") {
   PlatformScene scene;
   ModelWorker& target = scene.worker("a0");
-  target.SetNamedLimit(kLimit);
+  target.SetAnnouncedLimit(kLimit);
   Callers callers(&scene, "GET", "/desk/1");
   std::this_thread::sleep_for(seconds(10));
-  target.SetNamedLimit(std::nullopt);
+  target.SetAnnouncedLimit(std::nullopt);
   std::this_thread::sleep_for(seconds(3));
   const std::size_t before = target.arrivals().size();
   std::this_thread::sleep_for(seconds(4));
--- a/tests/platform/target_notices_test.cc
+++ b/tests/platform/target_notices_test.cc
@@ -35,13 +35,14 @@
 
   std::unique_ptr<Call> Start(TargetRequest request, Hooks hooks) override {
     auto call = std::make_unique<FakeCall>();
-    const bool reads =
+    const bool is_prefill =
         std::any_of(request.headers.begin(), request.headers.end(),
                     [](const HttpHeader& it) { return it.name == "X-Stage"; });
-    const auto connected = [target = target_, reads, hooks = std::move(hooks),
+    const auto connected = [target = target_, is_prefill,
+                            hooks = std::move(hooks),
                             open = std::weak_ptr(call->open)] {
       if (!open.expired()) {
-        Write(target, reads, hooks);
+        Write(target, is_prefill, hooks);
       }
     };
     if (target_->connects) {
@@ -58,7 +59,7 @@
     std::shared_ptr<bool> open = std::make_shared<bool>(true);
   };
 
-  static void Write(FakeTarget* target, bool reads, const Hooks& hooks) {
+  static void Write(FakeTarget* target, bool is_prefill, const Hooks& hooks) {
     if (hooks.on_before_write && !hooks.on_before_write()) {
       hooks.on_end(Error{ErrorCode::kUnavailable, "call", "", "stopped"});
       return;
@@ -69,7 +70,7 @@
       headers.push_back({"X-Not-Executed", "1"});
     }
     hooks.on_head(target->refuses ? 503 : 200, headers);
-    hooks.on_body(reads ? R"({"kv-handle":"h1"})" : "menu");
+    hooks.on_body(is_prefill ? R"({"kv-handle":"h1"})" : "menu");
     hooks.on_end(Unit{});
   }
 
@@ -105,31 +106,31 @@
     record.service = service;
     record.address = address;
     record.role = role;
-    Tell();
+    ApplyList();
     return record;
   }
   void Unlist(const std::string& id) {
     listed_.erase(id);
-    Tell();
+    ApplyList();
   }
   /// Gives the entry the list of targets.
-  void Tell() {
+  void ApplyList() {
     std::vector<TargetRecord> listed;
     for (const auto& [id, record] : listed_) {
       listed.push_back(record);
     }
     dispatcher_.OnStoreFollowed();
     dispatcher_.OnTargets(listed);
-    Pass(Duration{0});
+    Advance(Duration{0});
   }
 
   /// Makes the store unreachable for long enough to have dropped live targets.
   void LoseStore() { dispatcher_.OnStoreLost(now_ - seconds(5)); }
 
   FakeTarget& At(const std::string& address) { return targets_[address]; }
-  void AskForRest(const std::string& address, const std::string& rest) {
+  void RequestPause(const std::string& address, const std::string& pause_s) {
     At(address).refuses = true;
-    At(address).headers = {{"Retry-After", rest}};
+    At(address).headers = {{"Retry-After", pause_s}};
   }
   void Serve(const std::string& address) {
     At(address).refuses = false;
@@ -140,10 +141,10 @@
     for (const auto& it : std::exchange(At(address).waiting, {})) {
       boost::asio::post(io_, it);
     }
-    Pass(Duration{0});
+    Advance(Duration{0});
   }
 
-  void Pass(Duration length) {
+  void Advance(Duration length) {
     const TimePoint end = now_ + length;
     do {
       io_.restart();
@@ -156,7 +157,7 @@
   }
 
   /// Sends a request that may run only once.
-  void Ask(const std::string& service = "app") {
+  void SendRequest(const std::string& service = "app") {
     refusal_.reset();
     answered_ = false;
     auto request = std::make_shared<CallerRequest>();
@@ -172,12 +173,12 @@
     request->received_at = now_;
     request->deadline = now_ + seconds(8);
     dispatcher_.OnRequest(request);
-    Pass(Duration{0});
+    Advance(Duration{0});
   }
   bool answered() const { return answered_; }
   const std::optional<Refusal>& refusal() const { return refusal_; }
   /// Returns how often a target was marked as one to avoid.
-  int avoided() const { return avoided_; }
+  int avoided_count() const { return avoided_count_; }
   DirectTransport& transport() { return dispatcher_.transport(); }
 
  private:
@@ -204,12 +205,12 @@
 
   EventLog CountingLog() {
     return [this](const EventInfo& event, const EventFields&) {
-      avoided_ += event.number == kTargetAvoided.number ? 1 : 0;
+      avoided_count_ += event.number == kTargetAvoided.number ? 1 : 0;
     };
   }
 
   boost::asio::io_context io_;
-  int avoided_ = 0;
+  int avoided_count_ = 0;
   TimePoint now_{seconds(1000)};
   MetricsRegistry metrics_;
   std::uint64_t next_id_ = 0;
@@ -232,7 +233,7 @@
   }
   const auto ask = [&] {
     for (int n = 0; n < 20; ++n) {
-      scene.Ask(service);
+      scene.SendRequest(service);
       CHECK(scene.answered());
     }
   };
@@ -258,7 +259,7 @@
         scene.List(it, address_of(it), service).leaving = true;
       }
     }
-    scene.Tell();
+    scene.ApplyList();
     ask();
     CHECK(arrivals(first) > before);
   }
@@ -277,8 +278,8 @@
 TEST_CASE("A target that requests a pause with Retry-After") {
   Scene scene;
   scene.List("a", "10.0.0.1:80");
-  scene.AskForRest("10.0.0.1:80", "3");
-  scene.Ask();
+  scene.RequestPause("10.0.0.1:80", "3");
+  scene.SendRequest();
   REQUIRE_FALSE(scene.answered());
   REQUIRE(scene.At("10.0.0.1:80").arrivals == 1);
   scene.Serve("10.0.0.1:80");
@@ -286,52 +287,52 @@
   SECTION("gets no requests meanwhile, and callers are served elsewhere") {
     scene.List("b", "10.0.0.2:80");
     for (int n = 0; n < 10; ++n) {
-      scene.Ask();
+      scene.SendRequest();
       CHECK(scene.answered());
-      scene.Pass(milliseconds(200));
+      scene.Advance(milliseconds(200));
     }
     CHECK(scene.At("10.0.0.1:80").arrivals == 1);
     CHECK(scene.At("10.0.0.2:80").arrivals == 10);
   }
   SECTION("as the only one, has its callers refused with the time left") {
-    scene.Pass(seconds(1));
-    scene.Ask();
+    scene.Advance(seconds(1));
+    scene.SendRequest();
     REQUIRE(scene.refusal());
     CHECK(scene.refusal()->run == RunState::kNotRun);
     CHECK(scene.refusal()->code == "targets_at_rest");
     CHECK(scene.refusal()->retry_after <= seconds(2));
     CHECK(scene.refusal()->retry_after > milliseconds(1900));
-    scene.Pass(scene.refusal()->retry_after);
-    scene.Ask();
+    scene.Advance(scene.refusal()->retry_after);
+    scene.SendRequest();
     CHECK(scene.answered());
   }
   SECTION("gets no control calls meanwhile") {
     CHECK(scene.transport().ClientForExtraCall("a") == nullptr);
-    scene.Pass(seconds(3));
+    scene.Advance(seconds(3));
     CHECK(scene.transport().ClientForExtraCall("a") != nullptr);
   }
   SECTION("gets requests once a new run of it has registered") {
     scene.List("a", "10.0.0.1:80").run = TargetRun{1};
-    scene.Tell();
+    scene.ApplyList();
     scene.List("a", "10.0.0.1:80").run = TargetRun{2};
-    scene.Tell();
-    scene.Ask();
+    scene.ApplyList();
+    scene.SendRequest();
     CHECK(scene.answered());
   }
   SECTION("is respected if its run became known after it was listed") {
     scene.List("a", "10.0.0.1:80").run = TargetRun{1};
-    scene.Tell();
-    scene.Pass(seconds(3));
-    scene.AskForRest("10.0.0.1:80", "3");
-    scene.Ask();
+    scene.ApplyList();
+    scene.Advance(seconds(3));
+    scene.RequestPause("10.0.0.1:80", "3");
+    scene.SendRequest();
     REQUIRE(scene.At("10.0.0.1:80").arrivals == 2);
-    scene.Ask();
+    scene.SendRequest();
     CHECK(scene.At("10.0.0.1:80").arrivals == 2);
   }
   SECTION("does not affect a later target at the same address") {
     scene.Unlist("a");
     scene.List("b", "10.0.0.1:80");
-    scene.Ask();
+    scene.SendRequest();
     CHECK(scene.answered());
   }
 }
@@ -341,12 +342,12 @@
 TEST_CASE("A request placed before a requested pause is not sent") {
   Scene scene(/*retries=*/0);
   scene.List("a", "10.0.0.1:80");
-  scene.AskForRest("10.0.0.1:80", "3");
+  scene.RequestPause("10.0.0.1:80", "3");
   scene.At("10.0.0.1:80").connects = false;
-  scene.Ask();
-  scene.Ask();
+  scene.SendRequest();
+  scene.SendRequest();
   scene.At("10.0.0.1:80").connects = true;
-  scene.Ask();
+  scene.SendRequest();
   REQUIRE(scene.At("10.0.0.1:80").arrivals == 1);
 
   SECTION("it goes to another target without charge") {
@@ -361,7 +362,7 @@
     CHECK(scene.refusal()->run == RunState::kNotRun);
   }
   CHECK(scene.At("10.0.0.1:80").arrivals == 1);
-  CHECK(scene.avoided() == 0);  // A pause is not a failure of the target.
+  CHECK(scene.avoided_count() == 0);  // A pause is not a failure of the target.
 }
 
 /// Guards against requests that were placed before their target left and are
@@ -370,20 +371,20 @@
   Scene scene;
   scene.List("a", "1");
   scene.At("1").connects = false;
-  scene.Ask();
+  scene.SendRequest();
   SECTION("it goes to another target") {
     scene.List("b", "2");
     scene.List("a", "1").leaving = true;
-    scene.Tell();
+    scene.ApplyList();
     scene.Connect("1");
     CHECK(scene.At("1").arrivals == 0);
     CHECK(scene.At("2").arrivals == 1);
     CHECK(scene.answered());
-    CHECK(scene.avoided() == 0);
+    CHECK(scene.avoided_count() == 0);
   }
   SECTION("it is refused where there is none, and has not run") {
     scene.List("a", "1").leaving = true;
-    scene.Tell();
+    scene.ApplyList();
     scene.Connect("1");
     CHECK(scene.At("1").arrivals == 0);
     REQUIRE(scene.refusal());
@@ -398,49 +399,49 @@
   scene.At("10.0.0.1:80").headers = {{"Server-Leaving", "1"}};
 
   SECTION("gets no more requests, and callers are served elsewhere") {
-    scene.Ask();
+    scene.SendRequest();
     REQUIRE(scene.answered());
     scene.List("b", "10.0.0.2:80");  // The list still shows "a" as ready.
     for (int n = 0; n < 5; ++n) {
-      scene.Ask();
+      scene.SendRequest();
       CHECK(scene.answered());
     }
     CHECK(scene.At("10.0.0.1:80").arrivals == 1);
   }
   SECTION("as the only one, has its callers refused at once") {
-    scene.Ask();
-    scene.Ask();
+    scene.SendRequest();
+    scene.SendRequest();
     REQUIRE(scene.refusal());
     CHECK(scene.refusal()->run == RunState::kNotRun);
   }
   SECTION("may announce it in a refusal too") {
     scene.At("10.0.0.1:80").refuses = true;
-    scene.Ask();
+    scene.SendRequest();
     scene.At("10.0.0.1:80").refuses = false;
-    scene.Ask();
+    scene.SendRequest();
     CHECK(scene.At("10.0.0.1:80").arrivals == 1);
   }
   SECTION("gets requests again in a new run") {
     scene.List("a", "10.0.0.1:80").run = TargetRun{1};
-    scene.Tell();
-    scene.Ask();
+    scene.ApplyList();
+    scene.SendRequest();
     scene.List("a", "10.0.0.1:80").run = TargetRun{2};
-    scene.Tell();
-    scene.Ask();
+    scene.ApplyList();
+    scene.SendRequest();
     CHECK(scene.answered());
     CHECK(scene.At("10.0.0.1:80").arrivals == 2);
   }
   SECTION("does not affect a new run if the call was for the previous one") {
     scene.List("a", "10.0.0.1:80").run = TargetRun{1};
-    scene.Tell();
+    scene.ApplyList();
     scene.At("10.0.0.1:80").connects = false;
-    scene.Ask();
+    scene.SendRequest();
     scene.List("a", "10.0.0.1:80").run = TargetRun{2};
-    scene.Tell();
+    scene.ApplyList();
     scene.Connect("10.0.0.1:80");
     REQUIRE(scene.answered());
     scene.Serve("10.0.0.1:80");
-    scene.Ask();
+    scene.SendRequest();
     CHECK(scene.answered());
   }
   SECTION("may announce it in an answer for an earlier target at its address") {
@@ -449,8 +450,8 @@
     scene.Unlist("a");
     scene.List("0-gone", "10.0.0.1:80");
     scene.List("a", "10.0.0.1:80");
-    scene.Ask();
-    scene.Ask();
+    scene.SendRequest();
+    scene.SendRequest();
     CHECK(scene.At("10.0.0.1:80").arrivals == 1);
   }
 }
@@ -465,9 +466,9 @@
   for (const char* it : {"10.0.0.1:80", "10.0.0.2:80"}) {
     scene.At(it).headers = {{"Server-Leaving", "1"}};
   }
-  scene.Ask("llm");
-  scene.Ask("llm");
-  scene.Ask("llm");
+  scene.SendRequest("llm");
+  scene.SendRequest("llm");
+  scene.SendRequest("llm");
   CHECK(scene.At("10.0.0.1:80").arrivals == 1);
   CHECK(scene.At("10.0.0.2:80").arrivals == 1);
 }
@@ -477,28 +478,28 @@
   scene.List("reader", "10.0.0.1:80", "llm", EngineRole::kPrefill);
   scene.List("runner", "10.0.0.2:80", "llm", EngineRole::kDecode);
   SECTION("prefill engines: decode engines do no prefill instead") {
-    scene.AskForRest("10.0.0.1:80", "3");
-    scene.Ask("llm");
-    scene.Ask("llm");
+    scene.RequestPause("10.0.0.1:80", "3");
+    scene.SendRequest("llm");
+    scene.SendRequest("llm");
     CHECK(scene.At("10.0.0.1:80").arrivals == 1);
     CHECK(scene.At("10.0.0.2:80").arrivals == 0);
     REQUIRE(scene.refusal());
     CHECK(scene.refusal()->code == "targets_at_rest");
   }
   SECTION("decode engines: no prefill is done in vain") {
-    scene.AskForRest("10.0.0.2:80", "3");
-    scene.Ask("llm");
+    scene.RequestPause("10.0.0.2:80", "3");
+    scene.SendRequest("llm");
     REQUIRE(scene.At("10.0.0.1:80").arrivals == 2);  // The KV handle is freed.
-    scene.Ask("llm");
+    scene.SendRequest("llm");
     CHECK(scene.At("10.0.0.1:80").arrivals == 2);
     CHECK(scene.At("10.0.0.2:80").arrivals == 1);
   }
   SECTION("both kinds: callers get the longer of the two pauses") {
-    scene.AskForRest("10.0.0.2:80", "1");
-    scene.Ask("llm");  // The decode engine requests a pause.
+    scene.RequestPause("10.0.0.2:80", "1");
+    scene.SendRequest("llm");  // The decode engine requests a pause.
     scene.List("other", "10.0.0.3:80", "llm", EngineRole::kDecode);
-    scene.AskForRest("10.0.0.1:80", "3");
-    scene.Ask("llm");  // The prefill engine requests a pause.
+    scene.RequestPause("10.0.0.1:80", "3");
+    scene.SendRequest("llm");  // The prefill engine requests a pause.
     REQUIRE(scene.refusal());
     CHECK(scene.refusal()->retry_after > milliseconds(2500));
   }
--- a/tests/platform/target_rest_process_test.cc
+++ b/tests/platform/target_rest_process_test.cc
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr double kRestS = 3;  ///< Pause that targets request, in seconds.
+constexpr double kPauseS = 3;  ///< Pause that targets request, in seconds.
 
 /// Callers of one entry that send requests in a loop with a pause between.
 class Callers {
@@ -24,7 +24,7 @@
   Callers(PlatformScene* scene, std::string method, std::string path)
       : scene_(scene), method_(std::move(method)), path_(std::move(path)) {
     for (int n = 0; n < kCallers; ++n) {
-      threads_.emplace_back([this] { Ask(); });
+      threads_.emplace_back([this] { Send(); });
     }
   }
   ~Callers() { Stop(); }
@@ -45,10 +45,10 @@
   static constexpr int kCallers = 6;
   static constexpr milliseconds kPause{30};
 
-  void Ask() {
+  void Send() {
     while (!stopping_) {
       const std::string id = "r-" + std::to_string(++next_id_);
-      const bool served = scene_->Ask(method_, path_, id).status == 200;
+      const bool served = scene_->Send(method_, path_, id).status == 200;
       ++(served ? served_ : not_served_);
       std::this_thread::sleep_for(kPause);
     }
@@ -66,10 +66,10 @@
 
 /// Returns the most requests that reached any target during one requested
 /// pause.
-int MostDuringAnyRest(PlatformScene* scene) {
+int MostDuringAnyPause(PlatformScene* scene) {
   int most = 0;
   for (ModelWorker& it : scene->workers) {
-    most = std::max(most, MostDuringRest(it.rests(), it.arrivals()));
+    most = std::max(most, MostDuringRest(it.requested_pauses(), it.arrivals()));
   }
   return most;
 }
@@ -79,18 +79,18 @@
 TEST_CASE("A requested pause of a target is respected", "[rest]") {
   PlatformScene scene;
   REQUIRE(WaitUntil([&] { return scene.Ready(); }));
-  REQUIRE(WaitUntil([&] { return scene.Staged("prefill") == 3; }));
+  REQUIRE(WaitUntil([&] { return scene.EnginesInStage("prefill") == 3; }));
   scene.RegisterStages();
   std::this_thread::sleep_for(seconds(1));
-  scene.EarnFurtherAttempts();
+  scene.EarnRetryBudget();
 
   SECTION("a plain target, whose requests go to the other one") {
     Callers callers(&scene, "GET", "/desk/1");
-    scene.worker("a0").SetAskedRest(kRestS);
+    scene.worker("a0").SetRequestedPause(kPauseS);
     std::this_thread::sleep_for(seconds(8));
     callers.Stop();
-    CHECK_FALSE(scene.worker("a0").rests().empty());
-    CHECK(MostDuringAnyRest(&scene) <= kRestAllowed);
+    CHECK_FALSE(scene.worker("a0").requested_pauses().empty());
+    CHECK(MostDuringAnyPause(&scene) <= kRestAllowed);
     CHECK(callers.served() > 0);
   }
   SECTION("all prefill engines or all decode engines") {
@@ -99,36 +99,36 @@
     Callers callers(&scene, "POST", "/audit/1");
     for (ModelWorker& it : scene.workers) {
       if (it.stage() == stage && it.service() == "llm") {
-        it.SetAskedRest(kRestS);
+        it.SetRequestedPause(kPauseS);
       }
     }
     std::this_thread::sleep_for(seconds(8));
     callers.Stop();
-    CHECK(MostDuringAnyRest(&scene) <= kRestAllowed);
+    CHECK(MostDuringAnyPause(&scene) <= kRestAllowed);
     for (ModelWorker& it : scene.workers) {
-      it.SetAskedRest(std::nullopt);
+      it.SetRequestedPause(std::nullopt);
     }
-    std::this_thread::sleep_for(seconds(static_cast<int>(kRestS)));
-    CHECK(scene.Ask("POST", "/audit/1", "after").status == 200);
+    std::this_thread::sleep_for(seconds(static_cast<int>(kPauseS)));
+    CHECK(scene.Send("POST", "/audit/1", "after").status == 200);
   }
   SECTION("every target of a service, and callers are refused at once") {
     Callers callers(&scene, "GET", "/desk/1");
     for (ModelWorker& it : scene.workers) {
-      it.SetAskedRest(kRestS);
+      it.SetRequestedPause(kPauseS);
     }
     std::this_thread::sleep_for(seconds(8));
     callers.Stop();
-    CHECK(MostDuringAnyRest(&scene) <= kRestAllowed);
-    const auto asked = std::chrono::steady_clock::now();
-    const HttpAnswer answer = scene.Ask("GET", "/desk/1", "last");
+    CHECK(MostDuringAnyPause(&scene) <= kRestAllowed);
+    const auto sent_at = std::chrono::steady_clock::now();
+    const HttpAnswer answer = scene.Send("GET", "/desk/1", "last");
     CHECK(answer.status == 503);
-    CHECK(std::chrono::steady_clock::now() - asked < seconds(1));
+    CHECK(std::chrono::steady_clock::now() - sent_at < seconds(1));
     for (ModelWorker& it : scene.workers) {
-      it.SetAskedRest(std::nullopt);
+      it.SetRequestedPause(std::nullopt);
     }
     // Targets are used again after the requested time.
-    std::this_thread::sleep_for(seconds(static_cast<int>(kRestS)));
-    CHECK(scene.Ask("GET", "/desk/1", "after").status == 200);
+    std::this_thread::sleep_for(seconds(static_cast<int>(kPauseS)));
+    CHECK(scene.Send("GET", "/desk/1", "after").status == 200);
   }
 }
 
@@ -141,11 +141,11 @@
   ModelWorker& target = scene.worker("a0");
   Callers callers(&scene, "GET", "/desk/1");
   std::this_thread::sleep_for(seconds(1));
-  target.SetSaysLeaving(true);
+  target.SetAnnouncesLeaving(true);
   std::this_thread::sleep_for(seconds(5));
   callers.Stop();
-  REQUIRE_FALSE(target.said_leaving_at().empty());
-  CHECK(AfterLeaving(target.said_leaving_at(), target.arrivals()) == 0);
+  REQUIRE_FALSE(target.leaving_announced_at().empty());
+  CHECK(AfterLeaving(target.leaving_announced_at(), target.arrivals()) == 0);
   CHECK(callers.served() > 0);
   CHECK(callers.not_served() == 0);
 }
--- a/tests/platform/watch_relay_process_test.cc
+++ b/tests/platform/watch_relay_process_test.cc
@@ -36,11 +36,11 @@
     platform.store.Put("config", "main", next);
     return WaitUntil(
         [&] {
-          return Knows(platform.callers_address, name) &&
+          return KnowsRoute(platform.callers_address, name) &&
                  std::all_of(platform.further.begin(), platform.further.end(),
                              [&](const auto& it) {
                                return &it == dead ||
-                                      Knows(it.callers_address, name);
+                                      KnowsRoute(it.callers_address, name);
                              });
         },
         kBound);
@@ -61,14 +61,14 @@
   PlatformScene platform;
 
  private:
-  bool Knows(const std::string& address, const std::string& route) {
-    const std::string id = "r-" + std::to_string(++asked_);
-    return PlatformScene::AskAt(address, "GET", "/" + route + "/1", id, 1000)
+  bool KnowsRoute(const std::string& address, const std::string& route) {
+    const std::string id = "r-" + std::to_string(++request_count_);
+    return PlatformScene::SendTo(address, "GET", "/" + route + "/1", id, 1000)
                .status == 200;
   }
 
   std::uint64_t version_ = 8;
-  int asked_ = 0;
+  int request_count_ = 0;
 };
 
 TEST_CASE("Entries of a failure domain watch the store through one relay") {
