--- a/tests/process/control_process_test.cc
+++ b/tests/process/control_process_test.cc
@@ -61,9 +61,9 @@
 }
 
 // Two entries, one side. One entry takes the lease and writes an order for the
-// side's engine. It is killed; nobody gives the lease up for it. The other
-// takes over after the lease has lapsed, under a greater number, and writes the
-// same order again under that number, not another one.
+// side's engine. It is killed without releasing the lease. After the lease
+// expires, the other entry takes over with a greater fencing number and
+// rewrites the same order under that number, not a different one.
 TEST_CASE("A killed controller is replaced, and the order stays the same") {
   const testing::ScratchFolder folder;
   fs::copy(INDIGOLEAD_SOURCE_DIR "/examples/unas-del-norte",
@@ -110,7 +110,7 @@
            std::string::npos;
   }));
 
-  // A planned stop gives the lease up at once.
+  // A planned stop releases the lease at once.
   second.Terminate();
   CHECK(second.WaitForExit(std::chrono::seconds(30)) == 0);
   INFO(second.output());
--- a/tests/process/operators_test.cc
+++ b/tests/process/operators_test.cc
@@ -72,7 +72,7 @@
 
   void TakeStoreDown() {
     SetFaults({{"down_ms", 600000}});
-    // The stretch begins a moment after the answer.
+    // The outage begins shortly after the answer.
     REQUIRE(testing::WaitUntil([this] {
       return HttpCall(address_, "GET", "/standin/calls").status == 0;
     }));
@@ -88,9 +88,9 @@
 
 // Two operators edit revision 1 and apply at the same moment. One edit is
 // accepted as revision 2; the other is refused with both edits shown, because
-// the store takes a write only at the version that the writer read. Neither
-// change is lost without a word.
-TEST_CASE("Of two racing edits one wins and the other is shown both") {
+// the store accepts a write only at the version that the writer read. Neither
+// change is lost silently.
+TEST_CASE("One of two concurrent edits is refused with both shown") {
   Operators operators;
   WriteEdit(operators.folder.Sub("a"), "1", std::nullopt);
   REQUIRE(operators.Run({"apply", operators.folder.Sub("a")}) == 0);
@@ -122,9 +122,9 @@
   }
 }
 
-// The store takes the write and its answer is lost. The operator must neither
-// be told of a conflict with their own edit nor make it twice: the edit is
-// recognised by its nonce when it is read back.
+// The store accepts the write but its answer is lost. The command must neither
+// report a conflict with the operator's own edit nor apply it twice: it
+// recognises the edit by its nonce when reading it back.
 TEST_CASE("An edit whose answer was lost is accepted once") {
   Operators operators;
   const bool silent = GENERATE(false, true);
@@ -143,7 +143,7 @@
   CHECK(history[0]["spec"]["models"][0]["version"] == "2");
 }
 
-TEST_CASE("An operator edits, looks back and goes back") {
+TEST_CASE("Operators apply, export, audit and roll back revisions") {
   Operators operators;
   const std::string dir = operators.folder.Sub("a");
   WriteEdit(dir, "1", std::nullopt);
--- a/tests/process/path_faults_test.cc
+++ b/tests/process/path_faults_test.cc
@@ -19,7 +19,7 @@
 constexpr auto kPatience = std::chrono::seconds(60);
 
 // Engines that take about two seconds for an answer of `kTokens`, so that a
-// fault can be put into the middle of it.
+// fault can be injected while it runs.
 FleetOptions SlowEngines() {
   FleetOptions options;
   options.engine_flags = {"--decode_tokens_per_s=60"};
@@ -33,7 +33,7 @@
   });
 }
 
-// Returns the index of the engine that runs something now.
+// Waits for an engine to become busy and returns its index.
 std::size_t BusyEngine(Fleet* fleet, std::size_t engines) {
   std::size_t busy = engines;
   const bool found = WaitUntil(
@@ -50,8 +50,7 @@
   return busy;
 }
 
-// Counts the tokens of an answer that are in their place: "w0-", "w1-", ...,
-// each once.
+// Returns how many tokens "w0-", "w1-", ... appear in order without a gap.
 int TokensInOrder(const std::string& body) {
   int n = 0;
   std::size_t at = 0;
@@ -63,7 +62,7 @@
   return n;
 }
 
-TEST_CASE("An engine killed in the middle costs its callers nothing") {
+TEST_CASE("A call whose engine is killed is answered by another engine") {
   // The caller sees one whole answer, late. An engine takes the request, dies
   // before the answer is whole, and nothing of it was delivered yet; the call
   // is idempotent by declaration, so another engine runs it from the start.
@@ -75,7 +74,7 @@
   CHECK(TokensInOrder(got.body) == kTokens);
 }
 
-TEST_CASE("A stream is never cut short in silence") {
+TEST_CASE("A stream that loses its engine is whole or reports an error") {
   // The caller has read a part when its engine dies. The rest cannot be taken
   // from another engine without repeating or skipping, so the stream ends with
   // an error event and without [DONE].
@@ -95,10 +94,11 @@
                got.body.find("[DONE]") != std::string::npos));
 }
 
-TEST_CASE("A side that was stopped for a while loses no part of a stream") {
-  // The caller sees a pause. The side's process stops in mid-stream for longer
-  // than the links' silence timeout; the entry drops the connection, the side
-  // wakes, opens a new one, and sends on from the last frame received.
+TEST_CASE("A side that was paused loses no part of a stream") {
+  // The caller sees only a delay. The side's process is paused in mid-stream
+  // for longer than the links' silence timeout. The entry drops the connection;
+  // the side resumes, opens a new one, and continues after the last frame
+  // received.
   Fleet fleet(SlowEngines());
   auto answer = CompleteLater(&fleet, 0, "spring offers", true);
   const std::size_t busy = BusyEngine(&fleet, 3);
@@ -112,7 +112,7 @@
   CHECK_THAT(got.body, Contains("[DONE]"));
 }
 
-TEST_CASE("A planned stop cuts no request") {
+TEST_CASE("A planned stop aborts no request") {
   Fleet fleet(SlowEngines());
 
   SECTION("of an entry: its streams end whole, then it exits with 0") {
@@ -148,8 +148,9 @@
 }
 
 TEST_CASE("A target that is leaving gets no new work after two seconds") {
-  // Callers notice nothing. The platform's list says that an instance leaves,
-  // or an operator drains it; its side refuses and the entries route around.
+  // The platform's list marks an instance as leaving, or an operator drains it.
+  // Its side refuses new work and the entries use other targets; callers notice
+  // nothing.
   Fleet fleet;
   const auto total = [&] { return fleet.RunsAt(0); };
 
@@ -175,10 +176,10 @@
   CHECK(total() == before);
 }
 
-TEST_CASE("Serving goes on while the store is down") {
-  // Callers notice nothing. The platform's store refuses every call; entries
-  // and sides work with the newest configuration that they hold, and a process
-  // that starts meanwhile gets it from its peers.
+TEST_CASE("Requests are served while the store is down") {
+  // The platform's store refuses every call. Entries and sides use the newest
+  // configuration that they hold, and a process that starts during the outage
+  // gets it from its peers; callers notice nothing.
   Fleet fleet;
   fleet.SetPlatformFaults("{\"refuse\":true}");
   for (int n = 0; n < 4; ++n) {
--- a/tests/process/run_once_test.cc
+++ b/tests/process/run_once_test.cc
@@ -21,8 +21,8 @@
   return options;
 }
 
-// A keyed call as a caller makes it: again and again, with the same key, while
-// the answer only says that it is not known or not ready.
+// Repeats a keyed call with the same key until it succeeds, as a caller does,
+// for at most 20 s.
 HttpAnswer AskUntilAnswered(Fleet* fleet, std::size_t entry,
                             const std::string& prompt, const std::string& key) {
   HttpAnswer answer;
@@ -37,11 +37,11 @@
 
 TEST_CASE("A keyed request runs at most once, whichever entry is asked") {
   Fleet fleet(SlowEngines());
-  // Homes are named once the first controller has written the slot map.
+  // Homes are assigned once the first controller has written the slot map.
   REQUIRE(AskUntilAnswered(&fleet, 0, "warm up", "warm-up").status == 200);
 
   SECTION("the same key through both entries at the same moment") {
-    // Both callers see the one answer: the home grants the first question and
+    // Both callers get the same answer: the home grants the first claim and
     // lets the second wait for the end of that run.
     auto first = std::async(std::launch::async, [&] {
       return fleet.Complete(0, "publish list", "same-moment", false, kTokens);
@@ -73,7 +73,7 @@
   SECTION("a retry through the other entry after the first was killed") {
     // The caller's connection breaks. Its entry died while an engine ran the
     // request; the home still holds the claim, so the other entry does not run
-    // it again. Whatever the retry is told, there was one run.
+    // it again. Whatever the retry reports, there is one run.
     auto first = std::async(std::launch::async, [&] {
       return fleet.Complete(0, "publish list", "entry-dies", false, kTokens);
     });
@@ -90,9 +90,9 @@
   }
 
   SECTION("retries while the store is down") {
-    // The caller sees an answer or an honest refusal. The store refuses every
-    // call, so the home cannot write its journal; it grants only what its
-    // witnesses have noted, and never the same key twice.
+    // The caller gets an answer or a refusal. The store refuses every call, so
+    // the home cannot write its journal; it grants only what its witnesses have
+    // recorded, and never the same key twice.
     fleet.SetPlatformFaults("{\"refuse\":true}");
     AskUntilAnswered(&fleet, 0, "publish list", "no-store");
     fleet.Complete(1, "publish list", "no-store", false, kTokens);
@@ -104,10 +104,10 @@
   }
 }
 
-TEST_CASE("A request that kills its target kills at most two") {
-  // The caller sends it again and again, through both entries, and is refused
-  // in the end with the reason. The innocent call that was in flight on the
-  // first engine is answered. After two deaths the request is quarantined.
+TEST_CASE("A request that crashes its targets crashes at most two") {
+  // The caller repeats it through both entries until it is refused with the
+  // reason. An unrelated call in flight on the first engine is answered. After
+  // two crashes the request is quarantined.
   FleetOptions options = SlowEngines();
   options.engines = 4;
   Fleet fleet(options);
--- a/tests/process/standin_process_test.cc
+++ b/tests/process/standin_process_test.cc
@@ -35,7 +35,7 @@
   }
 }
 
-TEST_CASE("A poisoned request kills the target that runs it") {
+TEST_CASE("A request marked to crash its target ends the stand-in") {
   // The caller sees its connection break without an answer: the target's
   // process ends as the request starts to run, before any output.
   const auto [kind, path, body] =
--- a/tests/process/thin_path_test.cc
+++ b/tests/process/thin_path_test.cc
@@ -29,9 +29,9 @@
   return line.substr(at, line.find_first_of(" \r\n", at) - at);
 }
 
-// An operator applies declarations, a caller asks. The entry hears of the
-// revision from the store, the side dials the entry, the answer of the engine
-// comes back whole; then a planned stop ends both processes cleanly.
+// An operator applies declarations and a caller sends a request. The entry gets
+// the revision from the store, the side connects to the entry, and the engine's
+// answer arrives whole. Then a planned stop ends both processes cleanly.
 TEST_CASE("A request goes from caller to engine and back, through processes") {
   const testing::ScratchFolder folder;
   fs::copy(INDIGOLEAD_SOURCE_DIR "/examples/unas-del-norte",
--- a/tests/support/callers_fixture.cc
+++ b/tests/support/callers_fixture.cc
@@ -69,7 +69,7 @@
   server_->OnMessage(
       CatalogueChanged{std::make_shared<const Catalogue>(ExampleRevisions())});
   if (!IsOk(server_->Start())) {
-    throw std::runtime_error("cannot listen");
+    throw std::runtime_error("CallersServer cannot listen on its address");
   }
   address_ = server_->bound_address();
   thread_ = std::thread([this] { io_.run(); });
--- a/tests/support/callers_fixture.h
+++ b/tests/support/callers_fixture.h
@@ -20,8 +20,8 @@
 /// below "/menu", both open to `kExampleKey`.
 std::map<std::string, Revision> ExampleRevisions();
 
-/// Runs a CallersServer on a thread of its own, with the test in place of the
-/// dispatch thread.
+/// Runs a CallersServer on its own thread; the test acts as the dispatch
+/// thread.
 class CallersFixture {
  public:
   explicit CallersFixture(EntrySettings settings = {});
--- a/tests/support/catch_main.cc
+++ b/tests/support/catch_main.cc
@@ -4,8 +4,8 @@
 
 namespace {
 
-// Randomised tests draw from this seed unless RC_PARAMS says otherwise, so that
-// every run gives the same verdict. RC_PARAMS="seed=N" repeats another run.
+// Default seed of the randomised tests, so that every run has the same result.
+// RC_PARAMS="seed=N" selects another seed.
 constexpr char kRapidcheckParams[] = "seed=20261202";
 
 }  // namespace
--- a/tests/support/control_world.cc
+++ b/tests/support/control_world.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-/// The store as one entry sees it, with the faults of the world.
+/// The store as seen by one entry, with the configured faults.
 class ControlWorldStore : public ObjectStore {
  public:
   ControlWorldStore(ControlWorld* world, int entry)
@@ -220,7 +220,7 @@
   revision_.spec.max_change_share = 0.5;
   const RevisionRecord record{"brief-llm", number, number, version};
   for (int i = 0; i < options_.entries; ++i) {
-    // Each entry hears of it at its own time, perhaps after a later one.
+    // Each entry is notified after its own delay, possibly out of order.
     At(now_ + Between(milliseconds(10), seconds(3)),
        [this, i, record, revision = revision_] {
          Entry& entry = entries_[static_cast<std::size_t>(i)];
@@ -314,7 +314,7 @@
   queue_.emplace(when, std::move(act));
 }
 
-// A paused process handles what came meanwhile only once it wakes.
+// A paused process handles deferred work only after it resumes.
 void ControlWorld::OnEntry(int entry, std::function<void()> act) {
   const TimePoint until =
       entries_[static_cast<std::size_t>(entry)].paused_until;
--- a/tests/support/control_world.h
+++ b/tests/support/control_world.h
@@ -17,28 +17,29 @@
 
 namespace indigolead::testing {
 
-/// How often things go wrong, as probabilities of each call or message.
+/// Fault probabilities per call or message.
 struct ControlFaults {
-  double lose_answer = 0;   ///< The store acts, its answer is lost.
-  double slow_effect = 0;   ///< A write waits long before it takes effect.
+  double lose_answer = 0;   ///< The store acts but its answer is lost.
+  double slow_effect = 0;   ///< A write takes effect after a long delay.
   double stale_read = 0;    ///< A read shows an earlier state.
   double lose_message = 0;  ///< Between entries and sides.
-  double lose_notice = 0;   ///< Fencing notices alone.
+  double lose_notice = 0;   ///< Fencing notices only.
   double repeat_message = 0;
   Duration max_slow = std::chrono::seconds(15);
 };
 
 class ControlWorld;
 
-/// What an engine was made to be, and by which order.
+/// State that an engine was put into, and the order that did it.
 struct EngineEffect {
   std::string target;
   TargetOrder order;
 };
 
-/// Store, entries, sides and engines in one thread and one time, driven by a
-/// seed. The decisions are the real ones: `Controller` with its lease and
-/// reconciler, `OrderForwarder`, and the side's part given by `MakeSide`.
+/// Simulates store, entries, sides and engines in one thread with one simulated
+/// clock, driven by a seed. Decisions are made by production code: `Controller`
+/// with its lease and reconciler, `OrderForwarder`, and the side's component
+/// from `MakeSide`.
 class ControlWorld {
  public:
   struct Options {
@@ -64,14 +65,15 @@
   ~ControlWorld();
 
   TimePoint now() const { return now_; }
-  /// Lets `duration` pass.
+  /// Advances simulated time by `duration`.
   void Run(Duration duration);
 
   void Accept(std::uint64_t number, const std::string& version);
   void PauseEntry(int entry, Duration duration);
   void SetStoreDown(bool down) { store_down_ = down; }
   void SilenceWatches(bool silent) { watches_silent_ = silent; }
-  void CutEntry(int entry, bool cut);  ///< From the store and the sides.
+  /// Disconnects the entry from the store and the sides, or reconnects it.
+  void CutEntry(int entry, bool cut);
   void CutFromStore(int entry, bool cut);
   void RestartSide(int side);
   void CrashEngine(int side);
@@ -84,7 +86,7 @@
   std::vector<int> Holders();
   const Engine& engine(int side) const { return sides_[side].engine; }
   const std::vector<EngineEffect>& effects() const { return effects_; }
-  /// Faults of the system that were seen; empty if every promise held.
+  /// Violated invariants; empty if all held.
   const std::vector<std::string>& violations() const { return violations_; }
   std::uint64_t store_calls() const { return store_calls_; }
   std::optional<TargetOrder> StoredOrderOf(int side) const;
@@ -103,11 +105,11 @@
     bool cut_from_store = false;
     std::uint64_t watched = 0;
   };
-  /// A side's memory is lost at each restart; its engine's is not.
+  /// A restart clears a side's memory but not its engine's.
   struct Side {
     Engine engine;
     std::uint64_t run = 0;
-    FencingNumber newest = 0;  ///< 0: was told none since its start.
+    FencingNumber newest = 0;  ///< 0: none received since its start.
     std::optional<TargetOrder> order;
     OrderPhase phase = OrderPhase::kAccepted;
     bool sent_to_engine = false;
--- a/tests/support/control_world_sides.cc
+++ b/tests/support/control_world_sides.cc
@@ -1,4 +1,4 @@
-// Sides and engines of the control world, and the promises that it checks.
+// Simulated sides and engines, and the invariants that are checked.
 
 #include <algorithm>
 #include <sstream>
@@ -52,7 +52,7 @@
                             const wire::Envelope& message) {
   Side& self = sides_[static_cast<std::size_t>(side)];
   if (self.run != run || entries_[static_cast<std::size_t>(entry)].cut) {
-    return;  // A message for an earlier run is never delivered to a later.
+    return;  // A message is never delivered to a later run of the side.
   }
   if (message.has_fencing()) {
     self.newest = std::max(self.newest, message.fencing().fencing_number());
@@ -145,8 +145,8 @@
   }
 }
 
-// Each effect must go back to a write that the store took while its number was
-// in force, and must not take the engine back.
+// Each effect must stem from a write that the store accepted while its fencing
+// number was in force, and must not return the engine to an earlier state.
 void ControlWorld::CheckEffect(const EngineEffect& effect) {
   const TargetOrder& order = effect.order;
   std::vector<FencingNumber> numbers;
@@ -170,22 +170,23 @@
     }
   }
   if (!written_in_force) {
-    violations_.push_back("effect under an old number: " + Text(order));
+    violations_.push_back("effect under an outdated fencing number: " +
+                          Text(order));
   }
   if (in_other_words) {
-    violations_.push_back("one generation in two words: " + Text(order));
+    violations_.push_back("one generation with two versions: " + Text(order));
   }
   for (const EngineEffect& earlier : effects_) {
     if (earlier.target == effect.target &&
         earlier.order.generation > order.generation) {
-      violations_.push_back("went back: " + Text(order) + " after " +
+      violations_.push_back("generation decreased: " + Text(order) + " after " +
                             Text(earlier.order));
     }
   }
 }
 
-// A differing order may replace one only after that one was in force, unless
-// the one replaced was void: it reached nobody.
+// A different order may replace an order only after the earlier one was in
+// force, unless the earlier one was void, that is, reached nobody.
 void ControlWorld::CheckWrite(const StoredObject& before,
                               const std::string& value) {
   const auto lease_object = objects_.find(kLeaseKey);
@@ -202,12 +203,12 @@
       next.fencing_number == lease.record->fencing_number;
   const std::uint64_t reached = sides_[static_cast<std::size_t>(side)].reached;
   if (differs && in_force && reached < last.order->generation) {
-    violations_.push_back("ordered over an unconfirmed order: " + Text(next));
+    violations_.push_back("replaced an unconfirmed order: " + Text(next));
   }
 }
 
 void ControlWorld::Check() {
-  const std::string two = "two holders at once";
+  const std::string two = "two lease holders at the same time";
   if (Holders().size() > 1 &&
       (violations_.empty() || violations_.back() != two)) {
     violations_.push_back(two);
@@ -216,7 +217,7 @@
     const RevisionRecord* held = entry.book.Find("brief-llm");
     const std::uint64_t number = held ? held->number : 0;
     if (number < entry.revision) {
-      violations_.push_back("a revision went back");
+      violations_.push_back("a revision number decreased");
     }
     entry.revision = number;
   }
--- a/tests/support/crash_rule.h
+++ b/tests/support/crash_rule.h
@@ -5,18 +5,18 @@
 #include <chrono>
 #include <vector>
 
-// The rule on requests that crash their targets, as the targets' operator
-// states it: once three targets have crashed under a request, all entries
-// together send it on no more than `kSentOnAllowed` times later than
-// `kCrashKnown` after the third crash, whatever ids its repeats bear.
+// Operator's requirement on requests that crash their targets: after a request
+// has crashed three targets, all entries together forward it at most
+// `kSentOnAllowed` times later than `kCrashKnown` after the third crash,
+// whatever ids its retries have.
 namespace indigolead::testing {
 
 inline constexpr std::size_t kCrashesToStop = 3;
 inline constexpr int kSentOnAllowed = 3;
 inline constexpr std::chrono::seconds kCrashKnown{3};
 
-/// Returns how many of `arrivals` count against that. Both lists are of one
-/// request, under any of its ids.
+/// Returns how many of `arrivals` count towards `kSentOnAllowed`. Both lists
+/// cover one request under all of its ids.
 template <typename Time>
 int SentOnAfterCrashes(std::vector<Time> crashes,
                        const std::vector<Time>& arrivals) {
--- a/tests/support/direct_world.cc
+++ b/tests/support/direct_world.cc
@@ -52,7 +52,7 @@
     CheckBudget(entry);
     if (entry.dispatcher->open_requests() > 0 ||
         entry.dispatcher->transport().running() > 0) {
-      Violate("left over: open requests or attempts at the end");
+      Violate("leak: requests or attempts are open at the end");
     }
   }
   for (const auto& [id, ledger] : ledgers_) {
--- a/tests/support/direct_world.h
+++ b/tests/support/direct_world.h
@@ -7,36 +7,36 @@
 
 namespace indigolead::testing {
 
-/// What came of one random world.
+/// Result of one randomized simulation run.
 struct DirectWorldReport {
-  std::vector<std::string> violations;  ///< Broken promises, in words.
+  std::vector<std::string> violations;  ///< Violated invariants.
   int requests = 0;
   int answered = 0;
-  int refused = 0;  ///< Told that they have not run.
-  int unknown = 0;  ///< Told that they may have run.
+  int refused = 0;  ///< Reported to the caller as not run.
+  int unknown = 0;  ///< Reported to the caller as possibly run.
   int cut = 0;      ///< Their entry was killed.
   int retries = 0;  ///< Further attempts sent.
-  int resumed = 0;  ///< Streams that went on at another target.
-  int rests = 0;    ///< Times that an entry was asked for rest.
-  int leaving = 0;  ///< Answers that said that their target leaves.
+  int resumed = 0;  ///< Streams resumed at another target.
+  int rests = 0;    ///< Refusals that asked an entry to back off.
+  int leaving = 0;  ///< Answers that announced that the target leaves.
 };
 
-/// What may happen in a random world beside what always does.
+/// Faults of a simulation run that are off by default.
 struct DirectWorldOptions {
-  bool rests = false;    ///< Targets turn requests away and ask for rest.
-  bool leaving = false;  ///< Targets say in their answers that they leave.
+  bool rests = false;    ///< Targets refuse requests and ask for back-off.
+  bool leaving = false;  ///< Targets announce in answers that they leave.
 };
 
-/// Plays entries before targets in time of its own, without a network: the
-/// dispatcher of an entry that speaks to its targets itself, with request flow,
-/// placement, directory, budget and transport as they run, over simulated
-/// calls.
+/// Simulates entries that call their targets directly, in simulated time and
+/// without a network. The dispatcher with its request flow, placement,
+/// directory, retry budget and transport is the production code; only the calls
+/// to targets are simulated.
 ///
-/// By `seed`: targets crash, freeze, leave, change their role, refuse, reset
-/// connections, lose answers, break streams off, and get the addresses of
-/// others; calls are late, hang, arrive after they were given up; lists of
-/// targets are late and the store goes; entries freeze and are killed; callers
-/// leave. Promises that are checked are listed with the test.
+/// `seed` selects the faults. Targets crash, freeze, leave, change their role,
+/// refuse, reset connections, lose answers, abort streams, and take over the
+/// addresses of others. Calls are late, hang, or arrive after they were
+/// cancelled. Target lists are late and the store fails. Entries freeze and are
+/// killed. Callers disconnect. The test lists the invariants that are checked.
 DirectWorldReport PlayDirectWorld(std::uint64_t seed,
                                   const DirectWorldOptions& options = {});
 
--- a/tests/support/direct_world/entries.cc
+++ b/tests/support/direct_world/entries.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Client of one target, in the world's time.
+/// Client of one target, in simulated time.
 class WorldClient : public TargetClient {
  public:
   WorldClient(World* world, int entry, std::uint64_t life, std::string address)
@@ -58,7 +58,7 @@
   entry = Entry{};
   entry.life = ++next_life_;
   if (entry.life <= entries_.size()) {
-    // Those that the world begins with have been known for long.
+    // The initial entries count as registered a minute ago.
     entry.registered_at = time_.now() - std::chrono::minutes(1);
   }
   entry.metrics = std::make_unique<MetricsRegistry>();
@@ -118,7 +118,7 @@
   if (entry.life != life || entry.frozen_until > time_.now()) {
     return;
   }
-  // What has come meanwhile is read in the order in which it came.
+  // Deferred functions run in their order of arrival.
   const auto waiting = std::exchange(entry.waiting, {});
   for (const auto& it : waiting) {
     ToEntry(number, life, it);
@@ -170,7 +170,7 @@
   for (const auto& it : ledgers_[id].calls) {
     const auto call = it.lock();
     if (call && call->open && !call->ended) {
-      Violate("gone: a target still works for the caller of " + id);
+      Violate("disconnected: a call is still open for the caller of " + id);
     }
   }
 }
@@ -181,7 +181,7 @@
     const double earned =
         kRetryShare * (requests == entry.requests.end() ? 0 : requests->second);
     if (further > kRetriesAtStart + earned + 1e-6) {
-      Violate("budget: " + std::to_string(further) + " further arrivals at " +
+      Violate("budget: " + std::to_string(further) + " retry arrivals at " +
               service);
     }
   }
@@ -215,7 +215,8 @@
     Finish(ledger);
     ++report_.answered;
     if (ledger->body != WholeStream(id)) {
-      Violate("order: " + id + " ends as whole with \"" + ledger->body + "\"");
+      Violate("order: " + id + " ends as complete with \"" + ledger->body +
+              "\"");
     }
   } else if (const auto* refusal = std::get_if<AnswerRefusal>(&message)) {
     Refused(names_.at(refusal->request), ledger_of(refusal->request),
@@ -224,7 +225,7 @@
     const std::string& id = names_.at(abort->request);
     Ledger* ledger = ledger_of(abort->request);
     if (WholeStream(id).rfind(ledger->body, 0) != 0) {
-      Violate("order: " + id + " is broken off after \"" + ledger->body + "\"");
+      Violate("order: " + id + " is aborted after \"" + ledger->body + "\"");
     }
     Refused(id, ledger, abort->refusal);
   }
@@ -236,7 +237,7 @@
     Violate("a second final answer");
   }
   const Entry& entry = entries_[ledger->entry];
-  // A frozen entry answers once it wakes.
+  // A frozen entry answers only after it resumes.
   if (time_.now() > std::max(ledger->deadline, entry.frozen_until) + kSlack) {
     Violate("late: a final answer " +
             std::to_string((time_.now() - ledger->deadline) / milliseconds(1)) +
@@ -250,8 +251,8 @@
   if (refusal.run != RunState::kNotRun) {
     ++report_.unknown;
     if (ledger->sends == 0) {
-      Violate("doubt: " + id + " is told that it may have run (" +
-              refusal.code + "), and was not sent");
+      Violate("unknown: " + id + " is reported as possibly run (" +
+              refusal.code + ") but was not sent");
     }
     return;
   }
@@ -260,8 +261,8 @@
       ledger->kind == Kind::kUnsafe || ledger->kind == Kind::kStream;
   ledger->told_not_run = true;
   if (may_run_once && ledger->runs > 0) {
-    Violate("denied: " + id + " is told that it has not run (" + refusal.code +
-            "), and it has");
+    Violate("denied: " + id + " is reported as not run (" + refusal.code +
+            ") but has run");
   }
 }
 
--- a/tests/support/direct_world/limits.cc
+++ b/tests/support/direct_world/limits.cc
@@ -2,7 +2,7 @@
 #include "tests/support/direct_world/world.h"
 #include "tests/support/limit_rule.h"
 
-// Targets that name a limit on what they take from all entries together.
+// Targets that announce a rate limit for all entries together.
 namespace indigolead::testing::direct_world {
 using std::chrono::seconds;
 
@@ -27,7 +27,7 @@
   const int most = MostInSpan(limit.counted, *limit.named_at + kLimitContact);
   if (most > MostAllowed(limit.per_second)) {
     Violate("limit: " + std::to_string(most) + " calls in 4 s at " +
-            target->record.id + ", which takes " +
+            target->record.id + ", whose limit is " +
             std::to_string(limit.per_second) + " a second");
   }
 }
--- a/tests/support/direct_world/notices.cc
+++ b/tests/support/direct_world/notices.cc
@@ -3,7 +3,7 @@
 #include "tests/support/direct_world/words.h"
 #include "tests/support/direct_world/world.h"
 
-// Targets that ask an entry for rest, or say in their answers that they leave.
+// Targets that ask an entry to back off, or announce that they leave.
 namespace indigolead::testing::direct_world {
 
 using std::chrono::milliseconds;
@@ -39,7 +39,7 @@
 void World::BeginLeaving(Target* target) {
   target->says_leaving = true;
   if (notice_random_() % 4 == 0) {
-    return;  // It stays listed, and stays.
+    return;  // It neither leaves the list nor ends.
   }
   AddTarget(target->record.service, target->record.role, "");
   if (notice_random_() % 2 == 0) {
@@ -71,9 +71,10 @@
   }
   const auto rest = target->rests.find(call.life);
   if (rest != target->rests.end() && time_.now() < rest->second) {
-    Violate("rest: a call is written to " + target->record.id + ", which for " +
+    Violate("back-off: a call is written to " + target->record.id +
+            ", whose back-off lasts " +
             std::to_string((rest->second - time_.now()) / milliseconds(1)) +
-            " ms more wants none");
+            " ms longer");
   }
 }
 
--- a/tests/support/direct_world/targets.cc
+++ b/tests/support/direct_world/targets.cc
@@ -23,17 +23,18 @@
     Ledger& ledger = ledgers_[id];
     ledger.calls.push_back(call);
     if (entries_[call->entry].told_leaving.count(instance) > 0) {
-      Violate("drain: " + id + " is sent to " + instance + ", which leaves");
+      Violate("drain: " + id + " is sent to " + instance +
+              ", which is leaving");
     }
     if (ledger.gone_at) {
-      Violate("gone: " + id + " is sent after its caller has left");
+      Violate("disconnected: " + id + " is sent after its caller disconnected");
     }
   }
   time_.After(call->request.deadline,
               [this, call] { End(call, ErrorCode::kTimeout); });
   const Target* target = At(call->address);
   if (!target || Chance(0.03)) {
-    // Nobody answers there, or the connection is refused.
+    // The connection attempt times out or is refused.
     const bool hangs = Chance(0.5);
     time_.After(hangs ? kConnectTimeout : microseconds(300),
                 [this, call] { End(call, ErrorCode::kUnavailable); });
@@ -107,7 +108,7 @@
 
 void World::Arrive(const std::shared_ptr<Call>& call) {
   if (!call->open && Chance(0.5)) {
-    return;  // Its close overtook it.
+    return;  // The call was closed before it arrived.
   }
   Target* target = At(call->address);
   if (!target) {
@@ -115,7 +116,7 @@
     return;
   }
   if (target->frozen) {
-    // Read once it wakes, if it does, whether or not anybody waits.
+    // Read when the target resumes, if ever, even if the entry has given up.
     time_.After(milliseconds(50), [this, call] { Arrive(call); });
     return;
   }
@@ -149,7 +150,7 @@
     return;
   }
   if (Chance(0.02)) {
-    return;  // Silent.
+    return;  // No answer is sent.
   }
   const std::string handle = "h" + std::to_string(++target->handles_made);
   target->handles.insert(handle);
@@ -172,7 +173,7 @@
     Violate("twice: " + id + " runs " + std::to_string(ledger.runs) + " times");
   }
   if (may_run_once && ledger.told_not_run) {
-    Violate("denied: " + id + " runs after it was told that it never will");
+    Violate("denied: " + id + " runs after it was reported as not run");
   }
   if (ledger.runs > static_cast<int>(kMaxAttempts)) {
     Violate("attempts: " + id + " runs " + std::to_string(ledger.runs) +
@@ -199,7 +200,7 @@
     return;
   }
   if (fault < 0.05) {
-    return;  // Silent for good.
+    return;  // No answer is ever sent.
   }
   if (fault < 0.07) {
     time_.After(milliseconds(10), [this, call] { Answer(call, 500, "oops"); });
--- a/tests/support/direct_world/timeline.h
+++ b/tests/support/direct_world/timeline.h
@@ -10,7 +10,7 @@
 
 namespace indigolead::testing::direct_world {
 
-/// Functions to call in order of time.
+/// Event queue that runs functions in order of simulated time.
 class Timeline {
  public:
   TimePoint now() const { return now_; }
--- a/tests/support/direct_world/troubles.cc
+++ b/tests/support/direct_world/troubles.cc
@@ -28,7 +28,7 @@
   target->alive = false;
   time_.After(Between(seconds(1), seconds(4)),
               [target] { target->listed = false; });
-  // Its address may go to a target of another service.
+  // Its address may be reused by a target of another service.
   const TargetRecord was = target->record;
   const bool reused = Chance(0.4);
   time_.After(Between(seconds(1), seconds(3)), [this, was, reused] {
@@ -55,7 +55,7 @@
       }
       break;
     case 2:
-      if (target) {  // Leaves: serves on for a while, then ends.
+      if (target) {  // Leaves: keeps serving for a while, then ends.
         target->record.leaving = true;
         time_.After(Between(seconds(3), seconds(5)), [target] {
           target->alive = false;
--- a/tests/support/direct_world/words.h
+++ b/tests/support/direct_world/words.h
@@ -6,32 +6,32 @@
 
 #include "entry/target_dialect.h"
 
-// What the random worlds' entries, callers and targets say to each other.
+// Messages between the entries, callers and targets of the simulation.
 namespace indigolead::testing::direct_world {
 
-/// Fields of the calls of this world's targets.
+/// Header fields of calls to simulated targets.
 inline constexpr char kInstance[] = "Instance";
 inline constexpr char kId[] = "Id";
 inline constexpr char kOperation[] = "Operation";
 inline constexpr char kSource[] = "Source";
 inline constexpr char kResume[] = "Resume";
-/// Field of an answer: requests a second that its target takes.
+/// Answer header: the target's limit in requests per second.
 inline constexpr char kLimit[] = "Limit";
-/// Field of a refusal: milliseconds for which its target wants nothing.
+/// Refusal header: milliseconds during which the target wants no requests.
 inline constexpr char kRestMs[] = "RestMs";
-/// Field of an answer: its target leaves.
+/// Answer header: the target is leaving.
 inline constexpr char kLeaving[] = "Leaving";
 
-/// Returns the value of a field; empty if absent.
+/// Returns the value of a header field, or an empty string if it is absent.
 std::string FieldOf(const std::vector<HttpHeader>& headers, const char* name);
 std::string FieldOf(const TargetRequest& request, const char* name);
 
-/// Returns the events of the stream that answers a request.
+/// Returns the number of events in the stream that answers a request.
 int EventsOf(const std::string& id);
 std::string EventText(const std::string& id, int number);
 std::string WholeStream(const std::string& id);
 
-/// Returns the answer of a plain target to a request.
+/// Returns the body with which a target without a model answers a request.
 std::string WholeAnswerText(const std::string& id);
 
 TargetDialect MakeWorldDialect();
--- a/tests/support/direct_world/world.h
+++ b/tests/support/direct_world/world.h
@@ -18,10 +18,10 @@
 
 inline constexpr Duration kTick = std::chrono::milliseconds(25);
 inline constexpr Duration kTraffic =
-    std::chrono::seconds(12);  ///< Requests come that long.
+    std::chrono::seconds(12);  ///< Period with new requests.
 inline constexpr Duration kQuiet =
     std::chrono::seconds(12);  ///< Longer than any deadline.
-/// A final answer may come that much after its deadline: two ticks.
+/// Allowed delay of a final answer past its deadline: two ticks.
 inline constexpr Duration kSlack = std::chrono::milliseconds(60);
 inline constexpr Duration kConnectTimeout = std::chrono::milliseconds(600);
 inline constexpr std::uint32_t kMaxAttempts = 2;
@@ -31,22 +31,22 @@
 
 enum class Kind { kSafe, kUnsafe, kStream, kResumable };
 
-/// What a target in need says, and what came since.
+/// Rate limit that a target announces, and the calls received since then.
 struct NamedLimit {
   double per_second = 0;
-  std::optional<TimePoint> named_at;  ///< First answer that named it.
-  /// When each life of an entry was first told.
+  std::optional<TimePoint> named_at;  ///< First answer that announced it.
+  /// Time at which each entry process first received the limit.
   std::map<std::uint64_t, TimePoint> told;
-  std::vector<TimePoint> counted;  ///< Calls of those who knew.
+  std::vector<TimePoint> counted;  ///< Calls by entries that knew it.
 };
 
-/// What a target does that has too much to do.
+/// Load shedding by an overloaded target.
 struct Shedding {
-  double share = 1;  ///< Of the requests that it turns away.
-  Duration rest{0};  ///< It asks for.
+  double share = 1;  ///< Fraction of requests that it refuses.
+  Duration rest{0};  ///< Back-off that it asks for.
 };
 
-/// One target, as it truly is.
+/// Actual state of one target, whatever the entries believe.
 struct Target {
   TargetRecord record;
   bool alive = true;
@@ -57,23 +57,23 @@
   std::set<std::string> handles;
   std::optional<NamedLimit> limit;
   std::optional<Shedding> shedding;
-  /// Until when each life of an entry knows that it wants nothing.
+  /// Time until which each entry process was asked to back off.
   std::map<std::uint64_t, TimePoint> rests;
   bool says_leaving = false;
 };
 
 struct Call;
 
-/// One request, as its caller and the targets see it.
+/// Record of one request, as observed by its caller and the targets.
 struct Ledger {
   Kind kind = Kind::kSafe;
   std::string service;
   TimePoint deadline;
   int entry = 0;
-  std::uint64_t life = 0;  ///< Of the entry's process that took it.
+  std::uint64_t life = 0;  ///< Entry process that accepted it.
   int runs = 0;
-  int sends = 0;     ///< Calls that run it, written.
-  int prefills = 0;  ///< Calls that read its prompt, written.
+  int sends = 0;     ///< Written calls that run it.
+  int prefills = 0;  ///< Written calls that prefill its prompt.
   int finals = 0;
   bool told_not_run = false;
   bool cut = false;
@@ -82,19 +82,19 @@
   std::vector<std::weak_ptr<Call>> calls;
 };
 
-/// One call on its way.
+/// One call from an entry to a target.
 struct Call {
   int entry = 0;
   std::uint64_t life = 0;
   std::string address;
   TargetRequest request;
   TargetClient::Hooks hooks;
-  bool open = true;  ///< The entry still waits for it.
+  bool open = true;  ///< The entry has not closed it.
   bool written = false;
   bool ended = false;
 };
 
-/// Entries, callers and targets of one random world.
+/// Entries, callers and targets of one randomized simulation.
 class World {
  public:
   World(std::uint64_t seed, const DirectWorldOptions& options)
@@ -115,9 +115,9 @@
     std::uint64_t life = 0;
     std::optional<TimePoint> registered_at;
     TimePoint frozen_until{};
-    std::vector<std::function<void()>> waiting;  ///< While it is frozen.
+    std::vector<std::function<void()>> waiting;  ///< Deferred while frozen.
     std::set<std::string> told_leaving;
-    std::map<std::string, int> requests;  ///< Of this life, by service.
+    std::map<std::string, int> requests;  ///< Of this process, by service.
     std::map<std::string, int> further;
   };
 
@@ -159,12 +159,12 @@
   void NextNotice();
   void BeginShedding(Target* target);
   void BeginLeaving(Target* target);
-  /// Turns the call away if its target sheds it.
+  /// Refuses the call if its target sheds it; returns true if so.
   bool Shed(const std::shared_ptr<Call>& call, const Target& target);
-  /// Checks that a call which is written may be.
+  /// Checks that the target's notices permit this written call.
   void CheckNotices(const Call& call);
-  /// Returns the headers with what the target says of itself, and takes it
-  /// that the entry is told.
+  /// Adds the target's notices to `headers` and records that the entry has
+  /// received them.
   std::vector<HttpHeader> WithNotices(const Call& call,
                                       std::vector<HttpHeader> headers);
 
@@ -186,7 +186,7 @@
 
   DirectWorldOptions options_;
   RandomSource random_;
-  RandomSource limit_random_;  ///< Apart, so that limits change nothing else.
+  RandomSource limit_random_;  ///< Separate: limits shift no other draw.
   RandomSource notice_random_;
   Timeline time_;
   boost::asio::io_context io_;
--- a/tests/support/fake_object_store.cc
+++ b/tests/support/fake_object_store.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-/// One watch, known to its platform for as long as it lives.
+/// One watch, registered with its platform during its lifetime.
 class FakeWatch : public ObjectStore::Watch {
  public:
   FakeWatch(FakePlatform* platform, std::string prefix, std::uint64_t from,
@@ -97,7 +97,7 @@
     }
   }
 
-  /// Ends the watch once it was silent for too long since `heard_at`.
+  /// Ends the watch if nothing arrived for too long since `heard_at`.
   void CheckSilence(std::chrono::steady_clock::time_point heard_at) {
     timer_.expires_after(
         std::chrono::duration_cast<std::chrono::steady_clock::duration>(
@@ -236,7 +236,7 @@
   if (late) {
     fail(ErrorCode::kTimeout, options.deadline);
   }
-  // A call given up by its caller still takes effect when it is late.
+  // A late call still takes effect after its caller has given up.
   After(slow, [this, fail, affected, writes, late, write, done,
                deadline = options.deadline, slow] {
     auto& now = platform_->faults_;
--- a/tests/support/fake_object_store.h
+++ b/tests/support/fake_object_store.h
@@ -22,8 +22,8 @@
 
 /// Objects and faults in memory, shared by the fakes of several processes.
 ///
-/// Misbehaves as `standins::PlatformServer` does, without a socket: a test
-/// turns it with `io.poll()`, or runs the context if it uses delays.
+/// Injects the same faults as `standins::PlatformServer`, without a socket. A
+/// test drives it with `io.poll()`, or runs the context if it uses delays.
 class FakePlatform {
  public:
   /// `io` must outlive this object.
@@ -39,7 +39,7 @@
     return table_.Get(key);
   }
 
-  /// Writes past all faults. Returns the version, 0 on a conflict.
+  /// Writes without faults. Returns the new version, or 0 on a conflict.
   std::uint64_t Poke(const std::string& key, const std::string& value,
                      ExpectedVersion expected);
 
@@ -71,7 +71,8 @@
 /// `ObjectStore` of one process on a `FakePlatform`.
 class FakeObjectStore : public ObjectStore {
  public:
-  /// Both must outlive this object. A silent watch ends after `watch_silence`.
+  /// Both must outlive this object. A watch ends after it has received nothing
+  /// for `watch_silence`.
   FakeObjectStore(boost::asio::io_context* io, FakePlatform* platform,
                   Duration watch_silence = std::chrono::seconds(10));
   ~FakeObjectStore() override;
@@ -101,7 +102,7 @@
   void Write(const std::string& step, const std::string& key,
              const CallOptions& options, Callback<T> done,
              std::function<Result<T>()> write);
-  /// Calls `answer` after `delay`, unless the store is gone by then.
+  /// Calls `answer` after `delay`, unless the store is destroyed first.
   void After(Duration delay, std::function<void()> answer);
 
   boost::asio::io_context* io_;
--- a/tests/support/field_count.h
+++ b/tests/support/field_count.h
@@ -1,8 +1,8 @@
 #ifndef INDIGOLEAD_TESTS_SUPPORT_FIELD_COUNT_H_
 #define INDIGOLEAD_TESTS_SUPPORT_FIELD_COUNT_H_
 
-// Counts the fields of a plain struct, so that a test notices one which was
-// added to the struct and forgotten in a table about it.
+// Counts the fields of a plain struct, so that a test detects a field that was
+// added to the struct but not to a table that describes it.
 
 #include <cstddef>
 #include <type_traits>
--- a/tests/support/fleet.cc
+++ b/tests/support/fleet.cc
@@ -204,7 +204,7 @@
   it.arguments.insert(it.arguments.end(), flags.begin(), flags.end());
   it.target = std::make_unique<Process>("indigolead-standin", it.arguments);
   it.address = it.target->WaitForAddress();
-  // A restarted target must come back where its side looks for it.
+  // A restarted target must reuse the address that its side connects to.
   it.arguments.push_back("--port=" +
                          it.address.substr(it.address.find(':') + 1));
   std::string seeds;
@@ -238,8 +238,8 @@
   const std::string line = it.process->WaitForLine("listening ");
   it.http = WordAfter(line, "http=");
   it.link = WordAfter(line, "link=");
-  // The addresses that the system picked stay those of this entry, so that a
-  // restart of it is found where it was.
+  // The entry keeps the addresses that the system picked, so that its peers
+  // find it again after a restart.
   it.settings_file = WriteSettings(
       it.name, "[instance]\nname = " + it.name + "\nfailure_domain = " +
                    DomainOf(n) + "\nregion = norte\nlink_address = " + it.link +
--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -16,7 +16,7 @@
 
 namespace indigolead::testing {
 
-/// Shape of a fleet of real processes.
+/// Size and settings of a fleet of real processes.
 struct FleetOptions {
   std::size_t engines = 3;
   std::size_t services = 1;
@@ -26,13 +26,13 @@
   std::string extra_settings;
 };
 
-/// Runs the product as its users do: a platform, targets with a side each and
-/// entries, every one a process of its own on loopback, with the declarations
-/// of `examples/unas-del-norte` in force.
+/// Runs a platform, targets with one side each, and entries as separate
+/// processes on loopback, with the declarations of `examples/unas-del-norte`
+/// in force.
 ///
-/// Unit tests cannot show what a killed or paused process does to its peers;
-/// this can. The engines serve `tarifa-llm`, the services `salon-app`. Every
-/// process ends with this object.
+/// This covers the effects of a killed or paused process on its peers, which
+/// unit tests cannot show. The engines serve `tarifa-llm`, the services
+/// `salon-app`. The destructor ends every process.
 class Fleet {
  public:
   explicit Fleet(const FleetOptions& options = {});
@@ -52,11 +52,11 @@
                       const std::string& key = "", bool stream = false,
                       int max_tokens = 8);
 
-  /// Returns how many runs with this Idempotency-Key the living targets have
-  /// started, and those that died had started when last asked.
+  /// Returns the number of runs with this Idempotency-Key: those started by
+  /// live targets, plus the last count read from each target that has died.
   std::size_t RunsWithKey(const std::string& key);
 
-  /// Returns the number of runs cut by an order at the living engines.
+  /// Returns the number of runs aborted by an order at the live engines.
   std::size_t CutRuns();
 
   /// Returns the number of runs that target `n` has started since its start.
--- a/tests/support/flow_driver.h
+++ b/tests/support/flow_driver.h
@@ -11,7 +11,7 @@
 
 namespace indigolead {
 
-/// What a caller has got of one answer so far.
+/// Parts of one answer that a caller has received so far.
 struct SeenAnswer {
   int status = 0;
   std::string body;
@@ -20,7 +20,7 @@
   int finals = 0;                  ///< Final answers; more than one is a fault.
 };
 
-/// Feeds a RequestFlow with chosen times and collects what it decides.
+/// Drives a RequestFlow with a manual clock and collects its decisions.
 class FlowDriver {
  public:
   explicit FlowDriver(RequestFlowOptions options = {},
@@ -29,10 +29,10 @@
   RequestFlow& flow() { return flow_; }
   TimePoint now() const { return now_; }
 
-  /// Lets time pass in steps of 50 ms, with a tick after each.
+  /// Advances time in steps of 50 ms, with a tick after each.
   void Pass(Duration time);
 
-  /// Lets time pass without a tick, as if this process had been stopped.
+  /// Advances time without a tick, as if the process had been stopped.
   void Jump(Duration time) { now_ += time; }
 
   /// Collects the actions decided so far.
--- a/tests/support/fuzz.h
+++ b/tests/support/fuzz.h
@@ -14,7 +14,7 @@
 inline constexpr int kFuzzRounds = 3000;
 inline constexpr std::size_t kMaxFuzzBytes = 4096;
 
-/// Changes valid inputs step by step, always the same for the same seed.
+/// Mutates valid inputs step by step, deterministically for a given seed.
 class Mutator {
  public:
   explicit Mutator(std::uint64_t seed) : random_(seed) {}
@@ -61,9 +61,9 @@
   std::mt19937_64 random_;
 };
 
-/// Feeds `parse` with every seed and with changed ones. A parser that reads out
-/// of bounds or lets an exception out ends the test program; the sanitizer run
-/// shows the former also where it happens to do no harm.
+/// Calls `parse` with every seed and with mutated seeds. An out-of-bounds read
+/// or an escaping exception may end the test program; the sanitizer run also
+/// reports out-of-bounds reads that do not crash.
 inline void Fuzz(const std::vector<std::string>& seeds,
                  const std::function<void(const std::string&)>& parse) {
   Mutator mutator(20261202);
--- a/tests/support/http_call.h
+++ b/tests/support/http_call.h
@@ -10,11 +10,11 @@
 
 /// Answer to one HTTP call of a test.
 struct HttpAnswer {
-  int status = 0;  ///< 0: no whole answer; `body` has what came.
+  int status = 0;  ///< 0: incomplete; `body` has what arrived.
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
 
-  /// Returns the value of header `name` in any case; empty if absent.
+  /// Returns the value of header `name`, ignoring case; empty if absent.
   std::string Header(const std::string& name) const;
 };
 
--- a/tests/support/limit_rule.h
+++ b/tests/support/limit_rule.h
@@ -5,11 +5,11 @@
 #include <chrono>
 #include <vector>
 
-// The rule on targets that name a limit, as their operator states it: in no
-// span of `kLimitSpan` more than `kLimitTolerance` times what the limit allows,
-// and `kLimitSlack` requests, from entries that were told `kLimitTold` ago or
-// earlier; from `kLimitContact` after the limit was first named. The first such
-// span begins before that moment, and what came then counts.
+// Operator's requirement on targets that announce a rate limit: in any span of
+// `kLimitSpan`, entries that received the limit at least `kLimitTold` ago send
+// at most `kLimitTolerance` times what the limit allows plus `kLimitSlack`
+// requests. It holds from `kLimitContact` after the limit was first announced.
+// The first such span begins before that moment and counts in full.
 namespace indigolead::testing {
 
 inline constexpr std::chrono::seconds kLimitSpan{4};
@@ -18,15 +18,16 @@
 inline constexpr std::chrono::milliseconds kLimitTold{500};
 inline constexpr std::chrono::seconds kLimitContact{3};
 
-/// Returns the most requests that a limit of `per_second` allows in a span.
+/// Returns the number of requests that a limit of `per_second` allows in one
+/// `kLimitSpan`.
 inline double MostAllowed(double per_second) {
   return kLimitTolerance * per_second *
              static_cast<double>(kLimitSpan.count()) +
          kLimitSlack;
 }
 
-/// Returns the most of `times`, which are sorted, in any span that lies between
-/// `from` and `to`.
+/// Returns the maximum number of `times` in any `kLimitSpan` between `from` and
+/// `to`. `times` must be sorted.
 template <typename Time>
 int MostInSpan(const std::vector<Time>& times, Time from,
                Time to = Time::max()) {
@@ -41,8 +42,8 @@
   return most;
 }
 
-/// Returns the most of `times`, which are sorted, in any span that ends at
-/// `from` or later.
+/// Returns the maximum number of `times` in any `kLimitSpan` that ends at
+/// `from` or later. `times` must be sorted.
 template <typename Time>
 int MostInSpanEnding(const std::vector<Time>& times, Time from) {
   int most = 0;
--- a/tests/support/process.cc
+++ b/tests/support/process.cc
@@ -25,8 +25,8 @@
   }
   dup2(output_fd, STDOUT_FILENO);
   dup2(output_fd, STDERR_FILENO);
-  // A child that held the listening sockets of this process's stand-ins would
-  // keep their ports answering after they were taken down.
+  // A child that inherited the listening sockets of stand-ins in this process
+  // would keep their ports open after the stand-ins are taken down.
   close_range(STDERR_FILENO + 1, ~0U, 0);
   sigset_t none;
   sigemptyset(&none);
@@ -127,8 +127,8 @@
 
 void Process::Pause() {
   Signal(SIGSTOP);
-  // The signal is on its way only: threads on other processors run on for a
-  // moment and could still answer. The kernel reports the stop when all stand.
+  // Signal delivery is asynchronous: threads on other processors may run on and
+  // still answer. The kernel reports the stop once all threads have stopped.
   int status = 0;
   if (running() && waitpid(pid_, &status, WUNTRACED) == pid_) {
     TakeStatus(status);
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -10,12 +10,11 @@
 
 namespace indigolead::testing {
 
-/// One child process of a test, ended and reaped at the latest when this
-/// object goes.
+/// One child process of a test, ended and reaped by the destructor at the
+/// latest.
 ///
-/// Tests of crashes and pauses need real processes; this keeps them from
-/// outliving the test, whichever way the test ends: the kernel kills the child
-/// if the test program dies.
+/// Tests of crashes and pauses need real processes. The child never outlives
+/// the test: the kernel kills it if the test program dies.
 class Process {
  public:
   /// Starts `binary` of the build folder ("indigolead", "indigolead-standin")
@@ -38,7 +37,7 @@
   /// Sends signal `number` if the process still runs.
   void Signal(int number);
 
-  /// SIGSTOP, then waits until every thread of the process stands still.
+  /// SIGSTOP, then waits until every thread of the process has stopped.
   void Pause();
   void Resume();     ///< SIGCONT.
   void Kill();       ///< SIGKILL, then waits for the end.
@@ -66,13 +65,13 @@
   std::optional<int> exit_;
 };
 
-/// Calls `condition` each few milliseconds until it returns true. Returns
+/// Polls `condition` every few milliseconds until it returns true. Returns
 /// false if `at_most` passes first.
 template <typename Condition>
 bool WaitUntil(Condition condition,
                std::chrono::seconds at_most = std::chrono::seconds(30));
 
-/// Sleeps for a few milliseconds, between two looks at a condition.
+/// Sleeps for a few milliseconds between two polls of a condition.
 void SleepBetweenLooks();
 
 template <typename Condition>
--- a/tests/support/raw_client.h
+++ b/tests/support/raw_client.h
@@ -7,8 +7,8 @@
 
 namespace indigolead {
 
-/// One TCP connection on which a test writes bytes as it likes. Reads wait for
-/// at most ten seconds.
+/// One TCP connection on which a test writes arbitrary bytes. Reads wait for at
+/// most ten seconds.
 class RawClient {
  public:
   /// Connects to "IP:port"; aborts the test if that fails.
@@ -20,20 +20,20 @@
   /// Returns false if the peer has closed.
   bool Write(std::string_view data);
 
-  /// Returns all that came once it contains `text`; what came until then if
-  /// the peer closed or time ran out.
+  /// Returns all bytes received once they contain `text`, or those received
+  /// until the peer closed or the timeout expired.
   const std::string& ReadUntil(std::string_view text);
 
-  /// Returns all that came until the peer closed the connection.
+  /// Returns all bytes received until the peer closed the connection.
   const std::string& ReadToEnd();
 
   /// Returns true if the peer closed in `ReadUntil` or `ReadToEnd`.
   bool closed() const { return closed_; }
 
-  /// Returns true if it was closed with a reset.
+  /// Returns true if the peer closed the connection with a reset.
   bool reset() const { return reset_; }
 
-  /// Forgets what came.
+  /// Discards the bytes received so far.
   void Clear() { seen_.clear(); }
 
   /// Closes this end.
--- a/tests/support/reserved_address.cc
+++ b/tests/support/reserved_address.cc
@@ -13,8 +13,8 @@
 /// More than the addresses of one test.
 constexpr std::size_t kKept = 400;
 
-/// A socket that is bound and never listens: others that allow an address to
-/// be used again may bind it as well, and listen.
+/// A bound socket that never listens. Other sockets with address reuse enabled
+/// can bind the same address and listen.
 class BoundSocket {
  public:
   BoundSocket() : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
--- a/tests/support/reserved_address.h
+++ b/tests/support/reserved_address.h
@@ -5,12 +5,12 @@
 
 namespace indigolead::testing {
 
-/// Returns "127.0.0.1:PORT" at which a process of a test may listen, once or
-/// again and again.
+/// Returns "127.0.0.1:PORT" at which a process of a test may listen, also
+/// repeatedly.
 ///
-/// The port is kept bound, so that the system gives it to no other socket of
-/// this machine in the meantime: a process that is started seconds later would
-/// find its address taken and end. The last few hundred ports are kept.
+/// The port stays bound so that the system assigns it to no other socket.
+/// Otherwise a process that starts seconds later could find the address in use
+/// and exit. The last few hundred ports are kept.
 std::string ReserveAddress();
 
 }  // namespace indigolead::testing
--- a/tests/support/rest_rule.h
+++ b/tests/support/rest_rule.h
@@ -5,35 +5,36 @@
 #include <chrono>
 #include <vector>
 
-// The rules on what targets say of themselves, as their operator states them.
+// Operator's requirements on back-off and leaving notices.
 //
-// A target asks an entry for rest: no more than `kRestAllowed` requests of that
-// entry reach it between `kRestReaction` after it has asked and the end of the
-// time. A target says in an answer that it leaves: no request of that entry
-// reaches it later than `kLeavingDrain` after that. A restart or a freeze of
-// the entry since then excuses it.
+// After a target asks an entry to back off, at most `kRestAllowed` requests of
+// that entry reach it between `kRestReaction` after the notice and the end of
+// the back-off. After a target announces in an answer that it leaves, no
+// request of that entry reaches it later than `kLeavingDrain` after the answer.
+// A restart or freeze of the entry since the notice exempts it.
 namespace indigolead::testing {
 
 inline constexpr std::chrono::milliseconds kRestReaction{500};
 inline constexpr int kRestAllowed = 2;
 inline constexpr std::chrono::seconds kLeavingDrain{2};
 
-/// A rest that a target asked an entry for.
+/// Back-off that a target asked an entry for.
 template <typename Time>
 struct AskedRest {
   Time asked_at;
   typename Time::duration length;
 };
 
-/// Returns true if one of `excuses` lies between the two times.
+/// Returns true if one of `excuses` lies in [from, to].
 template <typename Time>
 bool IsExcused(const std::vector<Time>& excuses, Time from, Time to) {
   return std::any_of(excuses.begin(), excuses.end(),
                      [&](Time it) { return it >= from && it <= to; });
 }
 
-/// Returns the most of `arrivals` in the time of any one rest. `excuses` are
-/// the times at which the entry was killed, stopped or set going.
+/// Returns the maximum number of `arrivals` that count against any one
+/// back-off. `excuses` are the times at which the entry was killed, stopped or
+/// resumed.
 template <typename Time>
 int MostDuringRest(const std::vector<AskedRest<Time>>& rests,
                    const std::vector<Time>& arrivals,
@@ -51,8 +52,8 @@
   return static_cast<int>(most);
 }
 
-/// Returns how many of `arrivals` came though one of the answers at `said_at`
-/// had said that the target leaves.
+/// Returns how many of `arrivals` came too late after one of the answers at
+/// `said_at`, which announced that the target leaves.
 template <typename Time>
 int AfterLeaving(const std::vector<Time>& said_at,
                  const std::vector<Time>& arrivals,
--- a/tests/support/retry_fleet.cc
+++ b/tests/support/retry_fleet.cc
@@ -13,17 +13,17 @@
 
 constexpr milliseconds kStep{20};
 constexpr milliseconds kTick{200};
-/// For which a process that is stopped still takes requests.
+/// Time for which a stopping process still accepts requests.
 constexpr milliseconds kStopTime{2600};
 
-/// Of the operator's ratio, what requests earn and what may be saved up by
-/// them, as the entries' options have it.
+/// Parts of the operator's ratio that requests earn and may accumulate, as in
+/// the entries' options.
 constexpr double kEarnedShare = 0.7;
 constexpr double kSavedShare = 0.15;
 
 }  // namespace
 
-/// What one process of an entry does for its further attempts.
+/// Retry budget of one entry process.
 class RetryFleet::Process {
  public:
   Process(RetryFleet* fleet, const std::string& name)
@@ -35,7 +35,7 @@
             &store_, KeeperOptions(name, ++fleet->incarnations_), Hooks(),
             [fleet] { return fleet->now_; }, MakeNullEventLog()) {}
 
-  /// Returns the budget, with the part that the entry has now.
+  /// Returns the budget, updated with the entry's current share.
   EntryRetryBudget& budget() {
     budget_.SetPart(allowance_.PartOf(view_, fleet_->now_), fleet_->now_);
     return budget_;
@@ -158,7 +158,8 @@
       it.process.reset();
       it.ends_at = TimePoint::max();
     }
-    // One that is cut off makes no call: its list and registration only age.
+    // Without a connection an entry makes no call; its list and registration
+    // only age.
     if (tick && it.process && !it.frozen && !it.cut) {
       it.process->keeper().Tick();
     }
--- a/tests/support/retry_fleet.h
+++ b/tests/support/retry_fleet.h
@@ -15,17 +15,17 @@
 
 namespace indigolead::testing {
 
-/// Entries of one fleet on a clock that the test turns: each registers in one
-/// store, lists the others, and allows itself further attempts, as its process
-/// does. Targets are not played: where they fail, every request wants further
-/// attempts.
+/// Simulates the retry budgets of a fleet of entries on a manual clock. As in
+/// the entry process, each entry registers in the store, lists the others, and
+/// grants itself retries. Targets are not simulated: while they fail, every
+/// request asks for retries.
 class RetryFleet {
  public:
   struct Options {
     std::size_t entries = 4;
     double requests_per_second = 32;
-    double arrivals_of_attempt = 1;  ///< 2: prompts are read apart.
-    int wishes = 3;  ///< Further attempts that a failing request wants.
+    double arrivals_of_attempt = 1;  ///< 2: separate prefill.
+    int wishes = 3;  ///< Retries that a failing request asks for.
     RetryRule rule;
     std::uint64_t seed = 1;
   };
@@ -35,22 +35,22 @@
   RetryFleet(const RetryFleet&) = delete;
   RetryFleet& operator=(const RetryFleet&) = delete;
 
-  /// Plays `length` of time.
+  /// Advances simulated time by `length`.
   void Run(Duration length);
 
   void SetFailing(bool failing) { failing_ = failing; }
   std::size_t size() const { return slots_.size(); }
   /// Adds an entry under a name of its own, and starts it.
   void Add();
-  /// Starts the entry's process; ends the one that it has.
+  /// Starts a new process of the entry and ends its current one, if any.
   void Start(std::size_t entry);
   void Kill(std::size_t entry);
   void KillAll();
   void StartAll();
-  /// Begins a planned stop. The process serves on for a moment, then ends.
+  /// Begins a planned stop. The process keeps serving briefly, then ends.
   void Stop(std::size_t entry);
   void SetFrozen(std::size_t entry, bool frozen);
-  /// While set, none of the entry's calls of the store is answered.
+  /// While set, the store answers none of the entry's calls.
   void SetCut(std::size_t entry, bool cut);
   bool IsRunning(std::size_t entry) const;
 
@@ -66,7 +66,7 @@
     std::unique_ptr<Process> process;
     bool frozen = false;
     bool cut = false;
-    TimePoint ends_at = TimePoint::max();  ///< Of a process that is stopping.
+    TimePoint ends_at = TimePoint::max();  ///< Set while stopping.
   };
 
   void Step();
@@ -78,7 +78,7 @@
   FakePlatform platform_{&io_};
   TimePoint now_{std::chrono::seconds(1000)};
   TimePoint next_tick_{};
-  double due_ = 0;  ///< Requests, with a fraction of the next one.
+  double due_ = 0;  ///< Requests due, including a fraction.
   std::vector<Slot> slots_;
   bool failing_ = false;
   int wanted_ = 0;
--- a/tests/support/retry_rule.h
+++ b/tests/support/retry_rule.h
@@ -6,11 +6,11 @@
 #include <ostream>
 #include <vector>
 
-// The rule on repeats, as the targets' operator states it: in any span of
-// `window` a service gets at most `ratio` times its requests, and `slack`,
-// arrivals beyond the first of each request, from all entries together. The
-// requests are those that callers sent in that span, in the one before it or in
-// the one that begins half a window before it, whichever has most.
+// Operator's requirement on retries: in any span of `window`, a service gets
+// from all entries together at most `ratio` times its requests plus `slack`
+// arrivals beyond the first of each request. The requests are those that
+// callers sent in that span, in the one before it, or in the one that begins
+// half a window before it, whichever has the most.
 namespace indigolead::testing {
 
 struct RetryRule {
@@ -19,7 +19,7 @@
   std::chrono::milliseconds window{10'000};
 };
 
-/// The span in which most further arrivals came, by what the rule allows.
+/// Span with the most retry arrivals relative to the allowance.
 struct RetryWindow {
   int further = 0;
   int requests = 0;
@@ -40,8 +40,8 @@
                           std::lower_bound(times.begin(), times.end(), from));
 }
 
-/// Returns the span that uses most of what it is allowed. Both lists are
-/// sorted. Each span that begins or ends with a further arrival is looked at.
+/// Returns the span that uses the most of its allowance. Both lists must be
+/// sorted. Considers each span that begins or ends with a retry arrival.
 template <typename Time>
 RetryWindow WorstRetryWindow(const RetryRule& rule,
                              const std::vector<Time>& requests,
--- a/tests/support/scratch_folder.h
+++ b/tests/support/scratch_folder.h
@@ -7,7 +7,7 @@
 
 namespace indigolead::testing {
 
-/// A new folder that goes with the test.
+/// Temporary directory that is removed with this object.
 class ScratchFolder {
  public:
   ScratchFolder() {
--- a/tests/support/scripted_server.h
+++ b/tests/support/scripted_server.h
@@ -14,7 +14,7 @@
 struct ScriptStep {
   enum class Kind {
     kSend,   ///< Sends `data`.
-    kClose,  ///< Closes the connection in order.
+    kClose,  ///< Closes the connection normally.
     kReset,  ///< Closes it with a reset, as a killed process may.
     kPause,  ///< Waits 300 ms.
     kSleep,  ///< Stays silent until the server stops.
@@ -23,9 +23,9 @@
   std::string data;
 };
 
-/// HTTP target that answers the n-th request, over all connections, by the
-/// n-th script, and the ones after the last script by the last. It shows
-/// faults between two exact bytes, which a whole stand-in cannot.
+/// HTTP target that answers the n-th request, counted over all connections,
+/// with the n-th script, and further requests with the last script. It can
+/// inject a fault between two given bytes, which the stand-ins cannot.
 class ScriptedServer {
  public:
   explicit ScriptedServer(std::vector<std::vector<ScriptStep>> scripts);
--- a/tests/support/store_world.h
+++ b/tests/support/store_world.h
@@ -14,8 +14,8 @@
 
 namespace indigolead::testing {
 
-/// An `ObjectStore` and the platform behind it, in memory or over HTTP, so
-/// that one suite of cases runs against both.
+/// An `ObjectStore` and its platform, in memory or over HTTP, so that the same
+/// tests run against each kind.
 class StoreWorld {
  public:
   /// Time after which a silent watch ends, short because tests wait for it.
@@ -34,11 +34,11 @@
 
   boost::asio::io_context& io() { return io_; }
 
-  /// Runs the store's thread until `condition` holds. Returns false if it does
-  /// not within a generous bound.
+  /// Runs the store's thread until `condition` holds. Returns false if
+  /// a generous timeout expires first.
   bool RunUntil(const std::function<bool()>& condition);
 
-  /// Waits for the answer of one call. `call` gets the callback to pass on.
+  /// Makes one call with a callback passed to `call`, and waits for its answer.
   template <typename T>
   Result<T> Ask(const std::function<void(ObjectStore::Callback<T>)>& call) {
     std::optional<Result<T>> answer;
@@ -54,8 +54,8 @@
   boost::asio::io_context io_{1};
 };
 
-/// Returns a world of the kind "fake", "http", or "platform": the users'
-/// platform, whose store speaks another protocol.
+/// Returns a store of kind "fake", "http", or "platform". The last is the
+/// users' platform, whose store has a different protocol.
 std::unique_ptr<StoreWorld> MakeStoreWorld(const std::string& kind);
 
 }  // namespace indigolead::testing
