--- a/tests/core/admission/shared_rate_limits_test.cc
+++ b/tests/core/admission/shared_rate_limits_test.cc
@@ -94,8 +94,8 @@
   /// span.
   int MaxArrivals() const {
     return advertised_at_
-               ? testing::MostInSpan(counted_,
-                                     *advertised_at_ + testing::kLimitContact)
+               ? testing::MaxInSpan(
+                     counted_, *advertised_at_ + testing::kLimitGracePeriod)
                : 0;
   }
   /// From now on, the target is overloaded and its answers contain the limit.
@@ -109,7 +109,7 @@
     int most = 0;
     for (const Arrival& last : arrivals_) {
       if (!advertised_at_ ||
-          last.at < *advertised_at_ + testing::kLimitContact) {
+          last.at < *advertised_at_ + testing::kLimitGracePeriod) {
         continue;
       }
       const auto n = std::count_if(
@@ -117,7 +117,7 @@
             const auto learned = learned_.find(it.entry);
             return it.at <= last.at && last.at - it.at < testing::kLimitSpan &&
                    learned != learned_.end() &&
-                   last.at - learned->second >= testing::kLimitTold;
+                   last.at - learned->second >= testing::kLimitReaction;
           });
       most = std::max(most, static_cast<int>(n));
     }
@@ -209,7 +209,7 @@
       arrivals_.push_back({now_, entry->name});
       entry->answers.push_back(now_ + answer_time_);
       if (entry->learned_at &&
-          now_ - *entry->learned_at >= testing::kLimitTold) {
+          now_ - *entry->learned_at >= testing::kLimitReaction) {
         counted_.push_back(now_);
       }
     }
@@ -243,7 +243,7 @@
     fleet.Add(/*settled=*/true);
   }
   fleet.Run(seconds(40), /*per_second=*/50);
-  CHECK(fleet.MaxArrivals() <= testing::MostAllowed(limit));
+  CHECK(fleet.MaxArrivals() <= testing::MaxAllowedInSpan(limit));
   // The limit is used, not only kept.
   CHECK(fleet.Rate(seconds(20)) >= 0.5 * limit);
 }
@@ -266,7 +266,7 @@
   fleet.Run(seconds(10), load);
   fleet.BeginOverload();
   fleet.Run(seconds(20), load);
-  CHECK(fleet.MaxArrivalsFromStart() <= testing::MostAllowed(limit));
+  CHECK(fleet.MaxArrivalsFromStart() <= testing::MaxAllowedInSpan(limit));
 }
 
 /// Guards against an entry that continues at its share although it has just
@@ -331,7 +331,7 @@
     fleet.Run(seconds(60), 0);
     fleet.Run(seconds(3), 50);
   }
-  CHECK(fleet.MaxArrivals() <= testing::MostAllowed(limit));
+  CHECK(fleet.MaxArrivals() <= testing::MaxAllowedInSpan(limit));
 }
 
 /// Guards against exceeding a limit because the lists of entries differ, while
@@ -379,8 +379,8 @@
     }
     INFO("seed " << seed << ": " << entries << " entries at first, "
                  << fleet.size() << " at last, limit " << limit);
-    CHECK(fleet.MaxArrivals() <= testing::MostAllowed(limit));
-    failures += fleet.MaxArrivals() <= testing::MostAllowed(limit) ? 0 : 1;
+    CHECK(fleet.MaxArrivals() <= testing::MaxAllowedInSpan(limit));
+    failures += fleet.MaxArrivals() <= testing::MaxAllowedInSpan(limit) ? 0 : 1;
   }
 }
 
--- a/tests/core/control/authority_test.cc
+++ b/tests/core/control/authority_test.cc
@@ -14,13 +14,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-ControlWorld::Options FaultFreeOptions(bool engines_check) {
-  ControlWorld::Options options;
+ControlSimulation::Options FaultFreeOptions(bool engines_check) {
+  ControlSimulation::Options options;
   options.engines_check_fencing = engines_check;
   return options;
 }
 
-bool AllAt(const ControlWorld& world, int sides, const std::string& version) {
+bool AllAt(const ControlSimulation& world, int sides,
+           const std::string& version) {
   for (int i = 0; i < sides; ++i) {
     if (world.engine(i).state.version != version || world.engine(i).changing) {
       return false;
@@ -30,7 +31,7 @@
 }
 
 /// Injects one fault, chosen by `choice`.
-void InjectFault(ControlWorld* world, std::uint64_t choice) {
+void InjectFault(ControlSimulation* world, std::uint64_t choice) {
   const int which = static_cast<int>(choice / 16 % 4);
   switch (choice % 8) {
     case 0:
@@ -43,11 +44,11 @@
       world->CrashEngine(which);
       break;
     case 3:
-      world->CutEntry(which % 2, true);
+      world->DisconnectEntry(which % 2, true);
       break;
     case 4:
-      world->CutEntry(0, false);
-      world->CutEntry(1, false);
+      world->DisconnectEntry(0, false);
+      world->DisconnectEntry(1, false);
       break;
     case 5:
       world->SetStoreDown(true);
@@ -71,11 +72,11 @@
   rc::detail::TestMetadata metadata;
   metadata.id = "authority";
   const auto property = [] {
-    ControlWorld::Options options;
+    ControlSimulation::Options options;
     options.seed = *rc::gen::arbitrary<std::uint64_t>();
     options.engines_check_fencing = *rc::gen::arbitrary<bool>();
     options.faults = {0.1, 0.1, 0.1, 0.2, 0.2};
-    ControlWorld world(options);
+    ControlSimulation world(options);
     std::uint64_t revision = 1;
     const auto fault_choices = *rc::gen::container<std::vector<std::uint64_t>>(
         12, rc::gen::arbitrary<std::uint64_t>());
@@ -88,8 +89,8 @@
       InjectFault(&world, choice);
     }
     world.SetStoreDown(false);
-    world.CutEntry(0, false);
-    world.CutEntry(1, false);
+    world.DisconnectEntry(0, false);
+    world.DisconnectEntry(1, false);
     world.SetFaults({});
     world.Run(seconds(120));
     for (const std::string& violation : world.violations()) {
@@ -113,7 +114,7 @@
 TEST_CASE("A holder paused between decision and send has no effect") {
   const bool engines_check = GENERATE(true, false);
   CAPTURE(engines_check);
-  ControlWorld world(FaultFreeOptions(engines_check));
+  ControlSimulation world(FaultFreeOptions(engines_check));
   world.Run(seconds(20));
   REQUIRE(world.Holders().size() == 1);
   const int holder = world.Holders()[0];
@@ -159,11 +160,11 @@
 TEST_CASE("An entry with an outdated order does not send it to a new side") {
   const bool engines_check = GENERATE(true, false);
   CAPTURE(engines_check);
-  ControlWorld world(FaultFreeOptions(engines_check));
+  ControlSimulation world(FaultFreeOptions(engines_check));
   world.Run(seconds(20));
   REQUIRE(world.Holders().size() == 1);
   const int other = 1 - world.Holders()[0];
-  world.CutFromStore(other, true);
+  world.DisconnectFromStore(other, true);
   world.Accept(2, "2");
   world.Run(seconds(30));
   REQUIRE(AllAt(world, 4, "2"));
@@ -178,12 +179,12 @@
 
 struct Fault {
   std::string name;
-  std::function<void(ControlWorld*, int holder)> strike;
+  std::function<void(ControlSimulation*, int holder)> strike;
 };
 
 struct Moment {
   std::string name;
-  std::function<void(ControlWorld*)> reach;
+  std::function<void(ControlSimulation*)> reach;
 };
 
 // The controller is killed, paused or disconnected before the order is written,
@@ -193,18 +194,18 @@
 TEST_CASE("A controller fails around an order") {
   const std::vector<Fault> faults = {
       {"killed",
-       [](ControlWorld* world, int holder) {
+       [](ControlSimulation* world, int holder) {
          world->PauseEntry(holder, std::chrono::hours(1));
        }},
-      {"paused", [](ControlWorld* world,
+      {"paused", [](ControlSimulation* world,
                     int holder) { world->PauseEntry(holder, seconds(15)); }},
-      {"partitioned",
-       [](ControlWorld* world, int holder) { world->CutEntry(holder, true); }},
+      {"partitioned", [](ControlSimulation* world,
+                         int holder) { world->DisconnectEntry(holder, true); }},
   };
   const std::vector<Moment> moments = {
-      {"before the order is written", [](ControlWorld*) {}},
+      {"before the order is written", [](ControlSimulation*) {}},
       {"after it is written",
-       [](ControlWorld* world) {
+       [](ControlSimulation* world) {
          for (int i = 0; i < 400; ++i) {
            world->Run(milliseconds(50));
            for (int side = 0; side < 4; ++side) {
@@ -216,7 +217,7 @@
          FAIL("no order was written in 20 s");
        }},
       {"while the engine changes",
-       [](ControlWorld* world) {
+       [](ControlSimulation* world) {
          for (int i = 0; i < 400; ++i) {
            world->Run(milliseconds(50));
            for (int side = 0; side < 4; ++side) {
@@ -232,7 +233,7 @@
     for (const Fault& fault : faults) {
       for (const Moment& moment : moments) {
         CAPTURE(fault.name, moment.name, check);
-        ControlWorld world(FaultFreeOptions(check));
+        ControlSimulation world(FaultFreeOptions(check));
         world.Run(seconds(20));
         REQUIRE(world.Holders().size() == 1);
         const int holder = world.Holders()[0];
@@ -250,7 +251,7 @@
 
 struct StoreFault {
   std::string name;
-  std::function<void(ControlWorld*, bool on)> turn;
+  std::function<void(ControlSimulation*, bool on)> turn;
 };
 
 ControlFaults Only(double ControlFaults::*fault, bool on) {
@@ -265,26 +266,27 @@
 // one entry must hold the lease and every engine must have the revision.
 TEST_CASE("The store fails around lease, orders and start") {
   const std::vector<StoreFault> faults = {
-      {"down", [](ControlWorld* world, bool on) { world->SetStoreDown(on); }},
+      {"down",
+       [](ControlSimulation* world, bool on) { world->SetStoreDown(on); }},
       {"slow",
-       [](ControlWorld* world, bool on) {
+       [](ControlSimulation* world, bool on) {
          world->SetFaults(Only(&ControlFaults::slow_effect, on));
        }},
       {"write answer lost",
-       [](ControlWorld* world, bool on) {
+       [](ControlSimulation* world, bool on) {
          world->SetFaults(Only(&ControlFaults::lose_answer, on));
        }},
       {"stale read",
-       [](ControlWorld* world, bool on) {
+       [](ControlSimulation* world, bool on) {
          world->SetFaults(Only(&ControlFaults::stale_read, on));
        }},
       {"watch silent",
-       [](ControlWorld* world, bool on) { world->SilenceWatches(on); }},
+       [](ControlSimulation* world, bool on) { world->SetWatchesSilent(on); }},
   };
   for (const StoreFault& fault : faults) {
     for (const std::string when : {"lease renewal", "order", "start"}) {
       CAPTURE(fault.name, when);
-      ControlWorld world(FaultFreeOptions(true));
+      ControlSimulation world(FaultFreeOptions(true));
       if (when != "start") {
         world.Run(seconds(20));
         REQUIRE(world.Holders().size() == 1);
@@ -307,7 +309,7 @@
 // While the store is unavailable for long, no order may be written and no
 // engine may change. When it returns, exactly one controller must act.
 TEST_CASE("The store is down for long") {
-  ControlWorld world(FaultFreeOptions(true));
+  ControlSimulation world(FaultFreeOptions(true));
   world.Run(seconds(20));
   const auto effects = world.effects().size();
   world.SetStoreDown(true);
--- a/tests/core/request/crash_ledger_test.cc
+++ b/tests/core/request/crash_ledger_test.cc
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::minutes;
 using std::chrono::seconds;
-using testing::SentOnAfterCrashes;
+using testing::CountForwardedAfterCrashes;
 
 constexpr Fingerprint kCrashingRequest = 7;
 constexpr TimePoint kStart{seconds(1000)};
@@ -158,7 +158,7 @@
   }
 
   int sent_on() const {
-    return SentOnAfterCrashes(crashes_, undisturbed_sends_);
+    return CountForwardedAfterCrashes(crashes_, undisturbed_sends_);
   }
   std::size_t crashes() const { return crashes_.size(); }
   /// Returns how often a request was blocked that had not been running in three
@@ -241,13 +241,13 @@
     const auto entry = static_cast<std::size_t>(RandomBelow(ledgers_.size()));
     if (RandomBelow(2) == 0) {
       frozen_[entry] = now_ + milliseconds(RandomBelow(3000));
-      disturbed_until_[entry] = frozen_[entry] + testing::kCrashKnown;
+      disturbed_until_[entry] = frozen_[entry] + testing::kCrashReaction;
       return;
     }
     ledgers_[entry] = CrashLedger(CrashLedger::Options{});
     ledgers_[entry].RestoreOwnReport(stored_[entry], now_);
     TakeReports(entry);
-    disturbed_until_[entry] = now_ + testing::kCrashKnown;
+    disturbed_until_[entry] = now_ + testing::kCrashReaction;
   }
 
   TimePoint frozen_until(std::size_t entry) {
@@ -329,7 +329,7 @@
     simulation.Run();
     INFO("seed " << seed);
     CHECK(simulation.crashes() >= testing::kCrashesToStop);
-    CHECK(simulation.sent_on() <= testing::kSentOnAllowed);
+    CHECK(simulation.sent_on() <= testing::kMaxForwardedAfterCrashes);
     CHECK(simulation.wrongly_stopped() == 0);
   }
 }
--- a/tests/core/request/request_flow_faults_test.cc
+++ b/tests/core/request/request_flow_faults_test.cc
@@ -112,7 +112,7 @@
       driver_.End(again, 3, kWhole);
     }
     driver_.Pass(seconds(70));
-    const SeenAnswer& seen = driver_.seen(id_);
+    const ReceivedAnswer& seen = driver_.seen(id_);
     INFO("kind of request: " << Name(kind_));
     INFO("seen: complete " << seen.whole << ", body \"" << seen.body << "\", "
                            << (seen.refusal ? seen.refusal->code
--- a/tests/core/request/request_flow_random_test.cc
+++ b/tests/core/request/request_flow_random_test.cc
@@ -204,7 +204,7 @@
 
   void Check() {
     for (const auto& [id, repeatability] : requests_) {
-      const SeenAnswer& seen = driver_.seen(id);
+      const ReceivedAnswer& seen = driver_.seen(id);
       if (disconnected_.count(id) == 0) {
         RC_ASSERT(seen.finals == 1);
       }
--- a/tests/platform/crashing_request_process_test.cc
+++ b/tests/platform/crashing_request_process_test.cc
@@ -133,8 +133,8 @@
   const std::vector<Time> crashes = CrashesOf(&scene);
   CHECK(crashes.size() >= kCrashesToStop);
   CHECK(bad.sent_count() > 20);
-  CHECK(SentOnAfterCrashes(crashes, ArrivalsOf(&scene, crashing)) <=
-        kSentOnAllowed);
+  CHECK(CountForwardedAfterCrashes(crashes, ArrivalsOf(&scene, crashing)) <=
+        kMaxForwardedAfterCrashes);
   const HttpAnswer refused = scene.Send(method, crashing, "last");
   CHECK(refused.status == 503);
   CHECK_FALSE(refused.Header("Retry-After").empty());
--- a/tests/platform/soak_process_test.cc
+++ b/tests/platform/soak_process_test.cc
@@ -172,10 +172,11 @@
       EndLimit(&it);
       it.SetRequestedPause(std::nullopt);
       it.SetBodyEnd({});
-      CHECK(MostDuringRest(it.requested_pauses(), it.arrivals(),
-                           entry_disruptions_) <= kRestAllowed);
-      CHECK(AfterLeaving(it.leaving_announced_at(), it.arrivals(),
-                         entry_disruptions_) == 0);
+      CHECK(MaxArrivalsDuringBackoff(it.requested_pauses(), it.arrivals(),
+                                     entry_disruptions_) <=
+            kMaxRequestsDuringBackoff);
+      CHECK(CountArrivalsAfterLeaving(it.leaving_announced_at(), it.arrivals(),
+                                      entry_disruptions_) == 0);
     }
     scene_->SetBehaviour(Behaviour::kHealthy);
     scene_->store.SetFaults({});
@@ -230,8 +231,8 @@
     // A target that garbles or resets all its answers announces its limit to no
     // entry.
     if (const auto announced_at = worker->limit_announced_at()) {
-      CHECK(MostInSpan(worker->arrivals(), *announced_at + kLimitContact) <=
-            MostAllowed(kSoakLimit));
+      CHECK(MaxInSpan(worker->arrivals(), *announced_at + kLimitGracePeriod) <=
+            MaxAllowedInSpan(kSoakLimit));
     }
     worker->SetAnnouncedLimit(std::nullopt);
   }
--- a/tests/platform/support/model_worker.h
+++ b/tests/platform/support/model_worker.h
@@ -102,7 +102,8 @@
   /// has yet, for instance because the worker resets or garbles all its
   /// answers.
   std::optional<std::chrono::steady_clock::time_point> limit_announced_at();
-  using RequestedPause = AskedRest<std::chrono::steady_clock::time_point>;
+  using RequestedPause =
+      RequestedBackoff<std::chrono::steady_clock::time_point>;
   /// Makes the worker refuse all callers' requests from now on with a
   /// Retry-After of `seconds`, or serve them again.
   void SetRequestedPause(std::optional<double> seconds);
--- a/tests/platform/target_limit_process_test.cc
+++ b/tests/platform/target_limit_process_test.cc
@@ -92,10 +92,10 @@
     const Time announced_at = std::chrono::steady_clock::now();
     std::this_thread::sleep_for(seconds(12));
     callers.Stop();
-    CHECK(MostInSpan(target.arrivals(), announced_at + kLimitContact) <=
-          MostAllowed(kLimit));
+    CHECK(MaxInSpan(target.arrivals(), announced_at + kLimitGracePeriod) <=
+          MaxAllowedInSpan(kLimit));
     // The limit is used, and callers are not affected.
-    CHECK(MostInSpan(target.arrivals(), announced_at + kLimitContact) >= 4);
+    CHECK(MaxInSpan(target.arrivals(), announced_at + kLimitGracePeriod) >= 4);
     CHECK(callers.refused() == 0);
   }
   SECTION("a plain target, counting requests before the announcement") {
@@ -106,8 +106,9 @@
     const Time announced_at = std::chrono::steady_clock::now();
     std::this_thread::sleep_for(seconds(8));
     callers.Stop();
-    CHECK(MostInSpanEnding(target.arrivals(), announced_at + kLimitContact) <=
-          MostAllowed(kLimit));
+    CHECK(
+        MaxInSpanEnding(target.arrivals(), announced_at + kLimitGracePeriod) <=
+        MaxAllowedInSpan(kLimit));
     CHECK(callers.refused() == 0);
   }
   SECTION("engines, counting prefill calls") {
@@ -123,8 +124,8 @@
     std::this_thread::sleep_for(seconds(12));
     callers.Stop();
     for (ModelWorker& it : scene.workers) {
-      CHECK(MostInSpan(it.arrivals(), announced_at + kLimitContact) <=
-            MostAllowed(kLimit));
+      CHECK(MaxInSpan(it.arrivals(), announced_at + kLimitGracePeriod) <=
+            MaxAllowedInSpan(kLimit));
     }
     CHECK(callers.served() > 0);
   }
@@ -147,8 +148,8 @@
     std::this_thread::sleep_for(seconds(12));
     more.Stop();
     callers.Stop();
-    CHECK(MostInSpan(target.arrivals(), announced_at + kLimitContact) <=
-          MostAllowed(kLimit));
+    CHECK(MaxInSpan(target.arrivals(), announced_at + kLimitGracePeriod) <=
+          MaxAllowedInSpan(kLimit));
   }
 }
 
@@ -233,7 +234,7 @@
   const std::size_t before = target.arrivals().size();
   std::this_thread::sleep_for(seconds(4));
   callers.Stop();
-  CHECK(target.arrivals().size() - before > MostAllowed(kLimit));
+  CHECK(target.arrivals().size() - before > MaxAllowedInSpan(kLimit));
 }
 
 }  // namespace
--- a/tests/platform/target_rest_process_test.cc
+++ b/tests/platform/target_rest_process_test.cc
@@ -69,7 +69,8 @@
 int MostDuringAnyPause(PlatformScene* scene) {
   int most = 0;
   for (ModelWorker& it : scene->workers) {
-    most = std::max(most, MostDuringRest(it.requested_pauses(), it.arrivals()));
+    most = std::max(
+        most, MaxArrivalsDuringBackoff(it.requested_pauses(), it.arrivals()));
   }
   return most;
 }
@@ -90,7 +91,7 @@
     std::this_thread::sleep_for(seconds(8));
     callers.Stop();
     CHECK_FALSE(scene.worker("a0").requested_pauses().empty());
-    CHECK(MostDuringAnyPause(&scene) <= kRestAllowed);
+    CHECK(MostDuringAnyPause(&scene) <= kMaxRequestsDuringBackoff);
     CHECK(callers.served() > 0);
   }
   SECTION("all prefill engines or all decode engines") {
@@ -104,7 +105,7 @@
     }
     std::this_thread::sleep_for(seconds(8));
     callers.Stop();
-    CHECK(MostDuringAnyPause(&scene) <= kRestAllowed);
+    CHECK(MostDuringAnyPause(&scene) <= kMaxRequestsDuringBackoff);
     for (ModelWorker& it : scene.workers) {
       it.SetRequestedPause(std::nullopt);
     }
@@ -118,7 +119,7 @@
     }
     std::this_thread::sleep_for(seconds(8));
     callers.Stop();
-    CHECK(MostDuringAnyPause(&scene) <= kRestAllowed);
+    CHECK(MostDuringAnyPause(&scene) <= kMaxRequestsDuringBackoff);
     const auto sent_at = std::chrono::steady_clock::now();
     const HttpAnswer answer = scene.Send("GET", "/desk/1", "last");
     CHECK(answer.status == 503);
@@ -145,7 +146,8 @@
   std::this_thread::sleep_for(seconds(5));
   callers.Stop();
   REQUIRE_FALSE(target.leaving_announced_at().empty());
-  CHECK(AfterLeaving(target.leaving_announced_at(), target.arrivals()) == 0);
+  CHECK(CountArrivalsAfterLeaving(target.leaving_announced_at(),
+                                  target.arrivals()) == 0);
   CHECK(callers.served() > 0);
   CHECK(callers.not_served() == 0);
 }
--- a/tests/process/operators_test.cc
+++ b/tests/process/operators_test.cc
@@ -19,7 +19,7 @@
 using testing::HttpCall;
 using testing::Process;
 
-constexpr auto kPatience = std::chrono::seconds(60);
+constexpr auto kTestTimeout = std::chrono::seconds(60);
 
 std::string Declaration(const std::string& version) {
   return "[template t]\nkind = model\n[template t model m]\nversion = " +
@@ -54,7 +54,7 @@
   /// Runs one command and returns its exit code; `output` has what it said.
   int Run(const std::vector<std::string>& arguments) {
     Process process = Start(arguments);
-    const auto code = process.WaitForExit(kPatience);
+    const auto code = process.WaitForExit(kTestTimeout);
     output = process.output();
     return code.value_or(-1);
   }
@@ -102,8 +102,8 @@
     WriteEdit(b, "b" + std::to_string(round), revision);
     Process first = operators.Start({"apply", a, "--author=ana"});
     Process second = operators.Start({"apply", b, "--author=ben"});
-    const int first_code = first.WaitForExit(kPatience).value_or(-1);
-    const int second_code = second.WaitForExit(kPatience).value_or(-1);
+    const int first_code = first.WaitForExit(kTestTimeout).value_or(-1);
+    const int second_code = second.WaitForExit(kTestTimeout).value_or(-1);
     INFO(first.output() << second.output());
     REQUIRE(std::minmax(first_code, second_code) == std::minmax(0, 3));
     const bool first_lost = first_code == 3;
--- a/tests/process/path_faults_test.cc
+++ b/tests/process/path_faults_test.cc
@@ -16,7 +16,7 @@
 using testing::WaitUntil;
 
 constexpr int kTokens = 120;
-constexpr auto kPatience = std::chrono::seconds(60);
+constexpr auto kTestTimeout = std::chrono::seconds(60);
 
 // Engines that take about two seconds for an answer of `kTokens`, so that a
 // fault can be injected while it runs.
@@ -45,7 +45,7 @@
         }
         return busy < engines;
       },
-      kPatience);
+      kTestTimeout);
   REQUIRE(found);
   return busy;
 }
@@ -81,16 +81,16 @@
   Fleet fleet(SlowEngines());
   auto answer = CompleteLater(&fleet, 1, "winter offers", true);
   const std::size_t busy = BusyEngine(&fleet, 3);
-  REQUIRE(WaitUntil([&] { return fleet.RunningAt(busy) > 0; }, kPatience));
+  REQUIRE(WaitUntil([&] { return fleet.RunningAt(busy) > 0; }, kTestTimeout));
   fleet.engine(busy).Kill();
   const HttpAnswer got = answer.get();
   const bool whole = TokensInOrder(got.body) == kTokens &&
                      got.body.find("[DONE]") != std::string::npos;
-  const bool told =
+  const bool reported =
       got.status != 200 || got.body.find("\"error\"") != std::string::npos;
   INFO("status " << got.status << ", body: " << got.body);
-  CHECK((whole || told));
-  CHECK_FALSE((told && got.status == 200 &&
+  CHECK((whole || reported));
+  CHECK_FALSE((reported && got.status == 200 &&
                got.body.find("[DONE]") != std::string::npos));
 }
 
@@ -124,7 +124,7 @@
     const HttpAnswer got = answer.get();
     CHECK(TokensInOrder(got.body) == kTokens);
     CHECK_THAT(got.body, Contains("[DONE]"));
-    CHECK(fleet.entry(0).WaitForExit(kPatience) == 0);
+    CHECK(fleet.entry(0).WaitForExit(kTestTimeout) == 0);
     const HttpAnswer next = fleet.Complete(1, "next caller");
     INFO("body: " << next.body << "\nentry 1: " << fleet.entry(1).output());
     CHECK(next.status == 200);
@@ -143,7 +143,7 @@
     const HttpAnswer got = answer.get();
     CHECK(TokensInOrder(got.body) == kTokens);
     CHECK_THAT(got.body, Contains("[DONE]"));
-    CHECK(fleet.side(busy).WaitForExit(kPatience) == 0);
+    CHECK(fleet.side(busy).WaitForExit(kTestTimeout) == 0);
   }
 }
 
@@ -161,7 +161,7 @@
     testing::Process drain("indigolead",
                            {"drain", "--store=" + fleet.store_address(),
                             "--author=test", "--note=test", "engine-0"});
-    const auto code = drain.WaitForExit(kPatience);
+    const auto code = drain.WaitForExit(kTestTimeout);
     INFO(drain.output());
     REQUIRE(code == 0);
   }
@@ -196,7 +196,7 @@
           fleet.Complete(0, "after the restart");
           return fleet.RunsAt(0) > before;
         },
-        kPatience));
+        kTestTimeout));
   }
   SECTION("an entry that is replaced learns the configuration from peers") {
     fleet.entry(1).Kill();
--- a/tests/process/run_once_test.cc
+++ b/tests/process/run_once_test.cc
@@ -12,7 +12,7 @@
 using testing::HttpAnswer;
 using testing::WaitUntil;
 
-constexpr auto kPatience = std::chrono::seconds(60);
+constexpr auto kTestTimeout = std::chrono::seconds(60);
 constexpr int kTokens = 90;
 
 FleetOptions SlowEngines() {
@@ -78,7 +78,7 @@
       return fleet.Complete(0, "publish list", "entry-dies", false, kTokens);
     });
     REQUIRE(WaitUntil([&] { return fleet.RunsWithKey("entry-dies") == 1; },
-                      kPatience));
+                      kTestTimeout));
     fleet.entry(0).Kill();
     first.get();
     const HttpAnswer retry =
@@ -111,7 +111,7 @@
   FleetOptions options = SlowEngines();
   options.engines = 4;
   Fleet fleet(options);
-  auto innocent = std::async(std::launch::async, [&] {
+  auto unrelated_call = std::async(std::launch::async, [&] {
     return fleet.Complete(0, "innocent", "", false, kTokens);
   });
   HttpAnswer last;
@@ -125,7 +125,7 @@
   INFO("last answer " << last.status << " " << last.body);
   CHECK(dead <= 2);
   CHECK(last.status >= 400);
-  CHECK(innocent.get().status == 200);
+  CHECK(unrelated_call.get().status == 200);
 }
 
 }  // namespace
--- a/tests/shell/crash_service_test.cc
+++ b/tests/shell/crash_service_test.cc
@@ -13,8 +13,8 @@
 namespace {
 
 using std::chrono::milliseconds;
-using testing::MakeStoreWorld;
-using testing::StoreWorld;
+using testing::MakeStoreFixture;
+using testing::StoreFixture;
 
 constexpr Fingerprint kBad = 7;
 
@@ -23,7 +23,7 @@
 /// Crash service of one entry, on a store shared with other entries.
 class Entry {
  public:
-  Entry(StoreWorld* world, const std::string& name)
+  Entry(StoreFixture* world, const std::string& name)
       : service_(
             &world->store(), &world->store(), MakeOptions(name),
             [] { return 0.5; }, BootTimeNow, MakeRunAfter(&world->io()),
@@ -57,7 +57,7 @@
 /// Guards against entries that count crashes only locally, and against counts
 /// that are lost when a process restarts.
 TEST_CASE("Entries block a request by the crashes that all of them reported") {
-  auto world = MakeStoreWorld(GENERATE("fake", "platform"));
+  auto world = MakeStoreFixture(GENERATE("fake", "platform"));
   Entry a(world.get(), "front-1");
   Entry b(world.get(), "front-2");
   REQUIRE(world->RunUntil([&] { return a->listed() && b->listed(); }));
--- a/tests/shell/direct_rest_test.cc
+++ b/tests/shell/direct_rest_test.cc
@@ -3,7 +3,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "tests/support/direct_world.h"
+#include "tests/support/direct_simulation.h"
 
 namespace indigolead::testing {
 namespace {
@@ -12,12 +12,12 @@
 
 /// Runs the simulations and checks that none violates a guarantee. Returns the
 /// summed counts.
-DirectWorldReport RunSimulations(const DirectWorldOptions& options) {
-  DirectWorldReport total;
+DirectSimulationReport RunSimulations(const DirectSimulationOptions& options) {
+  DirectSimulationReport total;
   int failed_runs = 0;
   for (std::uint64_t seed = 1; seed <= kSimulations && failed_runs < 10;
        ++seed) {
-    const DirectWorldReport report = PlayDirectWorld(seed, options);
+    const DirectSimulationReport report = RunDirectSimulation(seed, options);
     INFO("world " << seed);
     for (const std::string& it : report.violations) {
       UNSCOPED_INFO(it);
@@ -26,7 +26,7 @@
     failed_runs += report.violations.empty() ? 0 : 1;
     total.requests += report.requests;
     total.answered += report.answered;
-    total.rests += report.rests;
+    total.backoffs += report.backoffs;
     total.leaving += report.leaving;
   }
   return total;
@@ -35,8 +35,8 @@
 /// Guards against calls of any kind to a target that has asked the entry for
 /// rest, whether they were decided before or after it asked.
 TEST_CASE("A target at rest gets no calls in random simulations") {
-  const DirectWorldReport total = RunSimulations({.rests = true});
-  CHECK(total.rests > 300);
+  const DirectSimulationReport total = RunSimulations({.backoffs = true});
+  CHECK(total.backoffs > 300);
   CHECK(total.answered > total.requests / 4);
 }
 
@@ -44,7 +44,7 @@
 /// is leaving, whatever the list of targets says.
 TEST_CASE(
     "A target that announces leaving gets no requests in random simulations") {
-  const DirectWorldReport total = RunSimulations({.leaving = true});
+  const DirectSimulationReport total = RunSimulations({.leaving = true});
   CHECK(total.leaving > 300);
   CHECK(total.answered > total.requests / 4);
 }
--- a/tests/shell/direct_world_test.cc
+++ b/tests/shell/direct_world_test.cc
@@ -1,9 +1,9 @@
-#include "tests/support/direct_world.h"
-
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <string>
 
+#include "tests/support/direct_simulation.h"
+
 namespace indigolead::testing {
 namespace {
 
@@ -31,11 +31,11 @@
 TEST_CASE("The direct path keeps its guarantees in random simulations") {
   const std::uint64_t first = NumberFrom("INDIGOLEAD_FIRST_WORLD", 1);
   const std::uint64_t count = NumberFrom("INDIGOLEAD_WORLDS", 150);
-  DirectWorldReport total;
+  DirectSimulationReport total;
   int failed_runs = 0;
   for (std::uint64_t seed = first; seed < first + count && failed_runs < 10;
        ++seed) {
-    const DirectWorldReport report = PlayDirectWorld(seed);
+    const DirectSimulationReport report = RunDirectSimulation(seed);
     INFO("world " << seed);
     for (const std::string& it : report.violations) {
       UNSCOPED_INFO(it);
@@ -68,7 +68,7 @@
   for (const std::uint64_t seed :
        {1049, 1255, 1363, 2458, 2583, 2808, 3214, 3537, 3636, 3644}) {
     INFO("world " << seed);
-    const DirectWorldReport report = PlayDirectWorld(seed);
+    const DirectSimulationReport report = RunDirectSimulation(seed);
     for (const std::string& it : report.violations) {
       UNSCOPED_INFO(it);
     }
--- a/tests/shell/idempotent_write_test.cc
+++ b/tests/shell/idempotent_write_test.cc
@@ -10,8 +10,8 @@
 
 using standins::PlatformFaults;
 using std::chrono::milliseconds;
-using testing::MakeStoreWorld;
-using testing::StoreWorld;
+using testing::MakeStoreFixture;
+using testing::StoreFixture;
 
 IdempotentPut Write(const std::string& nonce, ExpectedVersion expected) {
   IdempotentPut put;
@@ -26,7 +26,7 @@
   return put;
 }
 
-Result<std::uint64_t> Settle(StoreWorld* world, const IdempotentPut& put) {
+Result<std::uint64_t> Settle(StoreFixture* world, const IdempotentPut& put) {
   IdempotentWriter writer(&world->store(), BootTimeNow,
                           MakeRunAfter(&world->io()));
   return world->Ask<std::uint64_t>([&](auto done) { writer.Put(put, done); });
@@ -36,7 +36,7 @@
   // The store performs the write but its response is lost, by a closed
   // connection or by silence. The writer repeats the write, gets a conflict,
   // reads back and recognizes its own nonce, so it reports a single success.
-  const auto world = MakeStoreWorld(GENERATE("fake", "http"));
+  const auto world = MakeStoreFixture(GENERATE("fake", "http"));
   const bool by_silence = GENERATE(false, true);
   const auto first = world->Poke("control/lease", "nonce=old", 0);
   PlatformFaults faults;
@@ -53,7 +53,7 @@
 }
 
 TEST_CASE("IdempotentWriter does not mistake another write for its own") {
-  const auto world = MakeStoreWorld(GENERATE("fake", "http"));
+  const auto world = MakeStoreFixture(GENERATE("fake", "http"));
   const auto first = world->Poke("control/lease", "nonce=other", 0);
 
   SECTION("a conflict on the first attempt means no effect") {
@@ -101,7 +101,7 @@
   // The response is lost and reading back returns the state before the write.
   // The conflict of the repeat proves that the read is stale, so the writer
   // keeps trying until the store returns the current state.
-  const auto world = MakeStoreWorld(GENERATE("fake", "http"));
+  const auto world = MakeStoreFixture(GENERATE("fake", "http"));
   const auto first = world->Poke("control/lease", "nonce=old", 0);
   PlatformFaults faults;
   faults.lose_answers = 1;
--- a/tests/shell/list_watcher_test.cc
+++ b/tests/shell/list_watcher_test.cc
@@ -10,13 +10,13 @@
 
 using standins::PlatformFaults;
 using std::chrono::milliseconds;
-using testing::MakeStoreWorld;
-using testing::StoreWorld;
+using testing::MakeStoreFixture;
+using testing::StoreFixture;
 
 /// Watcher that records its state and checks that versions never decrease.
 class Follower {
  public:
-  explicit Follower(StoreWorld* world)
+  explicit Follower(StoreFixture* world)
       : watcher_(
             &world->store(), MakeOptions(),
             {[this](const ListWatcher::State& state, std::uint64_t version) {
@@ -54,7 +54,7 @@
 };
 
 TEST_CASE("ListWatcher follows a prefix") {
-  const auto world = MakeStoreWorld(GENERATE("fake", "http"));
+  const auto world = MakeStoreFixture(GENERATE("fake", "http"));
   const auto first = world->Poke("deployments/a", "one", 0);
   Follower follower(world.get());
   REQUIRE(world->RunUntil(
@@ -97,7 +97,7 @@
 TEST_CASE("ListWatcher ignores a stale listing") {
   // The watch breaks just after a change, and the next listing is stale and
   // lacks it. The watcher must keep the change and still receive later ones.
-  const auto world = MakeStoreWorld(GENERATE("fake", "http"));
+  const auto world = MakeStoreFixture(GENERATE("fake", "http"));
   const auto first = world->Poke("deployments/a", "one", 0);
   PlatformFaults faults;
   faults.stale_reads = true;
@@ -117,7 +117,7 @@
 }
 
 TEST_CASE("ListWatcher calls no hook after its destruction") {
-  const auto world = MakeStoreWorld(GENERATE("fake", "http"));
+  const auto world = MakeStoreFixture(GENERATE("fake", "http"));
   world->Poke("deployments/a", "one", 0);
   { const Follower follower(world.get()); }
   world->Poke("deployments/b", "x", 0);
--- a/tests/shell/object_store_contract_test.cc
+++ b/tests/shell/object_store_contract_test.cc
@@ -8,8 +8,8 @@
 namespace {
 
 using standins::PlatformFaults;
-using testing::MakeStoreWorld;
-using testing::StoreWorld;
+using testing::MakeStoreFixture;
+using testing::StoreFixture;
 
 constexpr std::chrono::milliseconds kShortDeadline{300};
 
@@ -18,7 +18,7 @@
   return {CallPriority::kOrder, std::chrono::seconds(20)};
 }
 
-Result<std::uint64_t> Put(StoreWorld* world, const std::string& value,
+Result<std::uint64_t> Put(StoreFixture* world, const std::string& value,
                           ExpectedVersion expected,
                           const CallOptions& options = LongCall()) {
   return world->Ask<std::uint64_t>([&](auto done) {
@@ -27,12 +27,12 @@
 }
 
 Result<std::optional<StoredObject>> Get(
-    StoreWorld* world, const CallOptions& options = LongCall()) {
+    StoreFixture* world, const CallOptions& options = LongCall()) {
   return world->Ask<std::optional<StoredObject>>(
       [&](auto done) { world->store().Get("a/b", options, done); });
 }
 
-Result<ObjectStore::Listing> List(StoreWorld* world,
+Result<ObjectStore::Listing> List(StoreFixture* world,
                                   const CallOptions& options = LongCall()) {
   return world->Ask<ObjectStore::Listing>(
       [&](auto done) { world->store().List("a/", options, done); });
@@ -45,7 +45,7 @@
 
 /// Watch that records its events and errors.
 struct RecordedWatch {
-  RecordedWatch(StoreWorld* world, std::uint64_t from)
+  RecordedWatch(StoreFixture* world, std::uint64_t from)
       : watch(world->store().StartWatch(
             "a/", from,
             [this](const std::vector<WatchEvent>& new_events) {
@@ -59,7 +59,7 @@
 };
 
 TEST_CASE("ObjectStore reads and writes versioned objects") {
-  const auto world = MakeStoreWorld(GENERATE("fake", "http", "platform"));
+  const auto world = MakeStoreFixture(GENERATE("fake", "http", "platform"));
 
   SECTION("reading an absent object is not an error") {
     CHECK(ValueOf(Get(world.get())) == std::nullopt);
@@ -137,7 +137,7 @@
 }
 
 TEST_CASE("ObjectStore's instance list distinguishes leaving from live") {
-  const auto world = MakeStoreWorld(GENERATE("fake", "http"));
+  const auto world = MakeStoreFixture(GENERATE("fake", "http"));
   world->PutInstance(
       {"t1", "target", "bilbao-a", "norte", "", InstanceState::kLeaving});
   const auto list = world->Ask<InstanceList>(
@@ -148,7 +148,7 @@
 }
 
 TEST_CASE("ObjectStore watches report each change once and in order") {
-  const auto world = MakeStoreWorld(GENERATE("fake", "http", "platform"));
+  const auto world = MakeStoreFixture(GENERATE("fake", "http", "platform"));
   const auto first = world->Poke("a/b", "one", 0);
   RecordedWatch watched(world.get(), first);
   const auto second = world->Poke("a/b", "two", first);
@@ -239,7 +239,7 @@
   // only if it had no effect. It reports "timeout" or "unknown-effect" if the
   // effect is open: a slow store performs the write after the caller has given
   // up, and a lost response proves nothing.
-  const auto world = MakeStoreWorld(GENERATE("fake", "http", "platform"));
+  const auto world = MakeStoreFixture(GENERATE("fake", "http", "platform"));
   const FaultCase fault = GENERATE(values<FaultCase>({
       {"down", true, {}, "unavailable", "unavailable", "unavailable", false},
       {"refusing", false, Refusing(), "unavailable", "unavailable",
@@ -277,7 +277,7 @@
 // A delete whose response is lost has an unknown effect, like any write.
 // Treated as a read, it would be reported as certainly not done.
 TEST_CASE("ObjectStore reports unknown effect for a delete without response") {
-  const auto world = MakeStoreWorld(GENERATE("fake", "http", "platform"));
+  const auto world = MakeStoreFixture(GENERATE("fake", "http", "platform"));
   const auto version = world->Poke("a/b", "one", 0);
   world->SetFaults(Losing(false));
   const auto remove = world->Ask<Unit>([&](auto done) {
@@ -290,7 +290,7 @@
 TEST_CASE("ObjectStore ends a watch that goes silent or loses its store") {
   // The connection of a watch is lost silently, or the store goes down. Unless
   // the watch ends, the caller would keep an outdated state forever.
-  const auto world = MakeStoreWorld(GENERATE("fake", "http", "platform"));
+  const auto world = MakeStoreFixture(GENERATE("fake", "http", "platform"));
   const auto version = world->Poke("a/b", "one", 0);
   RecordedWatch watched(world.get(), version);
   const auto second = world->Poke("a/b", "two", version);
--- a/tests/shell/retry_fleet_test.cc
+++ b/tests/shell/retry_fleet_test.cc
@@ -92,7 +92,7 @@
     options.entries = 1 + RandomBelow(6);
     options.requests_per_second = static_cast<double>(1 + RandomBelow(12));
     options.arrivals_of_attempt = static_cast<double>(1 + RandomBelow(2));
-    options.wishes = static_cast<int>(1 + RandomBelow(8));
+    options.retries_per_failure = static_cast<int>(1 + RandomBelow(8));
     enabled_faults_ = 1 + RandomBelow(255);
     return options;
   }
@@ -135,7 +135,7 @@
         break;
       }
       case 5:
-        fleet_.SetCut(entry, RandomBelow(2) == 0);
+        fleet_.SetDisconnected(entry, RandomBelow(2) == 0);
         break;
       case 6:
         fleet_.SetFrozen(entry, RandomBelow(2) == 0);
--- a/tests/support/callers_fixture.cc
+++ b/tests/support/callers_fixture.cc
@@ -9,7 +9,7 @@
 namespace indigolead {
 namespace {
 
-constexpr std::chrono::seconds kPatience{10};
+constexpr std::chrono::seconds kTestTimeout{10};
 
 std::string Hex(const KeyHash& hash) {
   constexpr const char* kDigits = "0123456789abcdef";
@@ -83,7 +83,7 @@
 
 std::shared_ptr<const CallerRequest> CallersFixture::Request(std::size_t n) {
   std::unique_lock<std::mutex> lock(mutex_);
-  if (!changed_.wait_for(lock, kPatience,
+  if (!changed_.wait_for(lock, kTestTimeout,
                          [&] { return requests_.size() > n; })) {
     throw std::runtime_error("the request did not reach the dispatch thread");
   }
@@ -99,16 +99,16 @@
   Run([&](CallersServer& server) { server.OnMessage(std::move(message)); });
 }
 
-bool CallersFixture::WaitGone(const RequestId& id) {
+bool CallersFixture::WaitForCallerGone(const RequestId& id) {
   std::unique_lock<std::mutex> lock(mutex_);
-  return changed_.wait_for(lock, kPatience, [&] {
+  return changed_.wait_for(lock, kTestTimeout, [&] {
     return std::find(gone_.begin(), gone_.end(), id) != gone_.end();
   });
 }
 
-std::uint64_t CallersFixture::WaitTook(std::uint64_t least) {
+std::uint64_t CallersFixture::WaitForTaken(std::uint64_t least) {
   std::unique_lock<std::mutex> lock(mutex_);
-  changed_.wait_for(lock, kPatience, [&] { return took_ >= least; });
+  changed_.wait_for(lock, kTestTimeout, [&] { return took_ >= least; });
   return took_;
 }
 
--- a/tests/support/callers_fixture.h
+++ b/tests/support/callers_fixture.h
@@ -39,9 +39,9 @@
   void Answer(ToCallers message);
 
   /// Waits until the caller of `id` is reported gone; false after 10 s.
-  bool WaitGone(const RequestId& id);
+  bool WaitForCallerGone(const RequestId& id);
   /// Returns the bytes taken so far, once they reach `least` or after 10 s.
-  std::uint64_t WaitTook(std::uint64_t least);
+  std::uint64_t WaitForTaken(std::uint64_t least);
   std::uint64_t took();
 
   /// Runs `task` on the server's thread.
--- a/tests/support/control_world.cc
+++ b/tests/support/control_world.cc
@@ -24,10 +24,10 @@
 }  // namespace
 
 /// The store as seen by one entry, with the configured faults.
-class ControlWorldStore : public ObjectStore {
+class SimulatedControlStore : public ObjectStore {
  public:
-  ControlWorldStore(ControlWorld* world, int entry)
-      : world_(world), entry_(entry) {}
+  SimulatedControlStore(ControlSimulation* simulation, int entry)
+      : simulation_(simulation), entry_(entry) {}
 
   void Get(const std::string& key, const CallOptions& options,
            Callback<std::optional<StoredObject>> done) override {
@@ -55,7 +55,7 @@
            ExpectedVersion expected, const CallOptions& options,
            Callback<std::uint64_t> done) override {
     Call<std::uint64_t>(options, std::move(done), [this, key, value, expected] {
-      return world_->Put(entry_, key, value, expected);
+      return simulation_->Put(entry_, key, value, expected);
     });
   }
   void Delete(const std::string&, ExpectedVersion, const CallOptions&,
@@ -69,13 +69,13 @@
 
  private:
   std::map<std::string, StoredObject> Objects() {
-    if (!world_->Chance(world_->options_.faults.stale_read)) {
-      return world_->objects_;
+    if (!simulation_->Chance(simulation_->options_.faults.stale_read)) {
+      return simulation_->objects_;
     }
     std::map<std::string, StoredObject> stale;
-    const auto& history = world_->history_;
+    const auto& history = simulation_->history_;
     const std::size_t end =
-        history.empty() ? 0 : world_->random_() % history.size();
+        history.empty() ? 0 : simulation_->random_() % history.size();
     for (std::size_t i = 0; i < end; ++i) {
       stale[history[i].key] = history[i];
     }
@@ -85,27 +85,28 @@
   template <typename T>
   void Call(const CallOptions& options, Callback<T> done,
             std::function<Result<T>()> effect) {
-    ++world_->store_calls_;
-    const ControlFaults& faults = world_->options_.faults;
-    const bool slow = world_->Chance(faults.slow_effect);
-    const Duration wait = world_->Between(
+    ++simulation_->store_calls_;
+    const ControlFaults& faults = simulation_->options_.faults;
+    const bool slow = simulation_->Chance(faults.slow_effect);
+    const Duration wait = simulation_->Between(
         milliseconds(1), slow ? faults.max_slow : Duration(milliseconds(30)));
-    const bool lost = world_->Chance(faults.lose_answer);
-    const TimePoint deadline = world_->now_ + options.deadline;
+    const bool lost = simulation_->Chance(faults.lose_answer);
+    const TimePoint deadline = simulation_->now_ + options.deadline;
     auto shared = std::make_shared<Callback<T>>(std::move(done));
     const auto answer = [this, shared](Result<T> result) {
-      world_->OnEntry(entry_, [shared, result = std::move(result)] {
+      simulation_->OnEntry(entry_, [shared, result = std::move(result)] {
         if (*shared) {
           std::exchange(*shared, nullptr)(result);
         }
       });
     };
-    world_->At(world_->now_ + wait, [this, answer, lost, effect] {
-      const auto& entry = world_->entries_[static_cast<std::size_t>(entry_)];
-      if (entry.cut || entry.cut_from_store) {
+    simulation_->At(simulation_->now_ + wait, [this, answer, lost, effect] {
+      const auto& entry =
+          simulation_->entries_[static_cast<std::size_t>(entry_)];
+      if (entry.disconnected || entry.disconnected_from_store) {
         return;
       }
-      if (world_->store_down_) {
+      if (simulation_->store_down_) {
         answer(Error{ErrorCode::kUnavailable, "store", "store", "down"});
         return;
       }
@@ -114,16 +115,16 @@
         answer(std::move(result));
       }
     });
-    world_->At(deadline, [answer] {
+    simulation_->At(deadline, [answer] {
       answer(Error{ErrorCode::kTimeout, "store", "store", "no answer"});
     });
   }
 
-  ControlWorld* world_;
+  ControlSimulation* simulation_;
   int entry_;
 };
 
-ControlWorld::ControlWorld(Options options)
+ControlSimulation::ControlSimulation(Options options)
     : options_(options), random_(options.seed) {
   sides_.resize(static_cast<std::size_t>(options_.sides));
   for (Side& side : sides_) {
@@ -135,7 +136,7 @@
   for (int i = 0; i < options_.entries; ++i) {
     Entry& entry = entries_[static_cast<std::size_t>(i)];
     entry.offset = seconds(1000 * i);
-    entry.store = std::make_unique<ControlWorldStore>(this, i);
+    entry.store = std::make_unique<SimulatedControlStore>(this, i);
     Controller::Options control;
     control.lease.holder = "entry-" + std::to_string(i);
     control.lease.incarnation = Incarnation{{1, static_cast<std::uint64_t>(i)}};
@@ -183,16 +184,16 @@
   Accept(1, "1");
 }
 
-ControlWorld::~ControlWorld() = default;
+ControlSimulation::~ControlSimulation() = default;
 
-void ControlWorld::Run(Duration duration) {
+void ControlSimulation::Run(Duration duration) {
   const TimePoint end = now_ + duration;
   while (now_ < end) {
     Step();
   }
 }
 
-void ControlWorld::Step() {
+void ControlSimulation::Step() {
   now_ += kStep;
   while (!queue_.empty() && queue_.begin()->first <= now_) {
     const auto act = std::move(queue_.begin()->second);
@@ -208,12 +209,13 @@
     entries_[static_cast<std::size_t>(i)].forwarder->Tick(EntryClock(i));
   }
   for (int side = 0; side < options_.sides; ++side) {
-    SideSteps(side);
+    StepSide(side);
   }
   Check();
 }
 
-void ControlWorld::Accept(std::uint64_t number, const std::string& version) {
+void ControlSimulation::Accept(std::uint64_t number,
+                               const std::string& version) {
   revision_.number = number;
   revision_.spec.name = "brief-llm";
   revision_.spec.models = {{"small", version, {}}};
@@ -230,14 +232,14 @@
   }
 }
 
-void ControlWorld::PauseEntry(int entry, Duration duration) {
+void ControlSimulation::PauseEntry(int entry, Duration duration) {
   entries_[static_cast<std::size_t>(entry)].paused_until = now_ + duration;
 }
 
-void ControlWorld::CutEntry(int entry, bool cut) {
-  entries_[static_cast<std::size_t>(entry)].cut = cut;
+void ControlSimulation::DisconnectEntry(int entry, bool disconnected) {
+  entries_[static_cast<std::size_t>(entry)].disconnected = disconnected;
   for (int side = 0; side < options_.sides; ++side) {
-    if (cut) {
+    if (disconnected) {
       entries_[static_cast<std::size_t>(entry)].forwarder->OnLinkDown(
           LinkOf(side, sides_[static_cast<std::size_t>(side)].run));
     } else {
@@ -246,11 +248,12 @@
   }
 }
 
-void ControlWorld::CutFromStore(int entry, bool cut) {
-  entries_[static_cast<std::size_t>(entry)].cut_from_store = cut;
+void ControlSimulation::DisconnectFromStore(int entry, bool disconnected) {
+  entries_[static_cast<std::size_t>(entry)].disconnected_from_store =
+      disconnected;
 }
 
-void ControlWorld::RestartSide(int side) {
+void ControlSimulation::RestartSide(int side) {
   Side& self = sides_[static_cast<std::size_t>(side)];
   for (int i = 0; i < options_.entries; ++i) {
     entries_[static_cast<std::size_t>(i)].forwarder->OnLinkDown(
@@ -262,13 +265,13 @@
   next.reached = self.reached;
   self = std::move(next);
   for (int i = 0; i < options_.entries; ++i) {
-    if (!entries_[static_cast<std::size_t>(i)].cut) {
+    if (!entries_[static_cast<std::size_t>(i)].disconnected) {
       Connect(i, side);
     }
   }
 }
 
-void ControlWorld::CrashEngine(int side) {
+void ControlSimulation::CrashEngine(int side) {
   Side& self = sides_[static_cast<std::size_t>(side)];
   const bool checks = self.engine.checks_fencing;
   self.engine = Engine{};
@@ -281,11 +284,11 @@
   }
 }
 
-void ControlWorld::BeforeNextOrderWrite(std::function<void(int)> act) {
+void ControlSimulation::BeforeNextOrderWrite(std::function<void(int)> act) {
   before_order_write_ = std::move(act);
 }
 
-std::vector<int> ControlWorld::Holders() {
+std::vector<int> ControlSimulation::Holders() {
   std::vector<int> holders;
   for (int i = 0; i < options_.entries; ++i) {
     const Entry& entry = entries_[static_cast<std::size_t>(i)];
@@ -296,26 +299,26 @@
   return holders;
 }
 
-std::optional<TargetOrder> ControlWorld::StoredOrderOf(int side) const {
+std::optional<TargetOrder> ControlSimulation::StoredOrderOf(int side) const {
   const auto it = objects_.find(OrderKey(TargetName(side)));
   return it == objects_.end() ? std::nullopt : OrderFrom(it->second).order;
 }
 
-bool ControlWorld::Chance(double p) {
+bool ControlSimulation::Chance(double p) {
   return std::uniform_real_distribution<>(0, 1)(random_) < p;
 }
 
-Duration ControlWorld::Between(Duration low, Duration high) {
+Duration ControlSimulation::Between(Duration low, Duration high) {
   return Duration(std::uniform_int_distribution<Duration::rep>(
       low.count(), high.count())(random_));
 }
 
-void ControlWorld::At(TimePoint when, std::function<void()> act) {
+void ControlSimulation::At(TimePoint when, std::function<void()> act) {
   queue_.emplace(when, std::move(act));
 }
 
 // A paused process handles deferred work only after it resumes.
-void ControlWorld::OnEntry(int entry, std::function<void()> act) {
+void ControlSimulation::OnEntry(int entry, std::function<void()> act) {
   const TimePoint until =
       entries_[static_cast<std::size_t>(entry)].paused_until;
   if (until > now_) {
@@ -325,9 +328,9 @@
   }
 }
 
-Result<std::uint64_t> ControlWorld::Put(int entry, const std::string& key,
-                                        const std::string& value,
-                                        std::uint64_t expected) {
+Result<std::uint64_t> ControlSimulation::Put(int entry, const std::string& key,
+                                             const std::string& value,
+                                             std::uint64_t expected) {
   if (before_order_write_ && key != kLeaseKey) {
     std::exchange(before_order_write_, nullptr)(entry);
   }
@@ -344,10 +347,10 @@
   return version_;
 }
 
-void ControlWorld::Watch(int entry) {
+void ControlSimulation::Watch(int entry) {
   Entry& self = entries_[static_cast<std::size_t>(entry)];
-  if (self.cut || self.cut_from_store || store_down_ || watches_silent_ ||
-      self.watched == version_ || Chance(0.3)) {
+  if (self.disconnected || self.disconnected_from_store || store_down_ ||
+      watches_silent_ || self.watched == version_ || Chance(0.3)) {
     return;
   }
   ControlState state;
--- a/tests/support/control_world.h
+++ b/tests/support/control_world.h
@@ -28,7 +28,7 @@
   Duration max_slow = std::chrono::seconds(15);
 };
 
-class ControlWorld;
+class ControlSimulation;
 
 /// State that an engine was put into, and the order that did it.
 struct EngineEffect {
@@ -40,7 +40,7 @@
 /// clock, driven by a seed. Decisions are made by production code: `Controller`
 /// with its lease and reconciler, `OrderForwarder`, and the side's component
 /// from `MakeSide`.
-class ControlWorld {
+class ControlSimulation {
  public:
   struct Options {
     std::uint64_t seed = 1;
@@ -61,8 +61,8 @@
     TimePoint ready_at;
   };
 
-  explicit ControlWorld(Options options);
-  ~ControlWorld();
+  explicit ControlSimulation(Options options);
+  ~ControlSimulation();
 
   TimePoint now() const { return now_; }
   /// Advances simulated time by `duration`.
@@ -71,10 +71,10 @@
   void Accept(std::uint64_t number, const std::string& version);
   void PauseEntry(int entry, Duration duration);
   void SetStoreDown(bool down) { store_down_ = down; }
-  void SilenceWatches(bool silent) { watches_silent_ = silent; }
+  void SetWatchesSilent(bool silent) { watches_silent_ = silent; }
   /// Disconnects the entry from the store and the sides, or reconnects it.
-  void CutEntry(int entry, bool cut);
-  void CutFromStore(int entry, bool cut);
+  void DisconnectEntry(int entry, bool disconnected);
+  void DisconnectFromStore(int entry, bool disconnected);
   void RestartSide(int side);
   void CrashEngine(int side);
   void SetFaults(const ControlFaults& faults) { options_.faults = faults; }
@@ -92,7 +92,7 @@
   std::optional<TargetOrder> StoredOrderOf(int side) const;
 
  private:
-  friend class ControlWorldStore;
+  friend class SimulatedControlStore;
   struct Entry {
     std::unique_ptr<ObjectStore> store;
     std::unique_ptr<Controller> controller;
@@ -101,8 +101,8 @@
     std::uint64_t revision = 0;
     Duration offset{};
     TimePoint paused_until;
-    bool cut = false;
-    bool cut_from_store = false;
+    bool disconnected = false;
+    bool disconnected_from_store = false;
     std::uint64_t watched = 0;
   };
   /// A restart clears a side's memory but not its engine's.
@@ -123,11 +123,11 @@
   void Step();
   void Connect(int entry, int side);
   bool SendToSide(int entry, LinkId link, const wire::Envelope& message);
-  void SideGets(int entry, int side, std::uint64_t run,
-                const wire::Envelope& message);
-  void SideTakes(int side, const TargetOrder& order);
-  void SideSteps(int side);
-  void EngineTakes(int side, const TargetOrder& order);
+  void DeliverToSide(int entry, int side, std::uint64_t run,
+                     const wire::Envelope& message);
+  void AcceptOrderAtSide(int side, const TargetOrder& order);
+  void StepSide(int side);
+  void ApplyOrderAtEngine(int side, const TargetOrder& order);
   void Report(int side);
   void Watch(int entry);
   void Check();
--- a/tests/support/control_world_sides.cc
+++ b/tests/support/control_world_sides.cc
@@ -25,14 +25,14 @@
 
 }  // namespace
 
-void ControlWorld::Connect(int entry, int side) {
+void ControlSimulation::Connect(int entry, int side) {
   Entry& self = entries_[static_cast<std::size_t>(entry)];
   const std::uint64_t run = sides_[static_cast<std::size_t>(side)].run;
   self.forwarder->OnSideUp(LinkOf(side, run), Name(side), EntryClock(entry));
 }
 
-bool ControlWorld::SendToSide(int entry, LinkId link,
-                              const wire::Envelope& message) {
+bool ControlSimulation::SendToSide(int entry, LinkId link,
+                                   const wire::Envelope& message) {
   const int side = static_cast<int>(link.value % 1000);
   const std::uint64_t run = link.value / 1000;
   const bool lost =
@@ -42,16 +42,17 @@
   for (int i = 0; i < copies; ++i) {
     At(now_ + Between(milliseconds(1), milliseconds(i == 0 ? 200 : 5000)),
        [this, entry, side, run, message] {
-         SideGets(entry, side, run, message);
+         DeliverToSide(entry, side, run, message);
        });
   }
   return true;
 }
 
-void ControlWorld::SideGets(int entry, int side, std::uint64_t run,
-                            const wire::Envelope& message) {
+void ControlSimulation::DeliverToSide(int entry, int side, std::uint64_t run,
+                                      const wire::Envelope& message) {
   Side& self = sides_[static_cast<std::size_t>(side)];
-  if (self.run != run || entries_[static_cast<std::size_t>(entry)].cut) {
+  if (self.run != run ||
+      entries_[static_cast<std::size_t>(entry)].disconnected) {
     return;  // A message is never delivered to a later run of the side.
   }
   if (message.has_fencing()) {
@@ -65,11 +66,11 @@
     order.desired.model = sent.model();
     order.desired.version = sent.model_version();
     order.desired.out_of_service = sent.drain();
-    SideTakes(side, order);
+    AcceptOrderAtSide(side, order);
   }
 }
 
-void ControlWorld::SideTakes(int side, const TargetOrder& order) {
+void ControlSimulation::AcceptOrderAtSide(int side, const TargetOrder& order) {
   Side& self = sides_[static_cast<std::size_t>(side)];
   if (self.newest == 0 || order.fencing_number < self.newest) {
     return;
@@ -86,7 +87,7 @@
   self.sent_to_engine = false;
 }
 
-void ControlWorld::SideSteps(int side) {
+void ControlSimulation::StepSide(int side) {
   Side& self = sides_[static_cast<std::size_t>(side)];
   Engine& engine = self.engine;
   if (engine.changing && now_ >= engine.ready_at) {
@@ -99,13 +100,13 @@
     if (engine.generation == self.order->generation) {
       self.phase = OrderPhase::kInForce;
     } else if (engine.generation < self.order->generation) {
-      EngineTakes(side, *self.order);
+      ApplyOrderAtEngine(side, *self.order);
     }
   }
   Report(side);
 }
 
-void ControlWorld::EngineTakes(int side, const TargetOrder& order) {
+void ControlSimulation::ApplyOrderAtEngine(int side, const TargetOrder& order) {
   Engine& engine = sides_[static_cast<std::size_t>(side)].engine;
   if (engine.checks_fencing && order.fencing_number < engine.number) {
     return;
@@ -120,7 +121,7 @@
   engine.ready_at = now_ + Between(milliseconds(500), seconds(3));
 }
 
-void ControlWorld::Report(int side) {
+void ControlSimulation::Report(int side) {
   const Side& self = sides_[static_cast<std::size_t>(side)];
   TargetObservation seen;
   seen.name = Name(side);
@@ -131,7 +132,7 @@
   seen.order_generation = self.engine.generation;
   for (int i = 0; i < options_.entries; ++i) {
     Entry& entry = entries_[static_cast<std::size_t>(i)];
-    if (entry.cut || entry.paused_until > now_ ||
+    if (entry.disconnected || entry.paused_until > now_ ||
         Chance(options_.faults.lose_message)) {
       continue;
     }
@@ -147,11 +148,11 @@
 
 // Each effect must stem from a write that the store accepted while its fencing
 // number was in force, and must not return the engine to an earlier state.
-void ControlWorld::CheckEffect(const EngineEffect& effect) {
+void ControlSimulation::CheckEffect(const EngineEffect& effect) {
   const TargetOrder& order = effect.order;
   std::vector<FencingNumber> numbers;
   bool written_in_force = false;
-  bool in_other_words = false;
+  bool has_other_version = false;
   for (const StoredObject& object : history_) {
     if (object.key == kLeaseKey) {
       const auto lease = ValueOf(DecodeLease(object.value, object.version));
@@ -165,7 +166,7 @@
       const bool same = written.generation == order.generation;
       written_in_force |=
           same && in_force && written.fencing_number == order.fencing_number;
-      in_other_words |=
+      has_other_version |=
           same && in_force && written.desired.version != order.desired.version;
     }
   }
@@ -173,7 +174,7 @@
     violations_.push_back("effect under an outdated fencing number: " +
                           Text(order));
   }
-  if (in_other_words) {
+  if (has_other_version) {
     violations_.push_back("one generation with two versions: " + Text(order));
   }
   for (const EngineEffect& earlier : effects_) {
@@ -187,8 +188,8 @@
 
 // A different order may replace an order only after the earlier one was in
 // force, unless the earlier one was void, that is, reached nobody.
-void ControlWorld::CheckWrite(const StoredObject& before,
-                              const std::string& value) {
+void ControlSimulation::CheckWrite(const StoredObject& before,
+                                   const std::string& value) {
   const auto lease_object = objects_.find(kLeaseKey);
   if (before.version == 0 || lease_object == objects_.end()) {
     return;
@@ -207,7 +208,7 @@
   }
 }
 
-void ControlWorld::Check() {
+void ControlSimulation::Check() {
   const std::string two = "two lease holders at the same time";
   if (Holders().size() > 1 &&
       (violations_.empty() || violations_.back() != two)) {
--- a/tests/support/crash_rule.h
+++ b/tests/support/crash_rule.h
@@ -7,24 +7,24 @@
 
 // Operator's requirement on requests that crash their targets: after a request
 // has crashed three targets, all entries together forward it at most
-// `kSentOnAllowed` times later than `kCrashKnown` after the third crash,
-// whatever ids its retries have.
+// `kMaxForwardedAfterCrashes` times later than `kCrashReaction` after the third
+// crash, whatever ids its retries have.
 namespace indigolead::testing {
 
 inline constexpr std::size_t kCrashesToStop = 3;
-inline constexpr int kSentOnAllowed = 3;
-inline constexpr std::chrono::seconds kCrashKnown{3};
+inline constexpr int kMaxForwardedAfterCrashes = 3;
+inline constexpr std::chrono::seconds kCrashReaction{3};
 
-/// Returns how many of `arrivals` count towards `kSentOnAllowed`. Both lists
-/// cover one request under all of its ids.
+/// Returns how many of `arrivals` count towards `kMaxForwardedAfterCrashes`.
+/// Both lists cover one request under all of its ids.
 template <typename Time>
-int SentOnAfterCrashes(std::vector<Time> crashes,
-                       const std::vector<Time>& arrivals) {
+int CountForwardedAfterCrashes(std::vector<Time> crashes,
+                               const std::vector<Time>& arrivals) {
   if (crashes.size() < kCrashesToStop) {
     return 0;
   }
   std::sort(crashes.begin(), crashes.end());
-  const Time from = crashes[kCrashesToStop - 1] + kCrashKnown;
+  const Time from = crashes[kCrashesToStop - 1] + kCrashReaction;
   return static_cast<int>(std::count_if(arrivals.begin(), arrivals.end(),
                                         [&](Time it) { return it > from; }));
 }
--- a/tests/support/direct_world.h
+++ b/tests/support/direct_simulation.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_TESTS_SUPPORT_DIRECT_WORLD_H_
-#define INDIGOLEAD_TESTS_SUPPORT_DIRECT_WORLD_H_
+#ifndef INDIGOLEAD_TESTS_SUPPORT_DIRECT_SIMULATION_H_
+#define INDIGOLEAD_TESTS_SUPPORT_DIRECT_SIMULATION_H_
 
 #include <cstdint>
 #include <string>
@@ -8,23 +8,23 @@
 namespace indigolead::testing {
 
 /// Result of one randomized simulation run.
-struct DirectWorldReport {
+struct DirectSimulationReport {
   std::vector<std::string> violations;  ///< Violated invariants.
   int requests = 0;
   int answered = 0;
-  int refused = 0;  ///< Reported to the caller as not run.
-  int unknown = 0;  ///< Reported to the caller as possibly run.
-  int cut = 0;      ///< Their entry was killed.
-  int retries = 0;  ///< Further attempts sent.
-  int resumed = 0;  ///< Streams resumed at another target.
-  int rests = 0;    ///< Refusals that asked an entry to back off.
-  int leaving = 0;  ///< Answers that announced that the target leaves.
+  int refused = 0;   ///< Reported to the caller as not run.
+  int unknown = 0;   ///< Reported to the caller as possibly run.
+  int cut = 0;       ///< Their entry was killed.
+  int retries = 0;   ///< Further attempts sent.
+  int resumed = 0;   ///< Streams resumed at another target.
+  int backoffs = 0;  ///< Refusals that asked an entry to back off.
+  int leaving = 0;   ///< Answers that announced that the target leaves.
 };
 
 /// Faults of a simulation run that are off by default.
-struct DirectWorldOptions {
-  bool rests = false;    ///< Targets refuse requests and ask for back-off.
-  bool leaving = false;  ///< Targets announce in answers that they leave.
+struct DirectSimulationOptions {
+  bool backoffs = false;  ///< Targets refuse requests and ask for back-off.
+  bool leaving = false;   ///< Targets announce in answers that they leave.
 };
 
 /// Simulates entries that call their targets directly, in simulated time and
@@ -37,9 +37,9 @@
 /// addresses of others. Calls are late, hang, or arrive after they were
 /// cancelled. Target lists are late and the store fails. Entries freeze and are
 /// killed. Callers disconnect. The test lists the invariants that are checked.
-DirectWorldReport PlayDirectWorld(std::uint64_t seed,
-                                  const DirectWorldOptions& options = {});
+DirectSimulationReport RunDirectSimulation(
+    std::uint64_t seed, const DirectSimulationOptions& options = {});
 
 }  // namespace indigolead::testing
 
-#endif  // INDIGOLEAD_TESTS_SUPPORT_DIRECT_WORLD_H_
+#endif  // INDIGOLEAD_TESTS_SUPPORT_DIRECT_SIMULATION_H_
--- a/tests/support/direct_world/callers.cc
+++ b/tests/support/direct_world/callers.cc
@@ -1,13 +1,13 @@
 #include "tests/support/direct_world/words.h"
 #include "tests/support/direct_world/world.h"
 
-namespace indigolead::testing::direct_world {
+namespace indigolead::testing::direct_simulation {
 
 using std::chrono::milliseconds;
 
-void World::NextRequest() {
-  const int number = static_cast<int>(Below(entries_.size()));
-  const auto kind = static_cast<Kind>(Below(4));
+void Simulation::NextRequest() {
+  const int number = static_cast<int>(RandomBelow(entries_.size()));
+  const auto kind = static_cast<Kind>(RandomBelow(4));
   const bool is_stream = kind == Kind::kStream || kind == Kind::kResumable;
   const std::string id = "r" + std::to_string(++next_request_);
   auto request = std::make_shared<CallerRequest>();
@@ -22,36 +22,37 @@
   request->max_attempts = kMaxAttempts;
   request->received_at = time_.now();
   request->deadline =
-      time_.now() + Between(milliseconds(300), milliseconds(5000));
+      time_.now() + RandomBetween(milliseconds(300), milliseconds(5000));
   if (is_stream) {
-    request->prompt_tokens = 200 + Below(9000);
-    request->prompt_parts = {{1 + Below(4), 150}, {1000 + next_request_, 50}};
+    request->prompt_tokens = 200 + RandomBelow(9000);
+    request->prompt_parts = {{1 + RandomBelow(4), 150},
+                             {1000 + next_request_, 50}};
   }
-  Ledger& ledger = ledgers_[id];
-  ledger.kind = kind;
-  ledger.service = request->deployment;
-  ledger.deadline = request->deadline;
-  ledger.entry = number;
-  ledger.life = entries_[number].life;
+  RequestObservation& observation = observations_[id];
+  observation.kind = kind;
+  observation.service = request->deployment;
+  observation.deadline = request->deadline;
+  observation.entry = number;
+  observation.life = entries_[number].life;
   names_[request->id] = id;
   ++report_.requests;
-  ToEntry(number, ledger.life, [this, number, request] {
+  RunOnEntry(number, observation.life, [this, number, request] {
     ++entries_[number].requests[request->deployment];
     entries_[number].dispatcher->OnRequest(request);
   });
   if (Chance(0.05)) {
-    time_.After(
-        Between(Duration{0}, milliseconds(400)), [this, number, id, request] {
-          ToEntry(number, ledgers_[id].life, [this, number, id, request] {
-            Ledger& gone = ledgers_[id];
-            if (gone.finals == 0) {
-              gone.gone_at = time_.now();
-              entries_[number].dispatcher->OnCallerGone(request->id);
-              CheckClosed(id);
-            }
-          });
-        });
+    time_.After(RandomBetween(Duration{0}, milliseconds(400)), [this, number,
+                                                                id, request] {
+      RunOnEntry(number, observations_[id].life, [this, number, id, request] {
+        RequestObservation& gone = observations_[id];
+        if (gone.finals == 0) {
+          gone.disconnected_at = time_.now();
+          entries_[number].dispatcher->OnCallerGone(request->id);
+          CheckClosed(id);
+        }
+      });
+    });
   }
 }
 
-}  // namespace indigolead::testing::direct_world
+}  // namespace indigolead::testing::direct_simulation
--- a/tests/support/direct_world/entries.cc
+++ b/tests/support/direct_world/entries.cc
@@ -1,17 +1,18 @@
 #include "tests/support/direct_world/words.h"
 #include "tests/support/direct_world/world.h"
 
-namespace indigolead::testing::direct_world {
+namespace indigolead::testing::direct_simulation {
 
 using std::chrono::milliseconds;
 
 namespace {
 
 /// Client of one target, in simulated time.
-class WorldClient : public TargetClient {
+class SimulatedClient : public TargetClient {
  public:
-  WorldClient(World* world, int entry, std::uint64_t life, std::string address)
-      : world_(world),
+  SimulatedClient(Simulation* simulation, int entry, std::uint64_t life,
+                  std::string address)
+      : simulation_(simulation),
         entry_(entry),
         life_(life),
         address_(std::move(address)) {}
@@ -20,40 +21,40 @@
                                             Hooks hooks) override;
 
  private:
-  World* world_;
+  Simulation* simulation_;
   int entry_;
   std::uint64_t life_;
   std::string address_;
 };
 
-class WorldCall : public TargetClient::Call {
+class SimulatedCall : public TargetClient::Call {
  public:
-  explicit WorldCall(std::shared_ptr<direct_world::Call> state)
+  explicit SimulatedCall(std::shared_ptr<direct_simulation::Call> state)
       : state_(std::move(state)) {}
-  ~WorldCall() override { state_->open = false; }
-  WorldCall(const WorldCall&) = delete;
-  WorldCall& operator=(const WorldCall&) = delete;
+  ~SimulatedCall() override { state_->open = false; }
+  SimulatedCall(const SimulatedCall&) = delete;
+  SimulatedCall& operator=(const SimulatedCall&) = delete;
   void PauseReading(bool /*pause*/) override {}
 
  private:
-  std::shared_ptr<direct_world::Call> state_;
+  std::shared_ptr<direct_simulation::Call> state_;
 };
 
-std::unique_ptr<TargetClient::Call> WorldClient::Start(TargetRequest request,
-                                                       Hooks hooks) {
-  auto state = std::make_shared<direct_world::Call>();
+std::unique_ptr<TargetClient::Call> SimulatedClient::Start(
+    TargetRequest request, Hooks hooks) {
+  auto state = std::make_shared<direct_simulation::Call>();
   state->entry = entry_;
   state->life = life_;
   state->address = address_;
   state->request = std::move(request);
   state->hooks = std::move(hooks);
-  world_->StartCall(state);
-  return std::make_unique<WorldCall>(state);
+  simulation_->StartCall(state);
+  return std::make_unique<SimulatedCall>(state);
 }
 
 }  // namespace
 
-void World::StartEntry(int number) {
+void Simulation::StartEntry(int number) {
   Entry& entry = entries_[number];
   entry = Entry{};
   entry.life = ++next_life_;
@@ -72,7 +73,7 @@
   options.retry_budget = {kRetryShare, {kRetryBurst, 0}, kRetriesAtStart};
   options.transport.make_client =
       [this, number, life = entry.life](const std::string& address) {
-        return std::make_unique<WorldClient>(this, number, life, address);
+        return std::make_unique<SimulatedClient>(this, number, life, address);
       };
   DirectDispatcher::Hooks hooks;
   hooks.to_callers = [this, number](const ToCallers& message) {
@@ -80,7 +81,7 @@
   };
   const IdSource ids = [this] { return Id128{++next_id_, 7}; };
   entry.dispatcher = std::make_unique<DirectDispatcher>(
-      &io_, std::move(options), MakeWorldDialect(), std::move(hooks),
+      &io_, std::move(options), MakeSimulatedDialect(), std::move(hooks),
       [this] { return time_.now(); }, ids, random_, MakeNullEventLog(),
       entry.metrics.get());
   RouteConfiguration routes;
@@ -88,11 +89,11 @@
   routes.services = {{"app", 100, std::nullopt}, {"llm", 100, EngineTraits{}}};
   entry.dispatcher->OnRoutes(routes);
   entry.dispatcher->OnStoreFollowed();
-  TellTargets(number);
+  SendTargets(number);
 }
 
-void World::ToEntry(int number, std::uint64_t life,
-                    std::function<void()> function) {
+void Simulation::RunOnEntry(int number, std::uint64_t life,
+                            std::function<void()> function) {
   Entry& entry = entries_[number];
   if (entry.life != life) {
     return;
@@ -106,14 +107,14 @@
   io_.poll();
 }
 
-void World::Freeze(int number, Duration length) {
+void Simulation::Freeze(int number, Duration length) {
   Entry& entry = entries_[number];
   entry.frozen_until = std::max(entry.frozen_until, time_.now() + length);
   time_.After(length,
-              [this, number, life = entry.life] { Thaw(number, life); });
+              [this, number, life = entry.life] { Unfreeze(number, life); });
 }
 
-void World::Thaw(int number, std::uint64_t life) {
+void Simulation::Unfreeze(int number, std::uint64_t life) {
   Entry& entry = entries_[number];
   if (entry.life != life || entry.frozen_until > time_.now()) {
     return;
@@ -121,17 +122,17 @@
   // Deferred functions run in their order of arrival.
   const auto waiting = std::exchange(entry.waiting, {});
   for (const auto& it : waiting) {
-    ToEntry(number, life, it);
+    RunOnEntry(number, life, it);
   }
 }
 
-void World::TickEntry(int number) {
-  ToEntry(number, entries_[number].life,
-          [this, number] { entries_[number].dispatcher->Tick(); });
+void Simulation::TickEntry(int number) {
+  RunOnEntry(number, entries_[number].life,
+             [this, number] { entries_[number].dispatcher->Tick(); });
   time_.After(kTick, [this, number] { TickEntry(number); });
 }
 
-void World::TellTargets(int number) {
+void Simulation::SendTargets(int number) {
   Entry& entry = entries_[number];
   if (store_down_) {
     entry.dispatcher->OnStoreLost(time_.now());
@@ -144,16 +145,16 @@
     }
   }
   entry.dispatcher->OnStoreFollowed();
-  TellEntries(number);
+  SendEntries(number);
   entry.dispatcher->OnTargets(listed);
   for (const TargetRecord& it : listed) {
     if (it.leaving) {
-      entry.told_leaving.insert(it.id);
+      entry.known_leaving.insert(it.id);
     }
   }
 }
 
-void World::TellEntries(int number) {
+void Simulation::SendEntries(int number) {
   Entry& entry = entries_[number];
   entry.registered_at = entry.registered_at.value_or(time_.now());
   EntryView view;
@@ -166,104 +167,111 @@
   entry.dispatcher->OnEntries(std::move(view));
 }
 
-void World::CheckClosed(const std::string& id) {
-  for (const auto& it : ledgers_[id].calls) {
+void Simulation::CheckClosed(const std::string& id) {
+  for (const auto& it : observations_[id].calls) {
     const auto call = it.lock();
     if (call && call->open && !call->ended) {
-      Violate("disconnected: a call is still open for the caller of " + id);
+      AddViolation("disconnected: a call is still open for the caller of " +
+                   id);
     }
   }
 }
 
-void World::CheckBudget(const Entry& entry) {
+void Simulation::CheckBudget(const Entry& entry) {
   for (const auto& [service, further] : entry.further) {
     const auto requests = entry.requests.find(service);
     const double earned =
         kRetryShare * (requests == entry.requests.end() ? 0 : requests->second);
     if (further > kRetriesAtStart + earned + 1e-6) {
-      Violate("budget: " + std::to_string(further) + " retry arrivals at " +
-              service);
+      AddViolation("budget: " + std::to_string(further) +
+                   " retry arrivals at " + service);
     }
   }
 }
 
-void World::OnToCaller(int /*number*/, const ToCallers& message) {
-  const auto ledger_of = [this](const RequestId& id) -> Ledger* {
-    return &ledgers_[names_.at(id)];
+void Simulation::OnToCaller(int /*number*/, const ToCallers& message) {
+  const auto observation_of =
+      [this](const RequestId& id) -> RequestObservation* {
+    return &observations_[names_.at(id)];
   };
   if (const auto* whole = std::get_if<AnswerWhole>(&message)) {
     const std::string& id = names_.at(whole->request);
-    Ledger* ledger = ledger_of(whole->request);
-    Finish(ledger);
+    RequestObservation* observation = observation_of(whole->request);
+    RecordFinalAnswer(observation);
     ++report_.answered;
     const std::string expected =
-        ledger->kind == Kind::kSafe || ledger->kind == Kind::kUnsafe
+        observation->kind == Kind::kSafe || observation->kind == Kind::kUnsafe
             ? WholeAnswerText(id)
             : WholeStream(id);
     if (whole->answer.status == 421 || whole->answer.status == 503) {
-      Violate("refusal: a target's " + std::to_string(whole->answer.status) +
-              " is passed on as an answer to " + id);
+      AddViolation("refusal: a target's " +
+                   std::to_string(whole->answer.status) +
+                   " is passed on as an answer to " + id);
     }
     if (whole->answer.status == 200 && whole->answer.body != expected) {
-      Violate("mixed: " + id + " got \"" + whole->answer.body + "\"");
+      AddViolation("mixed: " + id + " got \"" + whole->answer.body + "\"");
     }
   } else if (const auto* data = std::get_if<AnswerData>(&message)) {
-    ledger_of(data->request)->body += data->data;
+    observation_of(data->request)->body += data->data;
   } else if (const auto* end = std::get_if<AnswerEnd>(&message)) {
     const std::string& id = names_.at(end->request);
-    Ledger* ledger = ledger_of(end->request);
-    Finish(ledger);
+    RequestObservation* observation = observation_of(end->request);
+    RecordFinalAnswer(observation);
     ++report_.answered;
-    if (ledger->body != WholeStream(id)) {
-      Violate("order: " + id + " ends as complete with \"" + ledger->body +
-              "\"");
+    if (observation->body != WholeStream(id)) {
+      AddViolation("order: " + id + " ends as complete with \"" +
+                   observation->body + "\"");
     }
   } else if (const auto* refusal = std::get_if<AnswerRefusal>(&message)) {
-    Refused(names_.at(refusal->request), ledger_of(refusal->request),
-            refusal->refusal);
+    OnRefused(names_.at(refusal->request), observation_of(refusal->request),
+              refusal->refusal);
   } else if (const auto* abort = std::get_if<AnswerAbort>(&message)) {
     const std::string& id = names_.at(abort->request);
-    Ledger* ledger = ledger_of(abort->request);
-    if (WholeStream(id).rfind(ledger->body, 0) != 0) {
-      Violate("order: " + id + " is aborted after \"" + ledger->body + "\"");
+    RequestObservation* observation = observation_of(abort->request);
+    if (WholeStream(id).rfind(observation->body, 0) != 0) {
+      AddViolation("order: " + id + " is aborted after \"" + observation->body +
+                   "\"");
     }
-    Refused(id, ledger, abort->refusal);
+    OnRefused(id, observation, abort->refusal);
   }
 }
 
-void World::Finish(Ledger* ledger) {
-  ++ledger->finals;
-  if (ledger->finals > 1) {
-    Violate("a second final answer");
+void Simulation::RecordFinalAnswer(RequestObservation* observation) {
+  ++observation->finals;
+  if (observation->finals > 1) {
+    AddViolation("a second final answer");
   }
-  const Entry& entry = entries_[ledger->entry];
+  const Entry& entry = entries_[observation->entry];
   // A frozen entry answers only after it resumes.
-  if (time_.now() > std::max(ledger->deadline, entry.frozen_until) + kSlack) {
-    Violate("late: a final answer " +
-            std::to_string((time_.now() - ledger->deadline) / milliseconds(1)) +
-            " ms after its deadline");
+  if (time_.now() > std::max(observation->deadline, entry.frozen_until) +
+                        kDeadlineTolerance) {
+    AddViolation("late: a final answer " +
+                 std::to_string((time_.now() - observation->deadline) /
+                                milliseconds(1)) +
+                 " ms after its deadline");
   }
 }
 
-void World::Refused(const std::string& id, Ledger* ledger,
-                    const Refusal& refusal) {
-  Finish(ledger);
+void Simulation::OnRefused(const std::string& id,
+                           RequestObservation* observation,
+                           const Refusal& refusal) {
+  RecordFinalAnswer(observation);
   if (refusal.run != RunState::kNotRun) {
     ++report_.unknown;
-    if (ledger->sends == 0) {
-      Violate("unknown: " + id + " is reported as possibly run (" +
-              refusal.code + ") but was not sent");
+    if (observation->sends == 0) {
+      AddViolation("unknown: " + id + " is reported as possibly run (" +
+                   refusal.code + ") but was not sent");
     }
     return;
   }
   ++report_.refused;
   const bool may_run_once =
-      ledger->kind == Kind::kUnsafe || ledger->kind == Kind::kStream;
-  ledger->told_not_run = true;
-  if (may_run_once && ledger->runs > 0) {
-    Violate("denied: " + id + " is reported as not run (" + refusal.code +
-            ") but has run");
+      observation->kind == Kind::kUnsafe || observation->kind == Kind::kStream;
+  observation->reported_not_run = true;
+  if (may_run_once && observation->runs > 0) {
+    AddViolation("denied: " + id + " is reported as not run (" + refusal.code +
+                 ") but has run");
   }
 }
 
-}  // namespace indigolead::testing::direct_world
+}  // namespace indigolead::testing::direct_simulation
--- a/tests/support/direct_world/notices.cc
+++ b/tests/support/direct_world/notices.cc
@@ -4,29 +4,29 @@
 #include "tests/support/direct_world/world.h"
 
 // Targets that ask an entry to back off, or announce that they leave.
-namespace indigolead::testing::direct_world {
+namespace indigolead::testing::direct_simulation {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-void World::NextNotice() {
-  if (!options_.rests && !options_.leaving) {
+void Simulation::StartNotice() {
+  if (!options_.backoffs && !options_.leaving) {
     return;
   }
   Target* target = targets_[notice_random_() % targets_.size()].get();
-  const bool free = !target->shedding && !target->says_leaving;
+  const bool free = !target->shedding && !target->announces_leaving;
   if (!target->alive || !free || target->record.leaving) {
     return;
   }
-  const bool both = options_.rests && options_.leaving;
-  if (both ? notice_random_() % 3 > 0 : options_.rests) {
+  const bool both = options_.backoffs && options_.leaving;
+  if (both ? notice_random_() % 3 > 0 : options_.backoffs) {
     BeginShedding(target);
   } else {
     BeginLeaving(target);
   }
 }
 
-void World::BeginShedding(Target* target) {
+void Simulation::BeginShedding(Target* target) {
   constexpr double kShares[] = {0.5, 0.9, 1};
   constexpr milliseconds kRests[] = {milliseconds(300), seconds(1), seconds(3),
                                      seconds(6)};
@@ -36,8 +36,8 @@
               [target] { target->shedding.reset(); });
 }
 
-void World::BeginLeaving(Target* target) {
-  target->says_leaving = true;
+void Simulation::BeginLeaving(Target* target) {
+  target->announces_leaving = true;
   if (notice_random_() % 4 == 0) {
     return;  // It neither leaves the list nor ends.
   }
@@ -52,53 +52,55 @@
   });
 }
 
-bool World::Shed(const std::shared_ptr<Call>& call, const Target& target) {
+bool Simulation::TryShed(const std::shared_ptr<Call>& call,
+                         const Target& target) {
   const std::string instance = FieldOf(call->request, kInstance);
   const bool is_other = !instance.empty() && instance != target.record.id;
   if (!target.shedding || is_other ||
       ToUnitInterval(notice_random_()) >= target.shedding->share) {
     return false;
   }
-  const auto rest = target.shedding->rest / milliseconds(1);
-  Answer(call, 503, "", {{kRestMs, std::to_string(rest)}});
+  const auto backoff = target.shedding->backoff / milliseconds(1);
+  Answer(call, 503, "", {{kBackoffMs, std::to_string(backoff)}});
   return true;
 }
 
-void World::CheckNotices(const Call& call) {
-  const Target* target = At(call.address);
+void Simulation::CheckNotices(const Call& call) {
+  const Target* target = FindTarget(call.address);
   if (!target) {
     return;
   }
-  const auto rest = target->rests.find(call.life);
-  if (rest != target->rests.end() && time_.now() < rest->second) {
-    Violate("back-off: a call is written to " + target->record.id +
-            ", whose back-off lasts " +
-            std::to_string((rest->second - time_.now()) / milliseconds(1)) +
-            " ms longer");
+  const auto backoff = target->backoffs.find(call.life);
+  if (backoff != target->backoffs.end() && time_.now() < backoff->second) {
+    AddViolation(
+        "back-off: a call is written to " + target->record.id +
+        ", whose back-off lasts " +
+        std::to_string((backoff->second - time_.now()) / milliseconds(1)) +
+        " ms longer");
   }
 }
 
-std::vector<HttpHeader> World::WithNotices(const Call& call,
-                                           std::vector<HttpHeader> headers) {
-  Target* target = At(call.address);
+std::vector<HttpHeader> Simulation::WithNotices(
+    const Call& call, std::vector<HttpHeader> headers) {
+  Target* target = FindTarget(call.address);
   if (!target) {
     return headers;
   }
-  const std::string rest = FieldOf(headers, kRestMs);
-  if (!rest.empty()) {
-    ++report_.rests;
-    TimePoint& until = target->rests[call.life];
-    until = std::max(until, time_.now() + milliseconds(std::stol(rest)));
+  const std::string backoff = FieldOf(headers, kBackoffMs);
+  if (!backoff.empty()) {
+    ++report_.backoffs;
+    TimePoint& until = target->backoffs[call.life];
+    until = std::max(until, time_.now() + milliseconds(std::stol(backoff)));
   }
-  if (target->says_leaving) {
+  if (target->announces_leaving) {
     ++report_.leaving;
     headers.push_back({kLeaving, "1"});
   }
-  if (target->says_leaving &&
+  if (target->announces_leaving &&
       FieldOf(call.request, kInstance) == target->record.id) {
-    entries_[call.entry].told_leaving.insert(target->record.id);
+    entries_[call.entry].known_leaving.insert(target->record.id);
   }
   return headers;
 }
 
-}  // namespace indigolead::testing::direct_world
+}  // namespace indigolead::testing::direct_simulation
--- a/tests/support/direct_world/targets.cc
+++ b/tests/support/direct_world/targets.cc
@@ -1,13 +1,13 @@
 #include "tests/support/direct_world/words.h"
 #include "tests/support/direct_world/world.h"
 
-namespace indigolead::testing::direct_world {
+namespace indigolead::testing::direct_simulation {
 
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-Target* World::At(const std::string& address) {
+Target* Simulation::FindTarget(const std::string& address) {
   for (const auto& it : targets_) {
     if (it->alive && it->record.address == address) {
       return it.get();
@@ -16,37 +16,38 @@
   return nullptr;
 }
 
-void World::StartCall(const std::shared_ptr<Call>& call) {
+void Simulation::StartCall(const std::shared_ptr<Call>& call) {
   const std::string instance = FieldOf(call->request, kInstance);
   const std::string id = FieldOf(call->request, kId);
   if (!id.empty()) {
-    Ledger& ledger = ledgers_[id];
-    ledger.calls.push_back(call);
-    if (entries_[call->entry].told_leaving.count(instance) > 0) {
-      Violate("drain: " + id + " is sent to " + instance +
-              ", which is leaving");
+    RequestObservation& observation = observations_[id];
+    observation.calls.push_back(call);
+    if (entries_[call->entry].known_leaving.count(instance) > 0) {
+      AddViolation("drain: " + id + " is sent to " + instance +
+                   ", which is leaving");
     }
-    if (ledger.gone_at) {
-      Violate("disconnected: " + id + " is sent after its caller disconnected");
+    if (observation.disconnected_at) {
+      AddViolation("disconnected: " + id +
+                   " is sent after its caller disconnected");
     }
   }
   time_.After(call->request.deadline,
-              [this, call] { End(call, ErrorCode::kTimeout); });
-  const Target* target = At(call->address);
+              [this, call] { EndCall(call, ErrorCode::kTimeout); });
+  const Target* target = FindTarget(call->address);
   if (!target || Chance(0.03)) {
     // The connection attempt times out or is refused.
     const bool hangs = Chance(0.5);
     time_.After(hangs ? kConnectTimeout : microseconds(300),
-                [this, call] { End(call, ErrorCode::kUnavailable); });
+                [this, call] { EndCall(call, ErrorCode::kUnavailable); });
     return;
   }
-  time_.After(Between(microseconds(100), milliseconds(3)), [this, call] {
-    ToEntry(call->entry, call->life, [this, call] {
+  time_.After(RandomBetween(microseconds(100), milliseconds(3)), [this, call] {
+    RunOnEntry(call->entry, call->life, [this, call] {
       if (!call->open || call->ended) {
         return;
       }
       if (call->hooks.on_before_write && !call->hooks.on_before_write()) {
-        End(call, ErrorCode::kUnavailable);
+        EndCall(call, ErrorCode::kUnavailable);
         return;
       }
       call->written = true;
@@ -54,23 +55,24 @@
       CountForLimit(*call);
       const std::string id = FieldOf(call->request, kId);
       if (!id.empty()) {
-        Ledger& ledger = ledgers_[id];
+        RequestObservation& observation = observations_[id];
         Entry& entry = entries_[call->entry];
         const bool prefill = FieldOf(call->request, kOperation) == "prefill";
-        int& count = prefill ? ledger.prefills : ledger.sends;
+        int& count = prefill ? observation.prefills : observation.sends;
         const bool further = ++count > 1;
-        entry.further[ledger.service] += further ? 1 : 0;
+        entry.further[observation.service] += further ? 1 : 0;
         report_.retries += further && !prefill ? 1 : 0;
       }
-      time_.After(Chance(0.02) ? Between(milliseconds(100), seconds(1))
-                               : Between(microseconds(100), milliseconds(2)),
-                  [this, call] { Arrive(call); });
+      time_.After(Chance(0.02)
+                      ? RandomBetween(milliseconds(100), seconds(1))
+                      : RandomBetween(microseconds(100), milliseconds(2)),
+                  [this, call] { OnCallArrival(call); });
     });
   });
 }
 
-void World::End(const std::shared_ptr<Call>& call, ErrorCode code) {
-  ToEntry(call->entry, call->life, [call, code] {
+void Simulation::EndCall(const std::shared_ptr<Call>& call, ErrorCode code) {
+  RunOnEntry(call->entry, call->life, [call, code] {
     if (call->open && !call->ended) {
       call->ended = true;
       call->hooks.on_end(Error{code, "target.call", call->address, "world"});
@@ -78,50 +80,50 @@
   });
 }
 
-void World::Body(const std::shared_ptr<Call>& call, std::string data) {
-  ToEntry(call->entry, call->life, [call, data = std::move(data)] {
+void Simulation::SendBody(const std::shared_ptr<Call>& call, std::string data) {
+  RunOnEntry(call->entry, call->life, [call, data = std::move(data)] {
     if (call->open && !call->ended) {
       call->hooks.on_body(data);
     }
   });
 }
 
-void World::Answer(const std::shared_ptr<Call>& call, int status,
-                   std::string body, std::vector<HttpHeader> headers) {
+void Simulation::Answer(const std::shared_ptr<Call>& call, int status,
+                        std::string body, std::vector<HttpHeader> headers) {
   headers.push_back({"Content-Length", std::to_string(body.size())});
-  ToEntry(call->entry, call->life,
-          [this, call, status, body = std::move(body),
-           headers = std::move(headers)] {
-            if (call->open && !call->ended) {
-              call->hooks.on_head(
-                  status, WithNotices(*call, WithLimit(*call, headers)));
-            }
-            if (call->open && !call->ended && !body.empty()) {
-              call->hooks.on_body(body);
-            }
-            if (call->open && !call->ended) {
-              call->ended = true;
-              call->hooks.on_end(Unit{});
-            }
-          });
+  RunOnEntry(call->entry, call->life,
+             [this, call, status, body = std::move(body),
+              headers = std::move(headers)] {
+               if (call->open && !call->ended) {
+                 call->hooks.on_head(
+                     status, WithNotices(*call, WithLimit(*call, headers)));
+               }
+               if (call->open && !call->ended && !body.empty()) {
+                 call->hooks.on_body(body);
+               }
+               if (call->open && !call->ended) {
+                 call->ended = true;
+                 call->hooks.on_end(Unit{});
+               }
+             });
 }
 
-void World::Arrive(const std::shared_ptr<Call>& call) {
+void Simulation::OnCallArrival(const std::shared_ptr<Call>& call) {
   if (!call->open && Chance(0.5)) {
     return;  // The call was closed before it arrived.
   }
-  Target* target = At(call->address);
+  Target* target = FindTarget(call->address);
   if (!target) {
-    End(call, ErrorCode::kUnknownEffect);
+    EndCall(call, ErrorCode::kUnknownEffect);
     return;
   }
   if (target->frozen) {
     // Read when the target resumes, if ever, even if the entry has given up.
-    time_.After(milliseconds(50), [this, call] { Arrive(call); });
+    time_.After(milliseconds(50), [this, call] { OnCallArrival(call); });
     return;
   }
   const std::string operation = FieldOf(call->request, kOperation);
-  if (Shed(call, *target)) {
+  if (TryShed(call, *target)) {
     return;
   }
   if (operation == "release") {
@@ -136,7 +138,7 @@
   }
 }
 
-void World::Prefill(const std::shared_ptr<Call>& call, Target* target) {
+void Simulation::Prefill(const std::shared_ptr<Call>& call, Target* target) {
   if (target->record.role != EngineRole::kPrefill) {
     Answer(call, 421, "");
     return;
@@ -146,7 +148,7 @@
     return;
   }
   if (Chance(0.03)) {
-    End(call, ErrorCode::kUnknownEffect);
+    EndCall(call, ErrorCode::kUnknownEffect);
     return;
   }
   if (Chance(0.02)) {
@@ -154,34 +156,35 @@
   }
   const std::string handle = "h" + std::to_string(++target->handles_made);
   target->handles.insert(handle);
-  time_.After(Between(milliseconds(5), milliseconds(200)),
+  time_.After(RandomBetween(milliseconds(5), milliseconds(200)),
               [this, call, handle] { Answer(call, 200, handle); });
 }
 
-bool World::TakeSource(const std::string& source) {
+bool Simulation::ConsumeHandle(const std::string& source) {
   const auto slash = source.find('/');
-  Target* from = At(source.substr(0, slash));
+  Target* from = FindTarget(source.substr(0, slash));
   return from && from->handles.erase(source.substr(slash + 1)) > 0;
 }
 
-void World::CountRun(const std::string& id) {
-  Ledger& ledger = ledgers_[id];
-  ++ledger.runs;
+void Simulation::CountRun(const std::string& id) {
+  RequestObservation& observation = observations_[id];
+  ++observation.runs;
   const bool may_run_once =
-      ledger.kind == Kind::kUnsafe || ledger.kind == Kind::kStream;
-  if (may_run_once && ledger.runs > 1) {
-    Violate("twice: " + id + " runs " + std::to_string(ledger.runs) + " times");
+      observation.kind == Kind::kUnsafe || observation.kind == Kind::kStream;
+  if (may_run_once && observation.runs > 1) {
+    AddViolation("twice: " + id + " runs " + std::to_string(observation.runs) +
+                 " times");
   }
-  if (may_run_once && ledger.told_not_run) {
-    Violate("denied: " + id + " runs after it was reported as not run");
+  if (may_run_once && observation.reported_not_run) {
+    AddViolation("denied: " + id + " runs after it was reported as not run");
   }
-  if (ledger.runs > static_cast<int>(kMaxAttempts)) {
-    Violate("attempts: " + id + " runs " + std::to_string(ledger.runs) +
-            " times");
+  if (observation.runs > static_cast<int>(kMaxAttempts)) {
+    AddViolation("attempts: " + id + " runs " +
+                 std::to_string(observation.runs) + " times");
   }
 }
 
-void World::Run(const std::shared_ptr<Call>& call, Target* target) {
+void Simulation::Run(const std::shared_ptr<Call>& call, Target* target) {
   const std::string id = FieldOf(call->request, kId);
   const bool is_engine = target->record.service == "llm";
   if (is_engine && target->record.role == EngineRole::kPrefill) {
@@ -189,14 +192,14 @@
     return;
   }
   const std::string source = FieldOf(call->request, kSource);
-  if (Chance(0.04) || (!source.empty() && !TakeSource(source))) {
+  if (Chance(0.04) || (!source.empty() && !ConsumeHandle(source))) {
     Answer(call, 503, "");
     return;
   }
   CountRun(id);
   const double fault = ToUnitInterval(random_());
   if (fault < 0.03) {
-    End(call, ErrorCode::kUnknownEffect);  // The answer is lost.
+    EndCall(call, ErrorCode::kUnknownEffect);  // The answer is lost.
     return;
   }
   if (fault < 0.05) {
@@ -207,7 +210,7 @@
     return;
   }
   if (!is_engine) {
-    time_.After(Between(milliseconds(1), milliseconds(60)),
+    time_.After(RandomBetween(milliseconds(1), milliseconds(60)),
                 [this, call, id] { Answer(call, 200, WholeAnswerText(id)); });
     return;
   }
@@ -215,10 +218,11 @@
   const int first = resume.empty() ? 1 : std::stoi(resume) + 1;
   report_.resumed += resume.empty() ? 0 : 1;
   const int breaks_at =
-      Chance(0.1) ? first + static_cast<int>(Below(4)) : 1000000;
-  time_.After(Between(milliseconds(1), milliseconds(80)), [this, call, id,
-                                                           first, breaks_at] {
-    ToEntry(call->entry, call->life, [this, call] {
+      Chance(0.1) ? first + static_cast<int>(RandomBelow(4)) : 1000000;
+  time_.After(RandomBetween(milliseconds(1), milliseconds(80)), [this, call, id,
+                                                                 first,
+                                                                 breaks_at] {
+    RunOnEntry(call->entry, call->life, [this, call] {
       if (call->open && !call->ended) {
         call->hooks.on_head(
             200, WithNotices(*call, WithLimit(*call, {{"Content-Type",
@@ -229,13 +233,13 @@
   });
 }
 
-void World::StreamEvent(const std::shared_ptr<Call>& call,
-                        const std::string& id, int number, int breaks_at) {
+void Simulation::StreamEvent(const std::shared_ptr<Call>& call,
+                             const std::string& id, int number, int breaks_at) {
   if (!call->open || call->ended) {
     return;
   }
-  if (number > EventsOf(id)) {
-    ToEntry(call->entry, call->life, [call] {
+  if (number > EventCount(id)) {
+    RunOnEntry(call->entry, call->life, [call] {
       if (call->open && !call->ended) {
         call->ended = true;
         call->hooks.on_end(Unit{});
@@ -245,15 +249,15 @@
   }
   const std::string event = EventText(id, number);
   if (number == breaks_at) {
-    Body(call, event.substr(0, Below(event.size())));
-    End(call, ErrorCode::kUnknownEffect);
+    SendBody(call, event.substr(0, RandomBelow(event.size())));
+    EndCall(call, ErrorCode::kUnknownEffect);
     return;
   }
-  Body(call, event);
-  time_.After(Between(milliseconds(2), milliseconds(30)),
+  SendBody(call, event);
+  time_.After(RandomBetween(milliseconds(2), milliseconds(30)),
               [this, call, id, number, breaks_at] {
                 StreamEvent(call, id, number + 1, breaks_at);
               });
 }
 
-}  // namespace indigolead::testing::direct_world
+}  // namespace indigolead::testing::direct_simulation
--- a/tests/support/direct_world/timeline.h
+++ b/tests/support/direct_world/timeline.h
@@ -8,7 +8,7 @@
 
 #include "core/base/time.h"
 
-namespace indigolead::testing::direct_world {
+namespace indigolead::testing::direct_simulation {
 
 /// Event queue that runs functions in order of simulated time.
 class Timeline {
@@ -45,6 +45,6 @@
   std::priority_queue<Event> events_;
 };
 
-}  // namespace indigolead::testing::direct_world
+}  // namespace indigolead::testing::direct_simulation
 
 #endif  // INDIGOLEAD_TESTS_SUPPORT_DIRECT_WORLD_TIMELINE_H_
--- a/tests/support/direct_world/troubles.cc
+++ b/tests/support/direct_world/troubles.cc
@@ -1,12 +1,12 @@
 #include "tests/support/direct_world/world.h"
 
-namespace indigolead::testing::direct_world {
+namespace indigolead::testing::direct_simulation {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-void World::AddTarget(const std::string& service, EngineRole role,
-                      const std::string& address) {
+void Simulation::AddTarget(const std::string& service, EngineRole role,
+                           const std::string& address) {
   auto target = std::make_unique<Target>();
   const std::uint64_t n = ++next_target_;
   target->record.id = "i" + std::to_string(n);
@@ -19,29 +19,29 @@
   targets_.push_back(std::move(target));
 }
 
-Target* World::RandomTarget() {
-  Target* target = targets_[Below(targets_.size())].get();
+Target* Simulation::RandomTarget() {
+  Target* target = targets_[RandomBelow(targets_.size())].get();
   return target->alive && !target->record.leaving ? target : nullptr;
 }
 
-void World::CrashTarget(Target* target) {
+void Simulation::CrashTarget(Target* target) {
   target->alive = false;
-  time_.After(Between(seconds(1), seconds(4)),
+  time_.After(RandomBetween(seconds(1), seconds(4)),
               [target] { target->listed = false; });
   // Its address may be reused by a target of another service.
   const TargetRecord was = target->record;
   const bool reused = Chance(0.4);
-  time_.After(Between(seconds(1), seconds(3)), [this, was, reused] {
+  time_.After(RandomBetween(seconds(1), seconds(3)), [this, was, reused] {
     const bool other = reused && Chance(0.5);
     AddTarget(other ? "app" : was.service,
               other ? EngineRole::kMixed : was.role, reused ? was.address : "");
   });
 }
 
-void World::NextTrouble() {
+void Simulation::InjectFault() {
   Target* target = RandomTarget();
-  const int entry = static_cast<int>(Below(entries_.size()));
-  switch (Below(7)) {
+  const int entry = static_cast<int>(RandomBelow(entries_.size()));
+  switch (RandomBelow(7)) {
     case 0:
       if (target) {
         CrashTarget(target);
@@ -50,14 +50,14 @@
     case 1:
       if (target) {
         target->frozen = true;
-        time_.After(Between(milliseconds(100), seconds(3)),
+        time_.After(RandomBetween(milliseconds(100), seconds(3)),
                     [target] { target->frozen = false; });
       }
       break;
     case 2:
       if (target) {  // Leaves: keeps serving for a while, then ends.
         target->record.leaving = true;
-        time_.After(Between(seconds(3), seconds(5)), [target] {
+        time_.After(RandomBetween(seconds(3), seconds(5)), [target] {
           target->alive = false;
           target->listed = false;
         });
@@ -72,12 +72,13 @@
       }
       break;
     case 4:
-      Freeze(entry, Between(milliseconds(50), seconds(2)));
+      Freeze(entry, RandomBetween(milliseconds(50), seconds(2)));
       break;
     case 5:
-      for (auto& [id, ledger] : ledgers_) {
-        ledger.cut = ledger.cut || (ledger.life == entries_[entry].life &&
-                                    ledger.finals == 0);
+      for (auto& [id, observation] : observations_) {
+        observation.cut =
+            observation.cut || (observation.life == entries_[entry].life &&
+                                observation.finals == 0);
       }
       CheckBudget(entries_[entry]);
       StartEntry(entry);
@@ -87,4 +88,4 @@
   }
 }
 
-}  // namespace indigolead::testing::direct_world
+}  // namespace indigolead::testing::direct_simulation
--- a/tests/support/direct_world/words.cc
+++ b/tests/support/direct_world/words.cc
@@ -2,7 +2,7 @@
 
 #include <functional>
 
-namespace indigolead::testing::direct_world {
+namespace indigolead::testing::direct_simulation {
 
 std::string FieldOf(const std::vector<HttpHeader>& headers, const char* name) {
   for (const HttpHeader& it : headers) {
@@ -17,7 +17,7 @@
   return FieldOf(request.headers, name);
 }
 
-int EventsOf(const std::string& id) {
+int EventCount(const std::string& id) {
   return 3 + static_cast<int>(std::hash<std::string>{}(id) % 6);
 }
 
@@ -28,7 +28,7 @@
 
 std::string WholeStream(const std::string& id) {
   std::string text;
-  for (int n = 1; n <= EventsOf(id); ++n) {
+  for (int n = 1; n <= EventCount(id); ++n) {
     text += EventText(id, n);
   }
   return text;
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-TargetDialect MakeWorldDialect() {
+TargetDialect MakeSimulatedDialect() {
   TargetDialect dialect;
   dialect.run = [](const CallerRequest& request, const TargetRecord& target,
                    const RunOptions& options) {
@@ -103,7 +103,7 @@
   dialect.requested_rest =
       [](const TargetRecord& /*target*/, int status,
          const std::vector<HttpHeader>& headers) -> Result<Duration> {
-    const std::string rest = FieldOf(headers, kRestMs);
+    const std::string rest = FieldOf(headers, kBackoffMs);
     return status == 503 && !rest.empty()
                ? Duration(std::chrono::milliseconds(std::stol(rest)))
                : Duration{0};
@@ -116,4 +116,4 @@
   return dialect;
 }
 
-}  // namespace indigolead::testing::direct_world
+}  // namespace indigolead::testing::direct_simulation
--- a/tests/support/direct_world/world.h
+++ b/tests/support/direct_world/world.h
@@ -11,18 +11,18 @@
 #include <vector>
 
 #include "entry/direct_dispatcher.h"
-#include "tests/support/direct_world.h"
+#include "tests/support/direct_simulation.h"
 #include "tests/support/direct_world/timeline.h"
 
-namespace indigolead::testing::direct_world {
+namespace indigolead::testing::direct_simulation {
 
 inline constexpr Duration kTick = std::chrono::milliseconds(25);
-inline constexpr Duration kTraffic =
+inline constexpr Duration kTrafficPeriod =
     std::chrono::seconds(12);  ///< Period with new requests.
-inline constexpr Duration kQuiet =
+inline constexpr Duration kQuietPeriod =
     std::chrono::seconds(12);  ///< Longer than any deadline.
 /// Allowed delay of a final answer past its deadline: two ticks.
-inline constexpr Duration kSlack = std::chrono::milliseconds(60);
+inline constexpr Duration kDeadlineTolerance = std::chrono::milliseconds(60);
 inline constexpr Duration kConnectTimeout = std::chrono::milliseconds(600);
 inline constexpr std::uint32_t kMaxAttempts = 2;
 inline constexpr double kRetryShare = 0.14;
@@ -32,18 +32,18 @@
 enum class Kind { kSafe, kUnsafe, kStream, kResumable };
 
 /// Rate limit that a target announces, and the calls received since then.
-struct NamedLimit {
+struct AnnouncedLimit {
   double per_second = 0;
-  std::optional<TimePoint> named_at;  ///< First answer that announced it.
+  std::optional<TimePoint> announced_at;  ///< First answer that announced it.
   /// Time at which each entry process first received the limit.
-  std::map<std::uint64_t, TimePoint> told;
-  std::vector<TimePoint> counted;  ///< Calls by entries that knew it.
+  std::map<std::uint64_t, TimePoint> received_at;
+  std::vector<TimePoint> informed_calls;  ///< Calls by entries that knew it.
 };
 
 /// Load shedding by an overloaded target.
 struct Shedding {
-  double share = 1;  ///< Fraction of requests that it refuses.
-  Duration rest{0};  ///< Back-off that it asks for.
+  double share = 1;     ///< Fraction of requests that it refuses.
+  Duration backoff{0};  ///< Back-off that it asks for.
 };
 
 /// Actual state of one target, whatever the entries believe.
@@ -55,17 +55,17 @@
   std::uint32_t running = 0;
   std::uint64_t handles_made = 0;
   std::set<std::string> handles;
-  std::optional<NamedLimit> limit;
+  std::optional<AnnouncedLimit> limit;
   std::optional<Shedding> shedding;
   /// Time until which each entry process was asked to back off.
-  std::map<std::uint64_t, TimePoint> rests;
-  bool says_leaving = false;
+  std::map<std::uint64_t, TimePoint> backoffs;
+  bool announces_leaving = false;
 };
 
 struct Call;
 
 /// Record of one request, as observed by its caller and the targets.
-struct Ledger {
+struct RequestObservation {
   Kind kind = Kind::kSafe;
   std::string service;
   TimePoint deadline;
@@ -75,9 +75,9 @@
   int sends = 0;     ///< Written calls that run it.
   int prefills = 0;  ///< Written calls that prefill its prompt.
   int finals = 0;
-  bool told_not_run = false;
+  bool reported_not_run = false;
   bool cut = false;
-  std::optional<TimePoint> gone_at;
+  std::optional<TimePoint> disconnected_at;
   std::string body;
   std::vector<std::weak_ptr<Call>> calls;
 };
@@ -95,15 +95,15 @@
 };
 
 /// Entries, callers and targets of one randomized simulation.
-class World {
+class Simulation {
  public:
-  World(std::uint64_t seed, const DirectWorldOptions& options)
+  Simulation(std::uint64_t seed, const DirectSimulationOptions& options)
       : options_(options),
         random_(MakeSeededRandom(seed)),
         limit_random_(MakeSeededRandom(~seed)),
         notice_random_(MakeSeededRandom(seed ^ kNoticeSeed)) {}
 
-  DirectWorldReport Play();
+  DirectSimulationReport Execute();
 
   /// Starts a call that an entry makes to `address`.
   void StartCall(const std::shared_ptr<Call>& call);
@@ -116,18 +116,18 @@
     std::optional<TimePoint> registered_at;
     TimePoint frozen_until{};
     std::vector<std::function<void()>> waiting;  ///< Deferred while frozen.
-    std::set<std::string> told_leaving;
+    std::set<std::string> known_leaving;
     std::map<std::string, int> requests;  ///< Of this process, by service.
     std::map<std::string, int> further;
   };
 
   bool Chance(double p) { return ToUnitInterval(random_()) < p; }
-  std::uint64_t Below(std::uint64_t n) { return random_() % n; }
-  Duration Between(Duration least, Duration most) {
+  std::uint64_t RandomBelow(std::uint64_t n) { return random_() % n; }
+  Duration RandomBetween(Duration least, Duration most) {
     return least + std::chrono::duration_cast<Duration>(
                        (most - least) * ToUnitInterval(random_()));
   }
-  void Violate(std::string what) {
+  void AddViolation(std::string what) {
     if (report_.violations.size() < 10) {
       report_.violations.push_back(std::move(what));
     }
@@ -139,28 +139,30 @@
   void CheckBudget(const Entry& entry);
   void CheckClosed(const std::string& id);
   void TickEntry(int number);
-  void TellTargets(int number);
-  void TellEntries(int number);
-  void ToEntry(int number, std::uint64_t life, std::function<void()> function);
+  void SendTargets(int number);
+  void SendEntries(int number);
+  void RunOnEntry(int number, std::uint64_t life,
+                  std::function<void()> function);
   void Freeze(int number, Duration length);
-  void Thaw(int number, std::uint64_t life);
+  void Unfreeze(int number, std::uint64_t life);
   void OnToCaller(int number, const ToCallers& message);
-  void Finish(Ledger* ledger);
-  void Refused(const std::string& id, Ledger* ledger, const Refusal& refusal);
+  void RecordFinalAnswer(RequestObservation* observation);
+  void OnRefused(const std::string& id, RequestObservation* observation,
+                 const Refusal& refusal);
 
   void NextRequest();
-  void NextTrouble();
+  void InjectFault();
   void CrashTarget(Target* target);
-  void NextLimit();
+  void StartLimit();
   void EndLimit(Target* target);
   void CountForLimit(const Call& call);
   std::vector<HttpHeader> WithLimit(const Call& call,
                                     std::vector<HttpHeader> headers);
-  void NextNotice();
+  void StartNotice();
   void BeginShedding(Target* target);
   void BeginLeaving(Target* target);
   /// Refuses the call if its target sheds it; returns true if so.
-  bool Shed(const std::shared_ptr<Call>& call, const Target& target);
+  bool TryShed(const std::shared_ptr<Call>& call, const Target& target);
   /// Checks that the target's notices permit this written call.
   void CheckNotices(const Call& call);
   /// Adds the target's notices to `headers` and records that the entry has
@@ -168,23 +170,23 @@
   std::vector<HttpHeader> WithNotices(const Call& call,
                                       std::vector<HttpHeader> headers);
 
-  Target* At(const std::string& address);
+  Target* FindTarget(const std::string& address);
   Target* RandomTarget();
-  void End(const std::shared_ptr<Call>& call, ErrorCode code);
+  void EndCall(const std::shared_ptr<Call>& call, ErrorCode code);
   void Answer(const std::shared_ptr<Call>& call, int status, std::string body,
               std::vector<HttpHeader> headers = {});
-  void Arrive(const std::shared_ptr<Call>& call);
+  void OnCallArrival(const std::shared_ptr<Call>& call);
   void Prefill(const std::shared_ptr<Call>& call, Target* target);
   void Run(const std::shared_ptr<Call>& call, Target* target);
-  bool TakeSource(const std::string& source);
+  bool ConsumeHandle(const std::string& source);
   void CountRun(const std::string& id);
   void StreamEvent(const std::shared_ptr<Call>& call, const std::string& id,
                    int number, int breaks_at);
-  void Body(const std::shared_ptr<Call>& call, std::string data);
+  void SendBody(const std::shared_ptr<Call>& call, std::string data);
 
   static constexpr std::uint64_t kNoticeSeed = 0x7e57;
 
-  DirectWorldOptions options_;
+  DirectSimulationOptions options_;
   RandomSource random_;
   RandomSource limit_random_;  ///< Separate: limits shift no other draw.
   RandomSource notice_random_;
@@ -192,16 +194,16 @@
   boost::asio::io_context io_;
   std::vector<std::unique_ptr<Target>> targets_;
   std::map<int, Entry> entries_;
-  std::map<std::string, Ledger> ledgers_;
+  std::map<std::string, RequestObservation> observations_;
   std::map<RequestId, std::string> names_;
   std::uint64_t next_target_ = 0;
   std::uint64_t next_request_ = 0;
   std::uint64_t next_life_ = 0;
   std::uint64_t next_id_ = 0;
   bool store_down_ = false;
-  DirectWorldReport report_;
+  DirectSimulationReport report_;
 };
 
-}  // namespace indigolead::testing::direct_world
+}  // namespace indigolead::testing::direct_simulation
 
 #endif  // INDIGOLEAD_TESTS_SUPPORT_DIRECT_WORLD_WORLD_H_
--- a/tests/support/fleet.cc
+++ b/tests/support/fleet.cc
@@ -13,7 +13,7 @@
 using Json = nlohmann::json;
 
 constexpr char kApiKey[] = "example-key-gran-via";
-constexpr auto kPatience = std::chrono::seconds(60);
+constexpr auto kTestTimeout = std::chrono::seconds(60);
 constexpr const char* kDomains[] = {"bilbao-a", "bilbao-b", "oviedo"};
 
 const char* DomainOf(std::size_t n) { return kDomains[n % 3]; }
@@ -107,7 +107,7 @@
   return runs;
 }
 
-std::size_t Fleet::CutRuns() {
+std::size_t Fleet::AbortedRuns() {
   std::size_t cut = 0;
   for (std::size_t n = 0; n < targets_.size(); ++n) {
     cut +=
@@ -153,7 +153,7 @@
                               Call(n, "GET", "/salon/menu").status == 200;
         return models && services;
       },
-      kPatience);
+      kTestTimeout);
 }
 
 void Fleet::RestartEngine(std::size_t n) {
@@ -173,7 +173,7 @@
 }
 
 void Fleet::RestartEntry(std::size_t n) {
-  EntryProcessOf& it = entries_.at(n);
+  EntryHandle& it = entries_.at(n);
   it.process.reset();
   it.process = std::make_unique<Process>(
       "indigolead",
@@ -208,7 +208,7 @@
   it.arguments.push_back("--port=" +
                          it.address.substr(it.address.find(':') + 1));
   std::string seeds;
-  for (const EntryProcessOf& entry : entries_) {
+  for (const EntryHandle& entry : entries_) {
     seeds += (seeds.empty() ? "" : ", ") + entry.link;
   }
   const bool engine = kind == "engine";
@@ -225,7 +225,7 @@
 }
 
 void Fleet::StartEntry(std::size_t n) {
-  EntryProcessOf it;
+  EntryHandle it;
   it.name = "entry-" + std::to_string(n);
   it.settings_file = WriteSettings(
       it.name, "[instance]\nname = " + it.name +
@@ -257,7 +257,7 @@
   Process apply("indigolead",
                 {"apply", "--store=" + store_address_, "--author=test",
                  "--note=fleet of a test", copy.string()});
-  const auto code = apply.WaitForExit(kPatience);
+  const auto code = apply.WaitForExit(kTestTimeout);
   if (code != 0) {
     throw std::runtime_error("expected apply to exit with 0; output:\n" +
                              apply.output());
--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -57,7 +57,7 @@
   std::size_t RunsWithKey(const std::string& key);
 
   /// Returns the number of runs aborted by an order at the live engines.
-  std::size_t CutRuns();
+  std::size_t AbortedRuns();
 
   /// Returns the number of runs that target `n` has started since its start.
   std::size_t RunsAt(std::size_t n);
@@ -99,7 +99,7 @@
     std::unique_ptr<Process> target;
     std::unique_ptr<Process> side;
   };
-  struct EntryProcessOf {
+  struct EntryHandle {
     std::string name;
     std::string settings_file;
     std::string http;
@@ -122,7 +122,7 @@
   std::filesystem::path folder_;
   std::string store_address_;
   std::unique_ptr<Process> platform_;
-  std::vector<EntryProcessOf> entries_;
+  std::vector<EntryHandle> entries_;
   std::vector<TargetPair> targets_;
   std::vector<std::pair<std::string, std::string>> records_;
 };
--- a/tests/support/flow_driver.cc
+++ b/tests/support/flow_driver.cc
@@ -49,7 +49,7 @@
               ++seen_[it.request].finals;
             },
             [&](AnswerWhole& it) {
-              SeenAnswer& seen = seen_[it.request];
+              ReceivedAnswer& seen = seen_[it.request];
               seen.status = it.answer.status;
               seen.body = it.answer.body;
               seen.whole = true;
--- a/tests/support/flow_driver.h
+++ b/tests/support/flow_driver.h
@@ -12,7 +12,7 @@
 namespace indigolead {
 
 /// Parts of one answer that a caller has received so far.
-struct SeenAnswer {
+struct ReceivedAnswer {
   int status = 0;
   std::string body;
   bool whole = false;
@@ -55,7 +55,7 @@
            const std::string& body,
            AttemptOutcome outcome = AttemptOutcome::kComplete);
 
-  const SeenAnswer& seen(const RequestId& id) { return seen_[id]; }
+  const ReceivedAnswer& seen(const RequestId& id) { return seen_[id]; }
 
   std::vector<SendStart> starts;
   std::vector<SendCancel> cancels;
@@ -67,7 +67,7 @@
   std::uint64_t next_id_ = 1;
   std::uint64_t next_link_ = 1;
   RequestFlow flow_;
-  std::map<RequestId, SeenAnswer> seen_;
+  std::map<RequestId, ReceivedAnswer> seen_;
 };
 
 }  // namespace indigolead
--- a/tests/support/limit_rule.h
+++ b/tests/support/limit_rule.h
@@ -6,21 +6,21 @@
 #include <vector>
 
 // Operator's requirement on targets that announce a rate limit: in any span of
-// `kLimitSpan`, entries that received the limit at least `kLimitTold` ago send
-// at most `kLimitTolerance` times what the limit allows plus `kLimitSlack`
-// requests. It holds from `kLimitContact` after the limit was first announced.
-// The first such span begins before that moment and counts in full.
+// `kLimitSpan`, entries that received the limit at least `kLimitReaction` ago
+// send at most `kLimitTolerance` times what the limit allows plus `kLimitSlack`
+// requests. It holds from `kLimitGracePeriod` after the limit was first
+// announced. The first such span begins before that moment and counts in full.
 namespace indigolead::testing {
 
 inline constexpr std::chrono::seconds kLimitSpan{4};
 inline constexpr double kLimitTolerance = 1.5;
 inline constexpr double kLimitSlack = 5;
-inline constexpr std::chrono::milliseconds kLimitTold{500};
-inline constexpr std::chrono::seconds kLimitContact{3};
+inline constexpr std::chrono::milliseconds kLimitReaction{500};
+inline constexpr std::chrono::seconds kLimitGracePeriod{3};
 
 /// Returns the number of requests that a limit of `per_second` allows in one
 /// `kLimitSpan`.
-inline double MostAllowed(double per_second) {
+inline double MaxAllowedInSpan(double per_second) {
   return kLimitTolerance * per_second *
              static_cast<double>(kLimitSpan.count()) +
          kLimitSlack;
@@ -29,8 +29,8 @@
 /// Returns the maximum number of `times` in any `kLimitSpan` between `from` and
 /// `to`. `times` must be sorted.
 template <typename Time>
-int MostInSpan(const std::vector<Time>& times, Time from,
-               Time to = Time::max()) {
+int MaxInSpan(const std::vector<Time>& times, Time from,
+              Time to = Time::max()) {
   int most = 0;
   auto first = std::lower_bound(times.begin(), times.end(), from);
   for (auto it = first; it != times.end() && *it < to; ++it) {
@@ -45,7 +45,7 @@
 /// Returns the maximum number of `times` in any `kLimitSpan` that ends at
 /// `from` or later. `times` must be sorted.
 template <typename Time>
-int MostInSpanEnding(const std::vector<Time>& times, Time from) {
+int MaxInSpanEnding(const std::vector<Time>& times, Time from) {
   int most = 0;
   auto first = times.begin();
   for (auto it = times.begin(); it != times.end(); ++it) {
--- a/tests/support/retry_fleet.cc
+++ b/tests/support/retry_fleet.cc
@@ -132,8 +132,8 @@
   slots_.at(entry).frozen = frozen;
 }
 
-void RetryFleet::SetCut(std::size_t entry, bool cut) {
-  slots_.at(entry).cut = cut;
+void RetryFleet::SetDisconnected(std::size_t entry, bool is_disconnected) {
+  slots_.at(entry).is_disconnected = is_disconnected;
 }
 
 bool RetryFleet::IsRunning(std::size_t entry) const {
@@ -160,7 +160,7 @@
     }
     // Without a connection an entry makes no call; its list and registration
     // only age.
-    if (tick && it.process && !it.frozen && !it.cut) {
+    if (tick && it.process && !it.frozen && !it.is_disconnected) {
       it.process->keeper().Tick();
     }
   }
@@ -175,26 +175,26 @@
 
 void RetryFleet::Ask() {
   requests_.push_back(now_);
-  const int wishes = failing_ ? options_.wishes : 0;
-  wanted_ += wishes;
+  const int retries_per_failure = failing_ ? options_.retries_per_failure : 0;
+  wanted_retries_ += retries_per_failure;
   Slot& slot = slots_[random_() % slots_.size()];
   if (!slot.process || slot.frozen) {
     return;
   }
   EntryRetryBudget& budget = slot.process->budget();
   budget.OnRequest(now_);
-  for (int it = 0; it < wishes; ++it) {
+  for (int it = 0; it < retries_per_failure; ++it) {
     if (!budget.TryTake(options_.arrivals_of_attempt, now_)) {
       break;
     }
-    further_.insert(further_.end(),
-                    static_cast<std::size_t>(options_.arrivals_of_attempt),
-                    now_);
+    retry_arrivals_.insert(
+        retry_arrivals_.end(),
+        static_cast<std::size_t>(options_.arrivals_of_attempt), now_);
   }
 }
 
 RetryWindow RetryFleet::Worst() const {
-  return WorstRetryWindow(options_.rule, requests_, further_);
+  return WorstRetryWindow(options_.rule, requests_, retry_arrivals_);
 }
 
 }  // namespace indigolead::testing
--- a/tests/support/retry_fleet.h
+++ b/tests/support/retry_fleet.h
@@ -25,7 +25,7 @@
     std::size_t entries = 4;
     double requests_per_second = 32;
     double arrivals_of_attempt = 1;  ///< 2: separate prefill.
-    int wishes = 3;  ///< Retries that a failing request asks for.
+    int retries_per_failure = 3;  ///< Retries that a failing request asks for.
     RetryRule rule;
     std::uint64_t seed = 1;
   };
@@ -51,13 +51,13 @@
   void Stop(std::size_t entry);
   void SetFrozen(std::size_t entry, bool frozen);
   /// While set, the store answers none of the entry's calls.
-  void SetCut(std::size_t entry, bool cut);
+  void SetDisconnected(std::size_t entry, bool is_disconnected);
   bool IsRunning(std::size_t entry) const;
 
   FakePlatform& platform() { return platform_; }
   RetryWindow Worst() const;
-  int granted() const { return static_cast<int>(further_.size()); }
-  int wanted() const { return wanted_; }
+  int granted() const { return static_cast<int>(retry_arrivals_.size()); }
+  int wanted_retries() const { return wanted_retries_; }
 
  private:
   class Process;
@@ -65,7 +65,7 @@
     std::string name;
     std::unique_ptr<Process> process;
     bool frozen = false;
-    bool cut = false;
+    bool is_disconnected = false;
     TimePoint ends_at = TimePoint::max();  ///< Set while stopping.
   };
 
@@ -81,10 +81,10 @@
   double due_ = 0;  ///< Requests due, including a fraction.
   std::vector<Slot> slots_;
   bool failing_ = false;
-  int wanted_ = 0;
+  int wanted_retries_ = 0;
   std::uint64_t incarnations_ = 0;
   std::vector<TimePoint> requests_;
-  std::vector<TimePoint> further_;
+  std::vector<TimePoint> retry_arrivals_;
 };
 
 }  // namespace indigolead::testing
--- a/tests/support/retry_rule.h
+++ b/tests/support/retry_rule.h
@@ -47,9 +47,9 @@
                              const std::vector<Time>& requests,
                              const std::vector<Time>& further) {
   const auto window = rule.window;
-  constexpr std::chrono::nanoseconds kLeast{1};
+  constexpr std::chrono::nanoseconds kSmallestStep{1};
   RetryWindow worst;
-  const auto look = [&](Time from) {
+  const auto consider = [&](Time from) {
     RetryWindow it;
     it.further = CountBetween(further, from, from + window);
     it.requests = std::max(
@@ -63,8 +63,8 @@
     }
   };
   for (const Time it : further) {
-    look(it);
-    look(it + kLeast - window);
+    consider(it);
+    consider(it + kSmallestStep - window);
   }
   return worst;
 }
--- a/tests/support/store_world.cc
+++ b/tests/support/store_world.cc
@@ -14,7 +14,7 @@
 constexpr std::chrono::seconds kGenerousBound{30};
 constexpr std::chrono::milliseconds kStep{5};
 
-class FakeWorld : public StoreWorld {
+class FakeStoreFixture : public StoreFixture {
  public:
   ObjectStore& store() override { return store_; }
   void SetFaults(const standins::PlatformFaults& faults) override {
@@ -38,7 +38,7 @@
   FakeObjectStore store_{&io_, &platform_, kWatchSilence};
 };
 
-class HttpWorld : public StoreWorld {
+class HttpStoreFixture : public StoreFixture {
  public:
   ObjectStore& store() override { return store_; }
   void SetFaults(const standins::PlatformFaults& faults) override {
@@ -70,7 +70,7 @@
   HttpObjectStore store_{&io_, Options(), BootTimeNow, &metrics_};
 };
 
-class PlatformWorld : public StoreWorld {
+class PlatformStoreFixture : public StoreFixture {
  public:
   ObjectStore& store() override { return store_; }
   void SetFaults(const standins::PlatformFaults& faults) override {
@@ -126,7 +126,7 @@
 
 }  // namespace
 
-bool StoreWorld::RunUntil(const std::function<bool()>& condition) {
+bool StoreFixture::RunUntil(const std::function<bool()>& condition) {
   const auto deadline = std::chrono::steady_clock::now() + kGenerousBound;
   while (!condition()) {
     if (std::chrono::steady_clock::now() > deadline) {
@@ -138,14 +138,14 @@
   return true;
 }
 
-std::unique_ptr<StoreWorld> MakeStoreWorld(const std::string& kind) {
+std::unique_ptr<StoreFixture> MakeStoreFixture(const std::string& kind) {
   if (kind == "http") {
-    return std::make_unique<HttpWorld>();
+    return std::make_unique<HttpStoreFixture>();
   }
   if (kind == "platform") {
-    return std::make_unique<PlatformWorld>();
+    return std::make_unique<PlatformStoreFixture>();
   }
-  return std::make_unique<FakeWorld>();
+  return std::make_unique<FakeStoreFixture>();
 }
 
 }  // namespace indigolead::testing
--- a/tests/support/store_world.h
+++ b/tests/support/store_world.h
@@ -16,12 +16,12 @@
 
 /// An `ObjectStore` and its platform, in memory or over HTTP, so that the same
 /// tests run against each kind.
-class StoreWorld {
+class StoreFixture {
  public:
   /// Time after which a silent watch ends, short because tests wait for it.
   static constexpr std::chrono::milliseconds kWatchSilence{1500};
 
-  virtual ~StoreWorld() = default;
+  virtual ~StoreFixture() = default;
 
   virtual ObjectStore& store() = 0;
   virtual void SetFaults(const standins::PlatformFaults& faults) = 0;
@@ -56,7 +56,7 @@
 
 /// Returns a store of kind "fake", "http", or "platform". The last is the
 /// users' platform, whose store has a different protocol.
-std::unique_ptr<StoreWorld> MakeStoreWorld(const std::string& kind);
+std::unique_ptr<StoreFixture> MakeStoreFixture(const std::string& kind);
 
 }  // namespace indigolead::testing
 
