--- a/tests/core/control/authority_test.cc
+++ b/tests/core/control/authority_test.cc
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "tests/support/control_world.h"
+#include "tests/support/control_simulation.h"
 
 namespace indigolead::testing {
 namespace {
--- a/tests/platform/soak_process_test.cc
+++ b/tests/platform/soak_process_test.cc
@@ -20,8 +20,8 @@
 #include "core/base/random.h"
 #include "tests/platform/support/platform_scene.h"
 #include "tests/platform/support/repeats.h"
+#include "tests/support/backoff_rule.h"
 #include "tests/support/limit_rule.h"
-#include "tests/support/rest_rule.h"
 #include "tests/support/retry_rule.h"
 
 namespace indigolead::testing {
--- a/tests/platform/support/model_worker.h
+++ b/tests/platform/support/model_worker.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "standins/http_server.h"
-#include "tests/support/rest_rule.h"
+#include "tests/support/backoff_rule.h"
 
 namespace indigolead::testing {
 
--- a/tests/platform/target_rest_process_test.cc
+++ b/tests/platform/target_rest_process_test.cc
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "tests/platform/support/platform_scene.h"
-#include "tests/support/rest_rule.h"
+#include "tests/support/backoff_rule.h"
 
 namespace indigolead::testing {
 namespace {
--- a/tests/shell/crash_service_test.cc
+++ b/tests/shell/crash_service_test.cc
@@ -7,7 +7,7 @@
 #include "entry/crash_report_json.h"
 #include "runtime/clock.h"
 #include "tests/support/fuzz.h"
-#include "tests/support/store_world.h"
+#include "tests/support/store_fixture.h"
 
 namespace indigolead {
 namespace {
--- a/tests/shell/direct_world_test.cc
+++ b/tests/shell/direct_simulation_test.cc
@@ -1,9 +1,9 @@
+#include "tests/support/direct_simulation.h"
+
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <string>
 
-#include "tests/support/direct_simulation.h"
-
 namespace indigolead::testing {
 namespace {
 
--- a/tests/shell/idempotent_write_test.cc
+++ b/tests/shell/idempotent_write_test.cc
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 
 #include "runtime/clock.h"
-#include "tests/support/store_world.h"
+#include "tests/support/store_fixture.h"
 
 namespace indigolead {
 namespace {
--- a/tests/shell/object_store_contract_test.cc
+++ b/tests/shell/object_store_contract_test.cc
@@ -2,7 +2,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "tests/support/store_world.h"
+#include "tests/support/store_fixture.h"
 
 namespace indigolead {
 namespace {
--- a/tests/support/rest_rule.h
+++ b/tests/support/backoff_rule.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_TESTS_SUPPORT_REST_RULE_H_
-#define INDIGOLEAD_TESTS_SUPPORT_REST_RULE_H_
+#ifndef INDIGOLEAD_TESTS_SUPPORT_BACKOFF_RULE_H_
+#define INDIGOLEAD_TESTS_SUPPORT_BACKOFF_RULE_H_
 
 #include <algorithm>
 #include <chrono>
@@ -72,4 +72,4 @@
 
 }  // namespace indigolead::testing
 
-#endif  // INDIGOLEAD_TESTS_SUPPORT_REST_RULE_H_
+#endif  // INDIGOLEAD_TESTS_SUPPORT_BACKOFF_RULE_H_
--- a/tests/support/control_world.cc
+++ b/tests/support/control_simulation.cc
@@ -1,4 +1,4 @@
-#include "tests/support/control_world.h"
+#include "tests/support/control_simulation.h"
 
 #include <algorithm>
 #include <utility>
--- a/tests/support/control_world_sides.cc
+++ b/tests/support/control_simulation_sides.cc
@@ -6,7 +6,7 @@
 
 #include "core/config/enum_names.h"
 #include "entry/control_state.h"
-#include "tests/support/control_world.h"
+#include "tests/support/control_simulation.h"
 
 namespace indigolead::testing {
 namespace {
--- a/tests/support/direct_simulation.cc
+++ b/tests/support/direct_simulation.cc
@@ -1,6 +1,6 @@
 #include "tests/support/direct_simulation.h"
 
-#include "tests/support/direct_world/world.h"
+#include "tests/support/direct_simulation/simulation.h"
 
 namespace indigolead::testing {
 namespace direct_simulation {
--- a/tests/support/direct_world/entries.cc
+++ b/tests/support/direct_simulation/entries.cc
@@ -1,5 +1,5 @@
-#include "tests/support/direct_world/words.h"
-#include "tests/support/direct_world/world.h"
+#include "tests/support/direct_simulation/messages.h"
+#include "tests/support/direct_simulation/simulation.h"
 
 namespace indigolead::testing::direct_simulation {
 
--- a/tests/support/direct_world/troubles.cc
+++ b/tests/support/direct_simulation/faults.cc
@@ -1,4 +1,4 @@
-#include "tests/support/direct_world/world.h"
+#include "tests/support/direct_simulation/simulation.h"
 
 namespace indigolead::testing::direct_simulation {
 
--- a/tests/support/direct_world/limits.cc
+++ b/tests/support/direct_simulation/limits.cc
@@ -1,5 +1,5 @@
-#include "tests/support/direct_world/words.h"
-#include "tests/support/direct_world/world.h"
+#include "tests/support/direct_simulation/messages.h"
+#include "tests/support/direct_simulation/simulation.h"
 #include "tests/support/limit_rule.h"
 
 // Targets that announce a rate limit for all entries together.
--- a/tests/support/direct_world/words.cc
+++ b/tests/support/direct_simulation/messages.cc
@@ -1,4 +1,4 @@
-#include "tests/support/direct_world/words.h"
+#include "tests/support/direct_simulation/messages.h"
 
 #include <functional>
 
--- a/tests/support/direct_world/notices.cc
+++ b/tests/support/direct_simulation/notices.cc
@@ -1,7 +1,7 @@
 #include <iterator>
 
-#include "tests/support/direct_world/words.h"
-#include "tests/support/direct_world/world.h"
+#include "tests/support/direct_simulation/messages.h"
+#include "tests/support/direct_simulation/simulation.h"
 
 // Targets that ask an entry to back off, or announce that they leave.
 namespace indigolead::testing::direct_simulation {
--- a/tests/support/direct_world/world.h
+++ b/tests/support/direct_simulation/simulation.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_TESTS_SUPPORT_DIRECT_WORLD_WORLD_H_
-#define INDIGOLEAD_TESTS_SUPPORT_DIRECT_WORLD_WORLD_H_
+#ifndef INDIGOLEAD_TESTS_SUPPORT_DIRECT_SIMULATION_SIMULATION_H_
+#define INDIGOLEAD_TESTS_SUPPORT_DIRECT_SIMULATION_SIMULATION_H_
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -12,7 +12,7 @@
 
 #include "entry/direct_dispatcher.h"
 #include "tests/support/direct_simulation.h"
-#include "tests/support/direct_world/timeline.h"
+#include "tests/support/direct_simulation/timeline.h"
 
 namespace indigolead::testing::direct_simulation {
 
@@ -206,4 +206,4 @@
 
 }  // namespace indigolead::testing::direct_simulation
 
-#endif  // INDIGOLEAD_TESTS_SUPPORT_DIRECT_WORLD_WORLD_H_
+#endif  // INDIGOLEAD_TESTS_SUPPORT_DIRECT_SIMULATION_SIMULATION_H_
--- a/tests/support/store_world.cc
+++ b/tests/support/store_fixture.cc
@@ -1,4 +1,4 @@
-#include "tests/support/store_world.h"
+#include "tests/support/store_fixture.h"
 
 #include <nlohmann/json.hpp>
 
--- a/tests/support/store_world.h
+++ b/tests/support/store_fixture.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_TESTS_SUPPORT_STORE_WORLD_H_
-#define INDIGOLEAD_TESTS_SUPPORT_STORE_WORLD_H_
+#ifndef INDIGOLEAD_TESTS_SUPPORT_STORE_FIXTURE_H_
+#define INDIGOLEAD_TESTS_SUPPORT_STORE_FIXTURE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <chrono>
@@ -60,4 +60,4 @@
 
 }  // namespace indigolead::testing
 
-#endif  // INDIGOLEAD_TESTS_SUPPORT_STORE_WORLD_H_
+#endif  // INDIGOLEAD_TESTS_SUPPORT_STORE_FIXTURE_H_
