--- a/src/core/base/time.h
+++ b/src/core/base/time.h
@@ -28,8 +28,9 @@
 /// Returns the current time; injected so that tests can set it.
 using Clock = std::function<TimePoint()>;
 
-/// Calendar time in microseconds since 1970, for people and for the audit trail
-/// only. No decision depends on it.
+/// Calendar time in microseconds since 1970, for display, the audit trail and
+/// the windows of usage reports (see `SteadyCalendar`). No other decision
+/// depends on it.
 using WallMicros = std::int64_t;
 
 /// Returns calendar time; injected for the same reason as `Clock`.
--- a/src/core/claims/claim_home.h
+++ b/src/core/claims/claim_home.h
@@ -97,7 +97,9 @@
     std::vector<JournalRef> sources;
     std::set<JournalRef> absorbed;
     std::uint64_t ready_at = 0;  ///< Position that must be durable first.
-    bool gaps_recorded = true;   ///< The journal lists its gaps.
+    /// True unless the slot is incomplete and the journal in the store does not
+    /// say so yet.
+    bool gaps_recorded = true;
     /// Incomplete sources whose writer may still be running.
     std::set<JournalRef> incomplete_sources;
     /// Until this time, a key without a claim gets `kUnknown`.
--- a/src/core/claims/claim_journal.h
+++ b/src/core/claims/claim_journal.h
@@ -76,7 +76,7 @@
   friend bool operator==(const DeleteSegment&, const DeleteSegment&) = default;
 };
 
-/// Mark of a witness on one generation of a journal. The first mark set stays.
+/// Mark of a witness on one generation of a journal. A mark never changes.
 enum class WitnessMark {
   kNone,
   kDegraded,  ///< The home may grant without a store write.
@@ -172,7 +172,8 @@
   std::uint64_t released() const { return released_; }
   /// Returns the newest position whose record is in the store.
   std::uint64_t durable() const { return durable_; }
-  /// Returns true if the last incomplete slots set are in the store.
+  /// Returns true if the slots passed to the last `SetIncompleteSlots` are in
+  /// the store.
   bool gaps_durable() const { return opened_ && !gaps_changed_; }
   /// Returns true once a read has shown that a successor sealed this journal.
   bool fenced() const { return fenced_; }
--- a/src/core/claims/journal_absorber.h
+++ b/src/core/claims/journal_absorber.h
@@ -42,7 +42,7 @@
   /// Earlier records are left out: if a successor died after copying only some
   /// of them, a later reader could mistake an old state for the newest.
   const std::vector<ClaimRecord>& records() const { return records_; }
-  /// Returns the slots for which the old home recorded gaps. Valid once
+  /// Returns the slots that the old home recorded as incomplete. Valid once
   /// `done()`.
   const std::vector<std::uint32_t>& incomplete_slots() const {
     return last_segment_.incomplete_slots;
--- a/src/core/config/revision_json.h
+++ b/src/core/config/revision_json.h
@@ -3,8 +3,7 @@
 
 // JSON encoding of a revision, as stored in the object API and exchanged
 // between processes. Durations are integers in microseconds with names that end
-// in
-// "_us"; digests are 16 hexadecimal digits.
+// in "_us"; digests are 16 hexadecimal digits.
 
 #include <cstdint>
 #include <string>
--- a/src/core/control/lease.h
+++ b/src/core/control/lease.h
@@ -97,7 +97,7 @@
     /// stay unchanged before a reserve takes it. The extra time is longer than
     /// two read intervals: a single read may show an old renewal as new, and
     /// only a second read of the same version shows that the holder is gone.
-    /// Without it, each reserve takes every lease for lapsed between two reads
+    /// Without it, each reserve considers every lease lapsed between two reads
     /// and sends one conflicting write per second.
     Duration reserve_read_interval = std::chrono::seconds(15);
     Duration reserve_extra_wait = std::chrono::seconds(32);
--- a/src/core/control/order_executor.h
+++ b/src/core/control/order_executor.h
@@ -63,10 +63,10 @@
 /// Not every engine rejects an old fencing number, and no engine can be asked
 /// to wait for its requests to end. All orders reach the engine through its
 /// side, so the side does both. It confirms the number with the store before it
-/// drains and again right before it writes, and it lets the running attempts
-/// end. It writes the next order only when the engine's state shows the outcome
-/// of the last one. A process that was paused in between finds its confirmation
-/// expired, because the age counts from before the read was sent.
+/// drains the target and again right before it writes, and it lets the running
+/// attempts end. It writes the next order only when the engine's state shows
+/// the outcome of the last one. A process that was paused in between finds its
+/// confirmation expired, because the age counts from before the read was sent.
 class OrderExecutor {
  public:
   struct Options {
@@ -89,7 +89,8 @@
 
   struct Hooks {
     std::function<void(const OrderReport&)> report;
-    /// Admits new attempts, or rejects them as not run.
+    /// Opens or closes the gate of the target. While it is closed, new attempts
+    /// are rejected as not run.
     std::function<void(bool open)> set_gate;
     /// Reads the newest fencing number from the store; answered by
     /// `OnConfirmed`.
--- a/src/core/control/reconciler.h
+++ b/src/core/control/reconciler.h
@@ -136,7 +136,7 @@
   struct TrackedTarget {
     std::optional<TargetObservation> seen;
     StoredOrder stored;
-    bool void_order = false;  ///< Written after its number ended.
+    bool void_order = false;  ///< Written under a superseded number.
     std::optional<OrderPhase> phase;
     std::string detail;
     TimePoint ordered_at;
--- a/src/core/control/reconciler_state.cc
+++ b/src/core/control/reconciler_state.cc
@@ -135,8 +135,8 @@
   if (stored.version < tracked->stored.version) {
     return;  // A stale read.
   }
-  // ValueOrProblems again even for the same version: a newer lease may show
-  // that the order was written after its fencing number was superseded.
+  // Checked again even for the same version: a newer lease may show that the
+  // order was written after its fencing number was superseded.
   tracked->void_order = stored.order && !WrittenUnderAuthority(stored, lease);
   if (stored.version == tracked->stored.version) {
     return;
--- a/src/core/control/stage_control.h
+++ b/src/core/control/stage_control.h
@@ -55,12 +55,13 @@
   struct Options {
     /// Minimum change of the plan, as a share of the engines and as a number of
     /// engines; a plan that is off by less is kept. An entry that sees a
-    /// twentieth of the traffic knows the load to within a tenth, and each
-    /// change makes an engine unavailable for seconds.
+    /// twentieth of the traffic can estimate the load only to within a tenth,
+    /// and each change makes an engine unavailable for seconds.
     double min_shift_share = 0.1;
     double min_shift_engines = 1;
-    /// Time for which the load must ask for another plan. Longer than the
-    /// bursts of one kind of work, which placement absorbs.
+    /// Time for which the load must require another plan before the plan is
+    /// changed. Longer than the bursts of one kind of work, which placement
+    /// absorbs.
     Duration shift_after = std::chrono::seconds(3);
     /// Minimum number of decode engines: with fewer, one loss would leave a
     /// single engine for all decode work. With more failure domains than this,
@@ -77,7 +78,8 @@
     /// Time after which an accepted order that does not show in the list is
     /// sent again: twice the time of a change plus the list's lag.
     Duration confirm_timeout = std::chrono::seconds(9);
-    /// Delay after a refusal, in which another order can end.
+    /// Delay after a refusal before the next order to the engine, in which
+    /// another order can end.
     Duration retry_interval = std::chrono::seconds(1);
     /// Time after an order without answer in which nothing different may be
     /// sent to its engine; the order may still take effect up to 12 s later.
--- a/src/core/membership/change_budget.h
+++ b/src/core/membership/change_budget.h
@@ -8,7 +8,7 @@
 /// Upper bounds, set by the operator, on how long changes in the store may take
 /// to reach every entry.
 struct ChangeBounds {
-  /// From a change until no entry acts on the state before it any more.
+  /// Longest time from a change until no entry acts on the previous state.
   Duration in_force{0};
   /// Recovery time after an outage of the store or of an entry's connection to
   /// it. `in_force` applies again once it has passed.
@@ -31,16 +31,19 @@
 /// - `LostCallDelay() <= 2 * heartbeat` if one watch call gets no answer;
 /// - `RecoveryDelay() <= recovery` after an outage or a loss of the connection.
 struct ChangeBudget {
-  Duration rest{0};               ///< Longest pause between two watch calls.
-  Duration watch_wait{0};         ///< Time a watch call waits for changes.
-  Duration watch_slack{0};        ///< Time beyond `watch_wait` to a lost call.
+  Duration rest{0};        ///< Longest pause between two watch calls.
+  Duration watch_wait{0};  ///< Time a watch call waits for changes.
+  /// Time after `watch_wait` until a call without an answer counts as lost.
+  Duration watch_slack{0};
   Duration first_retry_delay{0};  ///< From a lost call to the first retry.
   Duration retry_interval{0};     ///< Between the starts of two retries.
   /// Answer time of a healthy store, scheduling of a busy thread included.
   Duration answer{0};
   /// Timeout of a call that does not wait for changes.
   Duration answer_deadline{0};
-  /// Time after the store's return in which an unlisted target may be alive.
+  /// Time after the store's return by which all live targets are listed again;
+  /// until then an unlisted target may be alive. Used as
+  /// `TargetDirectory::Options::return_grace`.
   Duration absence_grace{0};
   /// From the last check of a target, made right before the first byte is
   /// sent, to the arrival of the request there.
--- a/src/wire/links_impl.h
+++ b/src/wire/links_impl.h
@@ -72,7 +72,7 @@
     std::uint32_t descriptor = 0;  ///< Accepted links: the TCP socket.
     std::uint64_t sent_sequence = 0;
     std::uint64_t seen_sequence = 0;
-    bool needs_probe = false;  ///< Test by a heartbeat.
+    bool needs_probe = false;  ///< Send a heartbeat to test the link.
   };
 
   // Sockets.
--- a/tests/core/claims/claim_table_test.cc
+++ b/tests/core/claims/claim_table_test.cc
@@ -94,7 +94,7 @@
     CHECK(table.Query(MakeQuery(3, 3), kStart).decision.verdict ==
           ClaimVerdict::kOverloaded);
   }
-  SECTION("the oldest response is dropped first and its key is already run") {
+  SECTION("the oldest response is dropped first and its key has already run") {
     const std::string long_body(80, 'x');
     table.End(MakeEnd(MakeQuery(1, 1), ClaimState::kFinished, long_body),
               kStart);
--- a/tests/core/control/authority_test.cc
+++ b/tests/core/control/authority_test.cc
@@ -65,7 +65,7 @@
 // repeated. An engine must only ever take the state ordered by the current
 // lease holder and never an earlier one. After the faults end, every engine
 // must have the newest revision.
-TEST_CASE("Authority, orders and revisions hold under random faults") {
+TEST_CASE("Engines follow only the lease holder under random faults") {
   rc::detail::TestParams params;
   params.seed = 20;
   params.maxSuccess = 300;
@@ -191,7 +191,7 @@
 // after that, or while the engine changes. In each case the other entry must
 // take over and bring each engine to the revision, no order may be issued twice
 // with different content, and none may take effect under an old fencing number.
-TEST_CASE("A controller fails around an order") {
+TEST_CASE("A controller that fails during an order is replaced") {
   const std::vector<Fault> faults = {
       {"killed",
        [](ControlSimulation* world, int holder) {
@@ -264,7 +264,7 @@
 // renewed, while an order is given, or while the entries start. In each case
 // nothing wrong may happen meanwhile. One minute after the fault ends, exactly
 // one entry must hold the lease and every engine must have the revision.
-TEST_CASE("The store fails around lease, orders and start") {
+TEST_CASE("The store fails during a lease renewal, an order or a start") {
   const std::vector<StoreFault> faults = {
       {"down",
        [](ControlSimulation* world, bool on) { world->SetStoreDown(on); }},
@@ -308,7 +308,7 @@
 
 // While the store is unavailable for long, no order may be written and no
 // engine may change. When it returns, exactly one controller must act.
-TEST_CASE("The store is down for long") {
+TEST_CASE("No order is written during a long store outage") {
   ControlSimulation world(FaultFreeOptions(true));
   world.Run(seconds(20));
   const auto effects = world.effects().size();
--- a/tests/wire/membership_service_test.cc
+++ b/tests/wire/membership_service_test.cc
@@ -68,7 +68,7 @@
 // another address. Sides do not read the platform's list, so without a notice
 // from another entry they would not connect to the new one, which would refuse
 // every caller.
-TEST_CASE("A side learns of new entries from the entries it has") {
+TEST_CASE("A side learns of new entries from the entries that it knows") {
   Node entry("entry-1", MemberKind::kEntry);
   Node side("side-1", MemberKind::kSide);
   side.Advance(100ms);
