--- a/src/core/placement/engine_placement.cc
+++ b/src/core/placement/engine_placement.cc
@@ -41,8 +41,8 @@
          (role == EngineRole::kMixed && wanted == EngineRole::kDecode);
 }
 
-/// Returns true if some engine could do the work of role `wanted` but is
-/// closed.
+/// Returns true if some engine could do the work of role `wanted` but gets none
+/// now because of its limit or a cooldown.
 bool AnyClosed(const std::vector<PlacementEngine>& engines, EngineRole wanted) {
   return std::any_of(engines.begin(), engines.end(), [wanted](const auto& it) {
     return it.closed && !it.leaving && Fits(it.role, wanted);
--- a/src/core/placement/engine_placement.h
+++ b/src/core/placement/engine_placement.h
@@ -25,8 +25,10 @@
   std::string instance;
   std::string failure_domain;
   EngineRole role = EngineRole::kMixed;
-  bool tried = false;    ///< An earlier attempt of this request used it.
-  bool avoided = false;  ///< Its recent calls broke in a row.
+  bool tried = false;  ///< An earlier attempt of this request used it.
+  /// Used only if no other engine can do the work: its recent calls broke one
+  /// after another (see `FailureGuard`), or it may have left the fleet.
+  bool avoided = false;
   bool leaving = false;  ///< Gets no work; its cache can still be copied.
   /// Gets no work from this entry process now, because it reached a limit that
   /// the engine declares or the engine asked for a pause. Its cache can still
@@ -61,7 +63,7 @@
 };
 
 /// No engine is available for the prefill or the decode, and at least one
-/// suitable engine is closed.
+/// suitable engine gets no work now because of its limit or a cooldown.
 struct EnginesClosed {
   friend bool operator==(const EnginesClosed&, const EnginesClosed&) = default;
 };
@@ -97,7 +99,8 @@
     /// predicted to be later is refused at once: a late answer uses as much
     /// engine time as one in time and makes others late.
     double max_target_share = 0.6;
-    /// Share of the time until the deadline that replaces a missing target.
+    /// Share of the time until the deadline that is used instead if the request
+    /// has no first-event target.
     double share_without_target = 0.25;
     /// Homes of one shared prefix. Each further home duplicates its KV cache.
     std::size_t max_homes = 3;
--- a/src/core/placement/failure_guard.h
+++ b/src/core/placement/failure_guard.h
@@ -10,7 +10,8 @@
 
 namespace indigolead {
 
-/// Circuit breaker that avoids targets whose calls break in a row.
+/// Circuit breaker that avoids targets whose consecutive calls break, that is,
+/// lose their connection or cannot establish one.
 ///
 /// A target that resets its connections or is unreachable ends its attempts at
 /// once, so it always has the fewest in flight and attracts most new ones. Each
--- a/src/core/request/request_flow.h
+++ b/src/core/request/request_flow.h
@@ -35,9 +35,9 @@
   std::string instance;
   std::string prefill_at = {};  ///< Runs the prefill; empty: `instance` does.
 };
-/// No target can take the request now; routing is repeated soon. A request that
-/// is `held` on purpose waits until its deadline, any other at most
-/// `no_target_wait`.
+/// No target can take the request now; routing is repeated soon. If `held` is
+/// true, the request is delayed deliberately (see `Quarantine`) and may wait
+/// until its deadline; otherwise, it waits for at most `no_target_wait`.
 struct RouteWait {
   bool held = false;
 };
@@ -53,7 +53,8 @@
                              const std::vector<Candidate>& candidates,
                              TimePoint now);
 
-/// How a keyed request's claim ended.
+/// How the claim of a keyed request, that is, one with an idempotency key,
+/// ended.
 enum class ClaimSettlement { kFinished, kNotRun, kUnknown };
 
 /// Limits and timeouts of the request flow.
@@ -81,7 +82,8 @@
   /// Delay before the tried targets are tried again. Several such delays are
   /// longer than the heartbeat interval after which a changed target is known.
   Duration retry_round_delay = std::chrono::milliseconds(200);
-  /// Time without news of an attempt after which its side is probed.
+  /// Time without a message about an attempt after which the entry asks its
+  /// side for the attempt's state.
   Duration probe_interval = std::chrono::seconds(1);
   /// Retries an idempotent request that a target answered with a 5xx status at
   /// another target, within the retry budget.
@@ -91,8 +93,8 @@
   bool charge_refused_attempts = false;
 };
 
-/// Decisions and notifications handled by other parts of the process. Each hook
-/// is optional and has a working default.
+/// Decisions and notifications handled by the owner of the request flow. Each
+/// hook is optional and has a working default.
 struct RequestFlowHooks {
   /// Refuses requests known to crash targets. Called before any other hook and
   /// again before each retry.
@@ -146,7 +148,7 @@
   std::uint64_t forwards = 0;
   std::uint64_t retries = 0;
   std::uint64_t resumes = 0;
-  std::uint64_t foreign_frames = 0;    ///< For an attempt that is not held.
+  std::uint64_t foreign_frames = 0;    ///< Of an attempt that is not held.
   std::uint64_t duplicate_frames = 0;  ///< Sequence number seen before.
   std::uint64_t gap_frames = 0;        ///< An earlier frame is missing.
   std::uint64_t corrupt_answers = 0;   ///< End frame did not match.
@@ -165,9 +167,10 @@
 /// started is never reported as "not run", and one that is not idempotent is
 /// not sent again after it may have started.
 ///
-/// Each forward is an attempt with its own id. An attempt is not started,
-/// unknown or finished. A successful send does not prove a start; that an
-/// attempt has not started must be proven, as by a side that refuses its id.
+/// Each forward is an attempt with its own id. An attempt is known not to have
+/// started, is known to have finished, or its state is unknown. A successful
+/// send does not prove that it started. That it has not started must be proven,
+/// for example by its side's refusal of its id.
 class RequestFlow {
  public:
   RequestFlow(RequestFlowOptions options, RequestFlowHooks hooks, IdSource ids);
@@ -216,9 +219,10 @@
   /// A cancel could not be queued; it is sent again later.
   void OnCancelNotSent(SideLink link, const AttemptRef& ref);
 
-  /// Moves an attempt that has provably not started to `instance`, which its
-  /// carrier now prefers. Returns the link to use, or nothing if the attempt is
-  /// not held, has started, or the instance accepts no new attempts.
+  /// Moves an attempt that has provably not started to `instance`, for example
+  /// to another decode engine chosen after the prefill. Returns the link to
+  /// use, or nothing if the attempt is not held, has started, or the instance
+  /// accepts no new attempts.
   std::optional<SideLink> MoveAttempt(const AttemptId& id,
                                       const std::string& instance);
 
@@ -276,7 +280,8 @@
   void RequestResume(Request& it, SideLink link, TimePoint now);
 
   // Ends of attempts and requests (request_flow_ends.cc) and their timeouts
-  // (request_flow_time.cc).
+  // (request_flow_time.cc). An attempt whose ending is `kAmbiguous` may have
+  // run.
   enum class Ending { kNotStarted, kAmbiguous };
   void ReleaseAttempt(Request& it, AttemptOutcome outcome, bool cancel,
                       TimePoint now);
--- a/src/core/request/request_types.h
+++ b/src/core/request/request_types.h
@@ -47,7 +47,7 @@
   std::string body;
   bool streamed = false;      ///< The caller asked for server-sent events.
   TimePoint deadline;         ///< The answer must be complete by then.
-  Duration answer_target{0};  ///< To the first event; 0 if none is set.
+  Duration answer_target{0};  ///< Target time to the first event; 0: none.
   std::uint32_t max_attempts = 3;
   double retry_budget_share = 0.1;
   std::uint64_t fingerprint = 0;  ///< Hash of account, path and body.
@@ -231,9 +231,9 @@
 /// State of an attempt, as a side reports it on request.
 enum class AttemptKnowledge { kNotStarted, kRunning, kFinished, kLost };
 
-/// How far an attempt got that did not start its request. It decides what a
-/// retry costs where the targets' operator counts each arrival beyond a
-/// request's first.
+/// How far an attempt got that did not start its request. Determines what a
+/// retry costs if the targets' operator counts every arrival of a request after
+/// the first.
 enum class AttemptReach {
   kNothing,        ///< Nothing was written to any target.
   kPrefillEngine,  ///< Only a prefill engine was called. One such call is part
--- a/src/core/roles/role_planner.h
+++ b/src/core/roles/role_planner.h
@@ -62,7 +62,7 @@
 /// made at a time, which limits the cost of a wrong one.
 ///
 /// Ordered and unfinished changes are passed in with each call, as known to the
-/// store and the engines' sidecars. A controller that takes over during a
+/// store and the engines' sides. A controller that takes over during a
 /// change therefore neither repeats nor loses it.
 class RolePlanner {
  public:
--- a/src/core/routing/router.h
+++ b/src/core/routing/router.h
@@ -65,7 +65,7 @@
   kExcluded,   ///< Every suitable target was already tried.
 };
 
-/// The phase of a request that one engine runs.
+/// The part of a request that one engine runs: the prefill, the decode or both.
 struct RouteLeg {
   TargetHandle target;
   AttemptWork work;
@@ -222,7 +222,7 @@
   std::uint32_t suspects() const;
 
  private:
-  /// Phase of a request that an engine runs.
+  /// Part of a request for which a target is scored.
   enum class RequestPhase { kWhole, kPrefill, kDecode };
 
   struct TargetState {
--- a/tests/core/placement/failure_guard_test.cc
+++ b/tests/core/placement/failure_guard_test.cc
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("A target is avoided for a time after its calls break in a row") {
+TEST_CASE("A target is avoided for a time after consecutive calls break") {
   FailureGuard guard{FailureGuard::Options{}};
   TimePoint now{seconds(100)};
   CHECK(guard.RecordFailure("a", now) == Duration{0});
--- a/tests/core/request/request_flow_faults_test.cc
+++ b/tests/core/request/request_flow_faults_test.cc
@@ -219,7 +219,7 @@
        },
        kAnsweredInTwoRuns, kUnknownAfterOneRun, kUnknownAfterOneRun,
        kBrokenAfterOneRun},
-      {"dies after the last part and before the end",
+      {"dies after the last chunk and before the end",
        [](FaultScenario& it) {
          it.Begin();
          it.Head();
@@ -282,7 +282,7 @@
        },
        kAnsweredInTwoRuns, kUnknownAfterOneRun, kUnknownAfterOneRun,
        kBrokenAfterOneRun},
-      {"dies after the last part and before the end",
+      {"dies after the last chunk and before the end",
        [](FaultScenario& it) {
          it.Begin();
          it.Head();
@@ -361,7 +361,7 @@
        },
        kAnsweredInOneRun, kAnsweredInOneRun, kAnsweredInOneRun,
        kAnsweredInOneRun},
-      {"after the last part and before the end",
+      {"after the last chunk and before the end",
        [](FaultScenario& it) {
          it.Begin();
          it.Head();
