--- a/src/entry/direct_dispatcher.h
+++ b/src/entry/direct_dispatcher.h
@@ -169,8 +169,8 @@
       const std::string& service, const std::vector<Candidate>& candidates,
       TimePoint now) const;
   void NoteLeaving(const TargetChange& change);
-  /// Suspicions about targets that are plausible given how many targets they
-  /// concern.
+  /// Which suspicions about targets are acted on. A suspicion that concerns too
+  /// many targets at once is not plausible and is ignored.
   struct PlausibleSuspicions {
     bool broken = false;  ///< Consecutive calls broke.
     bool left = false;    ///< Off the list, but possibly alive.
--- a/src/entry/usage_service.cc
+++ b/src/entry/usage_service.cc
@@ -286,7 +286,7 @@
       [this, ticket, send](const Result<TargetAnswer>& answer) {
         OnSent(ticket, send, answer);
       },
-      // ValueOrProblems at the last moment before anything is sent: if the
+      // Checked at the last moment before anything is sent: if the
       // process is suspended, or connecting takes long, another entry may hold
       // the lease and have reported under a higher number. The receiver would
       // then see numbers fall.
--- a/src/replay/trace.h
+++ b/src/replay/trace.h
@@ -53,11 +53,13 @@
 /// A recorded sequence of request arrivals and engine events.
 ///
 /// Text format with one record per line; '#' starts a comment:
-///     set NAME VALUE
-///     account NAME PRIORITY WEIGHT
-///     expect METRIC >= VALUE
-///     MS request ACCOUNT PROMPT OUTPUT DEADLINE_MS PREFIX PREFIX_TOKENS
-///     [poison] MS down ENGINE | MS up ENGINE | MS slow ENGINE FACTOR
+///   set NAME VALUE
+///   account NAME PRIORITY WEIGHT
+///   expect METRIC >= VALUE
+///   MS request ACCOUNT PROMPT OUTPUT DEADLINE_MS PREFIX PREFIX_TOKENS [poison]
+///   MS down ENGINE
+///   MS up ENGINE
+///   MS slow ENGINE FACTOR
 struct Trace {
   std::string name;
   std::map<std::string, double> settings;
--- a/tests/process/operators_test.cc
+++ b/tests/process/operators_test.cc
@@ -51,7 +51,7 @@
     return Process("indigolead", arguments);
   }
 
-  /// Runs one command and returns its exit code; `output` has what it said.
+  /// Runs one command and returns its exit code; `output` receives its output.
   int Run(const std::vector<std::string>& arguments) {
     Process process = Start(arguments);
     const auto code = process.WaitForExit(kTestTimeout);
--- a/tests/process/path_faults_test.cc
+++ b/tests/process/path_faults_test.cc
@@ -63,9 +63,9 @@
 }
 
 TEST_CASE("A call whose engine is killed is answered by another engine") {
-  // The caller sees one whole answer, late. An engine takes the request, dies
-  // before the answer is whole, and nothing of it was delivered yet; the call
-  // is idempotent by declaration, so another engine runs it from the start.
+  // The caller gets one complete answer, late. An engine accepts the request
+  // and crashes before any part of the answer has been delivered. The call is
+  // declared idempotent, so another engine runs it from the start.
   Fleet fleet(SlowEngines());
   auto answer = CompleteLater(&fleet, 0, "autumn offers", false);
   fleet.engine(BusyEngine(&fleet, 3)).Kill();
@@ -75,9 +75,9 @@
 }
 
 TEST_CASE("A stream that loses its engine is whole or reports an error") {
-  // The caller has read a part when its engine dies. The rest cannot be taken
-  // from another engine without repeating or skipping, so the stream ends with
-  // an error event and without [DONE].
+  // The caller has received a part of the stream when its engine crashes. No
+  // other engine can continue without repeating or skipping tokens, so the
+  // stream ends with an error event and without [DONE].
   Fleet fleet(SlowEngines());
   auto answer = CompleteLater(&fleet, 1, "winter offers", true);
   const std::size_t busy = BusyEngine(&fleet, 3);
--- a/tests/process/run_once_test.cc
+++ b/tests/process/run_once_test.cc
@@ -71,7 +71,7 @@
   }
 
   SECTION("a retry through the other entry after the first was killed") {
-    // The caller's connection breaks. Its entry died while an engine ran the
+    // The caller's connection breaks. Its entry crashed while an engine ran the
     // request; the home still holds the claim, so the other entry does not run
     // it again. Whatever the retry reports, there is one run.
     auto first = std::async(std::launch::async, [&] {
--- a/tests/shell/http_target_client_test.cc
+++ b/tests/shell/http_target_client_test.cc
@@ -428,8 +428,8 @@
 
 // A target rejects a long body before reading it and reads the rest only later.
 // A client that writes everything before it reads would wait for the target
-// while the target waits for the client, and the caller would hear nothing
-// until its deadline.
+// while the target waits for the client, and the caller would get no
+// answer until its deadline.
 TEST_CASE("A rejection is read while the body is still being written") {
   boost::asio::io_context io;
   boost::asio::ip::tcp::acceptor acceptor(
--- a/tests/shell/object_store_contract_test.cc
+++ b/tests/shell/object_store_contract_test.cc
@@ -127,8 +127,8 @@
   }
 
   SECTION("a write succeeds after a restart of the store") {
-    // Connections from before the restart are dead. A write sent on one of them
-    // would be reported as of unknown effect although it had none.
+    // Connections from before the restart are broken. A write sent on one of
+    // them would be reported as of unknown effect although it had none.
     const auto first = ValueOf(Put(world.get(), "one", 0));
     world->SetDown(true);
     world->SetDown(false);
--- a/tests/shell/stage_service_test.cc
+++ b/tests/shell/stage_service_test.cc
@@ -207,7 +207,7 @@
   }
 }
 
-// The lease holder dies. The entry that takes over has seen less of the
+// The lease holder crashes. The entry that takes over has seen less of the
 // traffic; if it began with its own estimate, engines would change roles, and
 // change back once it has seen as much.
 TEST_CASE("A new holder keeps the roles that it finds") {
--- a/tests/support/claims/claim_world.cc
+++ b/tests/support/claims/claim_world.cc
@@ -177,7 +177,7 @@
   Schedule(Delay(40), [this, n, incarnation, write, ref, lost] {
     Result<std::uint64_t> result =
         Error{ErrorCode::kUnavailable, "put", "", ""};
-    // A write in transit takes effect even if its writer has died.
+    // A write in transit takes effect even if its writer has crashed.
     if (store_up_ && !homes_[n].store_cut) {
       const auto found = store_.find({ref, write.segment.number});
       const std::uint64_t held =
--- a/tests/support/control_simulation_sides.cc
+++ b/tests/support/control_simulation_sides.cc
@@ -187,7 +187,7 @@
 }
 
 // A different order may replace an order only after the earlier one was in
-// force, unless the earlier one was void, that is, reached nobody.
+// force, unless the earlier one was void, that is, reached no side.
 void ControlSimulation::CheckWrite(const StoredObject& before,
                                    const std::string& value) {
   const auto lease_object = objects_.find(kLeaseKey);
--- a/tests/support/scripted_server.h
+++ b/tests/support/scripted_server.h
@@ -35,7 +35,7 @@
 
   /// Returns "127.0.0.1:PORT".
   std::string address() const;
-  /// Returns the requests read whole so far, head and body.
+  /// Returns the requests read completely so far, head and body.
   std::vector<std::string> requests() const;
   int connections() const { return connections_; }
 
