--- a/src/core/request/request_flow.cc
+++ b/src/core/request/request_flow.cc
@@ -424,8 +424,8 @@
   attempt.unsent_credit = 0;
 }
 
-void RequestFlow::OnCallerTook(const RequestId& id, std::uint64_t bytes,
-                               TimePoint /*now*/) {
+void RequestFlow::OnAnswerBytesWritten(const RequestId& id, std::uint64_t bytes,
+                                       TimePoint /*now*/) {
   const auto it = requests_.find(id);
   if (it != requests_.end() && it->second.attempt) {
     GrantCredit(it->second, bytes);
--- a/src/core/request/request_flow.h
+++ b/src/core/request/request_flow.h
@@ -178,9 +178,10 @@
   /// Accepts a request, or refuses it if the table is full.
   void OnRequest(std::shared_ptr<const CallerRequest> request, TimePoint now);
   /// The caller has disconnected.
-  void OnCallerGone(const RequestId& id, TimePoint now);
+  void OnCallerDisconnected(const RequestId& id, TimePoint now);
   /// The caller has consumed `bytes` of its answer.
-  void OnCallerTook(const RequestId& id, std::uint64_t bytes, TimePoint now);
+  void OnAnswerBytesWritten(const RequestId& id, std::uint64_t bytes,
+                            TimePoint now);
 
   void OnClaimGranted(const RequestId& id, TimePoint now);
   void OnClaimAnswered(const RequestId& id, WholeAnswer answer, TimePoint now);
--- a/src/core/request/request_flow_ends.cc
+++ b/src/core/request/request_flow_ends.cc
@@ -297,7 +297,7 @@
   requests_.erase(id);
 }
 
-void RequestFlow::OnCallerGone(const RequestId& id, TimePoint now) {
+void RequestFlow::OnCallerDisconnected(const RequestId& id, TimePoint now) {
   const auto found = requests_.find(id);
   if (found == requests_.end()) {
     return;
--- a/src/entry/callers_server.cc
+++ b/src/entry/callers_server.cc
@@ -68,11 +68,11 @@
     RegisterRequest(id, session);
     return true;
   };
-  host_.took = [this](const RequestId& id, std::uint64_t bytes) {
-    hooks_.took({id, bytes});
+  host_.bytes_written = [this](const RequestId& id, std::uint64_t bytes) {
+    hooks_.bytes_written({id, bytes});
   };
-  host_.finished = [this](const RequestId& id, bool gone) {
-    OnFinished(id, gone);
+  host_.finished = [this](const RequestId& id, bool disconnected) {
+    OnFinished(id, disconnected);
   };
   host_.on_unread_disconnect = [this](const std::string& request) {
     log_(kCallerLeftUnread, {{"request", request}});
@@ -215,11 +215,11 @@
   open_requests_.Set(static_cast<std::int64_t>(sessions_by_request_.size()));
 }
 
-void CallersServer::OnFinished(const RequestId& id, bool gone) {
+void CallersServer::OnFinished(const RequestId& id, bool disconnected) {
   sessions_by_request_.erase(id);
   open_requests_.Set(static_cast<std::int64_t>(sessions_by_request_.size()));
-  if (gone) {
-    hooks_.gone({id});
+  if (disconnected) {
+    hooks_.disconnected({id});
   }
 }
 
--- a/src/entry/callers_server.h
+++ b/src/entry/callers_server.h
@@ -29,8 +29,8 @@
   struct Hooks {
     /// Submits a request; returns false if there is no room.
     std::function<bool(std::shared_ptr<const CallerRequest>)> submit;
-    std::function<void(CallerDisconnected)> gone;
-    std::function<void(AnswerBytesWritten)> took;
+    std::function<void(CallerDisconnected)> disconnected;
+    std::function<void(AnswerBytesWritten)> bytes_written;
     /// Returns true once requests can be served.
     std::function<bool()> ready;
     /// Answers further paths that the entry serves itself, such as "/status".
@@ -77,7 +77,7 @@
   void Sweep();
   std::optional<WholeAnswer> AnswerLocal(std::string_view path);
   void RegisterRequest(const RequestId& id, Session* session);
-  void OnFinished(const RequestId& id, bool gone);
+  void OnFinished(const RequestId& id, bool disconnected);
 
   const EntrySettings* settings_;
   Hooks hooks_;
--- a/src/entry/control_runner.cc
+++ b/src/entry/control_runner.cc
@@ -8,7 +8,7 @@
 namespace indigolead {
 namespace {
 
-constexpr std::size_t kRingCapacity = 4096;
+constexpr std::size_t kMailboxCapacity = 4096;
 constexpr std::chrono::milliseconds kTickInterval{100};
 constexpr std::chrono::milliseconds kSnapshotInterval{500};
 
@@ -37,17 +37,18 @@
 
 ControlRunner::ControlRunner(boost::asio::io_context* platform_io,
                              boost::asio::io_context* dispatch_io,
-                             ObjectStore* store, const RevisionTable* book,
+                             ObjectStore* store,
+                             const RevisionTable* revision_table,
                              const Settings& settings,
                              const Incarnation& incarnation, Hooks hooks,
                              EventLog log)
-    : book_(book),
+    : revision_table_(revision_table),
       hooks_(std::move(hooks)),
       log_(std::move(log)),
       to_platform_(
-          platform_io, kRingCapacity,
+          platform_io, kMailboxCapacity,
           [this](ToPlatform&& it) { OnPlatformMessage(std::move(it)); }),
-      to_send_(dispatch_io, kRingCapacity,
+      to_send_(dispatch_io, kMailboxCapacity,
                [this](ToSend&& it) { hooks_.send(it.link, it.message); }),
       platform_outbox_(&to_platform_),
       send_outbox_(&to_send_),
@@ -161,11 +162,13 @@
   }
   next_snapshot_ = now + kSnapshotInterval;
   ConfigSnapshot snapshot;
-  for (const auto& [deployment, number] : book_->Known()) {
-    snapshot.in_force.emplace(deployment, book_->RolloutOf(deployment));
+  for (const auto& [deployment, number] : revision_table_->Known()) {
+    snapshot.in_force.emplace(deployment,
+                              revision_table_->RolloutOf(deployment));
   }
-  for (const RevisionPeer& peer : book_->Peers()) {
-    snapshot.by_peer.emplace(peer.instance, book_->AppliedBy(peer.instance));
+  for (const RevisionPeer& peer : revision_table_->Peers()) {
+    snapshot.by_peer.emplace(peer.instance,
+                             revision_table_->AppliedBy(peer.instance));
   }
   platform_outbox_.Push(std::move(snapshot));
 }
--- a/src/entry/control_runner.h
+++ b/src/entry/control_runner.h
@@ -33,11 +33,11 @@
     RolePlan role_plan;  ///< If unset, the declaration fixes the roles.
   };
 
-  /// The io_contexts, `store` and `book` must outlive this object; `book` is
-  /// read on the dispatch thread.
+  /// The io_contexts, `store` and `revision_table` must outlive this object;
+  /// `revision_table` is read on the dispatch thread.
   ControlRunner(boost::asio::io_context* platform_io,
                 boost::asio::io_context* dispatch_io, ObjectStore* store,
-                const RevisionTable* book, const Settings& settings,
+                const RevisionTable* revision_table, const Settings& settings,
                 const Incarnation& incarnation, Hooks hooks, EventLog log);
   ControlRunner(const ControlRunner&) = delete;
   ControlRunner& operator=(const ControlRunner&) = delete;
@@ -99,7 +99,7 @@
   void PublishStatus(TimePoint now);
   void ArmTick();
 
-  const RevisionTable* book_;
+  const RevisionTable* revision_table_;
   Hooks hooks_;
   EventLog log_;
   Mailbox<ToPlatform> to_platform_;
--- a/src/entry/direct_dispatcher.cc
+++ b/src/entry/direct_dispatcher.cc
@@ -79,7 +79,7 @@
       limited_targets_(metrics->AddGauge(
           "indigolead_targets_limited",
           "Targets that name a limit on the requests that they take.")),
-      targets_at_rest_(metrics->AddGauge(
+      targets_in_cooldown_(metrics->AddGauge(
           "indigolead_targets_at_rest",
           "Targets that want no request of this entry for a while.")),
       calls_held_back_(metrics->AddCounter(
@@ -185,9 +185,9 @@
   hooks.may_write = [this](const std::string& instance, bool is_new_work) {
     return MayWrite(instance, is_new_work);
   };
-  hooks.on_rest_requested = [this](const std::string& instance,
-                                   Duration length) {
-    OnRestRequested(instance, length);
+  hooks.on_cooldown_requested = [this](const std::string& instance,
+                                       Duration length) {
+    OnTargetCooldownRequested(instance, length);
   };
   hooks.on_leaving_announced = [this](const std::string& instance) {
     OnLeavingTold(instance);
@@ -203,7 +203,7 @@
   Flush();
 }
 
-void DirectDispatcher::OnCallerGone(const RequestId& id) {
+void DirectDispatcher::OnCallerDisconnected(const RequestId& id) {
   const auto it = open_requests_.find(id);
   if (it != open_requests_.end()) {
     abandoned_.Add();
@@ -215,12 +215,13 @@
           {"after_ms", FormatMilliseconds(clock_() - request.received_at)}});
     CloseRequest(id);
   }
-  flow_.OnCallerGone(id, clock_());
+  flow_.OnCallerDisconnected(id, clock_());
   Flush();
 }
 
-void DirectDispatcher::OnCallerTook(const RequestId& id, std::uint64_t bytes) {
-  flow_.OnCallerTook(id, bytes, clock_());
+void DirectDispatcher::OnAnswerBytesWritten(const RequestId& id,
+                                            std::uint64_t bytes) {
+  flow_.OnAnswerBytesWritten(id, bytes, clock_());
   Flush();
 }
 
@@ -293,7 +294,7 @@
         it.kind == TargetChange::Kind::kRestarted) {
       PlacementOf(it.target.service).Forget(it.target.id);
       guard_.Forget(it.target.id);
-      rests_.Forget(it.target.id);
+      cooldowns_.Forget(it.target.id);
     }
     if (it.kind != TargetChange::Kind::kRemoved) {
       OnSharedLimit(it.target);
@@ -310,7 +311,7 @@
   const LimitShare::Standing standing = limits_.standing();
   limits_.Tick(clock_());
   LogStanding(standing);
-  RemoveExpiredRests();
+  RemoveExpiredCooldowns();
   crashes_.Tick();
   UpdateRetryPart();
   Apply(directory_.Tick(clock_()));
@@ -343,12 +344,13 @@
                               const SideInfo& side, TimePoint now) {
   std::string prefill;
   std::string work;
-  if (decided_place_) {
-    PlacementOf(request.deployment).OnSent(id, request, *decided_place_, now);
-    prefill = decided_place_->prefill;
-    work =
-        std::to_string(static_cast<std::int64_t>(decided_place_->prefill_work));
-    decided_place_.reset();
+  if (decided_assignment_) {
+    PlacementOf(request.deployment)
+        .OnSent(id, request, *decided_assignment_, now);
+    prefill = decided_assignment_->prefill;
+    work = std::to_string(
+        static_cast<std::int64_t>(decided_assignment_->prefill_work));
+    decided_assignment_.reset();
   }
   limits_.OnSent(LimitKeyOf(prefill.empty() ? side.instance : prefill), now);
   std::uint32_t number = 1;
--- a/src/entry/direct_dispatcher.h
+++ b/src/entry/direct_dispatcher.h
@@ -89,8 +89,8 @@
   DirectDispatcher& operator=(const DirectDispatcher&) = delete;
 
   void OnRequest(std::shared_ptr<const CallerRequest> request);
-  void OnCallerGone(const RequestId& id);
-  void OnCallerTook(const RequestId& id, std::uint64_t bytes);
+  void OnCallerDisconnected(const RequestId& id);
+  void OnAnswerBytesWritten(const RequestId& id, std::uint64_t bytes);
 
   /// Applies routes of a newer version and ignores others. Returns true if they
   /// were applied.
@@ -200,13 +200,13 @@
   /// all that are listed at its address.
   std::vector<std::string> TargetsSharingAddress(
       const std::string& instance) const;
-  void OnRestRequested(const std::string& instance, Duration length);
+  void OnTargetCooldownRequested(const std::string& instance, Duration length);
   void OnLeavingTold(const std::string& instance);
   /// Stops calls to a target that asks for a cooldown, and new work for one
   /// that is leaving. Covers calls that were routed before, and calls that are
   /// not routed at all.
   Status MayWrite(const std::string& instance, bool is_new_work);
-  void RemoveExpiredRests();
+  void RemoveExpiredCooldowns();
   void NoteLimitChange(const std::string& instance, const LimitChange& change,
                        const std::string& source);
   void LogStanding(LimitShare::Standing before);
@@ -247,7 +247,7 @@
   CrashDetector crashes_;
   TargetAddresses addresses_;
   SharedRateLimits limits_;  ///< By target address.
-  TargetCooldowns rests_;
+  TargetCooldowns cooldowns_;
   EntryView entries_;
   std::shared_ptr<const RouteTable> routes_;
   std::map<std::string, EnginePlacement> placements_;
@@ -260,7 +260,7 @@
   std::map<std::string, Leaving> leaving_;
   std::unordered_map<RequestId, OpenRequest> open_requests_;
   /// Set by `Route` for the `OnSent` that follows.
-  std::optional<EngineAssignment> decided_place_;
+  std::optional<EngineAssignment> decided_assignment_;
   std::vector<RequestAction> actions_;
   bool flushing_ = false;
   AccountCounters accounts_;
@@ -273,7 +273,7 @@
   Counter& further_arrivals_unmade_;
   Gauge& targets_;
   Gauge& limited_targets_;
-  Gauge& targets_at_rest_;
+  Gauge& targets_in_cooldown_;
   Counter& calls_held_back_;
   Counter& answers_ended_by_close_;
   Counter& streams_ended_inside_event_;
--- a/src/entry/direct_dispatcher_limits.cc
+++ b/src/entry/direct_dispatcher_limits.cc
@@ -42,13 +42,13 @@
 
 Duration DirectDispatcher::WaitToSend(const std::string& instance,
                                       TimePoint now) const {
-  const Duration rest = rests_.WaitFor(instance, now);
+  const Duration cooldown = cooldowns_.WaitFor(instance, now);
   if (!any_limited()) {
-    return rest;
+    return cooldown;
   }
   const Duration longest = options_.max_limited_wait;
   const auto limit = limits_.WaitFor(LimitKeyOf(instance), now);
-  return std::max(rest, std::min(limit.value_or(longest), longest));
+  return std::max(cooldown, std::min(limit.value_or(longest), longest));
 }
 
 void DirectDispatcher::UpdateAddress(const TargetChange& change) {
--- a/src/entry/direct_dispatcher_notices.cc
+++ b/src/entry/direct_dispatcher_notices.cc
@@ -17,16 +17,16 @@
   return {ids.begin(), ids.end()};
 }
 
-void DirectDispatcher::OnRestRequested(const std::string& instance,
-                                       Duration length) {
+void DirectDispatcher::OnTargetCooldownRequested(const std::string& instance,
+                                                 Duration length) {
   for (const std::string& it : TargetsSharingAddress(instance)) {
-    const Duration left = rests_.OnCooldownRequested(it, length, clock_());
+    const Duration left = cooldowns_.OnCooldownRequested(it, length, clock_());
     log_(kTargetAskedRest, {{"target", it},
                             {"answered", instance},
                             {"asked_ms", FormatMilliseconds(length)},
                             {"left_ms", FormatMilliseconds(left)}});
   }
-  targets_at_rest_.Set(static_cast<std::int64_t>(rests_.size()));
+  targets_in_cooldown_.Set(static_cast<std::int64_t>(cooldowns_.size()));
 }
 
 void DirectDispatcher::OnLeavingTold(const std::string& instance) {
@@ -41,7 +41,7 @@
 
 Status DirectDispatcher::MayWrite(const std::string& instance,
                                   bool is_new_work) {
-  const Duration left = rests_.WaitFor(instance, clock_());
+  const Duration left = cooldowns_.WaitFor(instance, clock_());
   const SideTable::Side* side = flow_.sides().Find(instance);
   const bool leaves = side && !SideTable::AcceptsAttempts(*side);
   if (left == Duration{0} && !(is_new_work && leaves)) {
@@ -56,12 +56,12 @@
   return Error{ErrorCode::kOverloaded, "target.write", instance, reason};
 }
 
-void DirectDispatcher::RemoveExpiredRests() {
-  const std::vector<std::string> over = rests_.Tick(clock_());
+void DirectDispatcher::RemoveExpiredCooldowns() {
+  const std::vector<std::string> over = cooldowns_.Tick(clock_());
   for (const std::string& it : over) {
     log_(kTargetRestOver, {{"target", it}});
   }
-  targets_at_rest_.Set(static_cast<std::int64_t>(rests_.size()));
+  targets_in_cooldown_.Set(static_cast<std::int64_t>(cooldowns_.size()));
 }
 
 }  // namespace indigolead
--- a/src/entry/direct_dispatcher_route.cc
+++ b/src/entry/direct_dispatcher_route.cc
@@ -30,7 +30,7 @@
 RouteResult DirectDispatcher::Route(const CallerRequest& request,
                                     const std::vector<Candidate>& candidates,
                                     TimePoint now) {
-  decided_place_.reset();
+  decided_assignment_.reset();
   if (auto refusal = RefuseBlocked(request)) {
     return *refusal;
   }
@@ -140,9 +140,9 @@
   if (std::holds_alternative<EnginesClosed>(decision)) {
     return TargetsClosed(request.deployment, candidates, now);
   }
-  if (const auto* place = std::get_if<EngineAssignment>(&decision)) {
-    decided_place_ = *place;
-    return RouteTo{place->decode, place->prefill};
+  if (const auto* assignment = std::get_if<EngineAssignment>(&decision)) {
+    decided_assignment_ = *assignment;
+    return RouteTo{assignment->decode, assignment->prefill};
   }
   return NoTarget(request.deployment);
 }
@@ -168,11 +168,11 @@
     const std::string& service, const std::vector<Candidate>& candidates,
     TimePoint now) const {
   const Duration wait = WaitForTargets(candidates, now);
-  const bool at_rest = std::any_of(
+  const bool in_cooldown = std::any_of(
       candidates.begin(), candidates.end(), [&](const Candidate& it) {
-        return rests_.WaitFor(it.side->instance, now) > Duration{0};
+        return cooldowns_.WaitFor(it.side->instance, now) > Duration{0};
       });
-  if (at_rest) {
+  if (in_cooldown) {
     return {503, RunState::kNotRun, "targets_at_rest",
             "The targets of " + service + " want no request for " +
                 FormatMilliseconds(wait) + " ms.",
--- a/src/entry/direct_transport.h
+++ b/src/entry/direct_transport.h
@@ -98,7 +98,7 @@
     /// The head of any answer of the target requests a cooldown: this entry is
     /// to send it no calls for `length`.
     std::function<void(const std::string& instance, Duration length)>
-        on_rest_requested;
+        on_cooldown_requested;
     /// The head of any answer of the target announces that it is leaving.
     std::function<void(const std::string& instance)> on_leaving_announced;
     /// Called after each event passed to the flow.
--- a/src/entry/direct_transport_notices.cc
+++ b/src/entry/direct_transport_notices.cc
@@ -41,13 +41,14 @@
     return;  // The answer came through a replaced client.
   }
   const TargetRecord& target = it->second.record;
-  const auto rest = dialect_.requested_rest
-                        ? dialect_.requested_rest(target, status, headers)
-                        : Result<Duration>(Duration{0});
-  if (!IsOk(rest)) {
-    log_(kTargetNoticeUnreadable, {{"error", ToString(ErrorOf(rest))}});
-  } else if (ValueOf(rest) > Duration{0} && hooks_.on_rest_requested) {
-    hooks_.on_rest_requested(instance, ValueOf(rest));
+  const auto cooldown =
+      dialect_.requested_cooldown
+          ? dialect_.requested_cooldown(target, status, headers)
+          : Result<Duration>(Duration{0});
+  if (!IsOk(cooldown)) {
+    log_(kTargetNoticeUnreadable, {{"error", ToString(ErrorOf(cooldown))}});
+  } else if (ValueOf(cooldown) > Duration{0} && hooks_.on_cooldown_requested) {
+    hooks_.on_cooldown_requested(instance, ValueOf(cooldown));
   }
   const auto leaving = dialect_.says_leaving
                            ? dialect_.says_leaving(target, headers)
@@ -64,10 +65,10 @@
                                   const std::vector<HttpHeader>& headers) {
   const TargetRecord* target = FindTarget(instance);
   if (!target || target->run != run.called || !hooks_.on_limit_notice ||
-      !dialect_.announced_limit) {
+      !dialect_.advertised_limit) {
     return;
   }
-  const auto limit = dialect_.announced_limit(*target, headers);
+  const auto limit = dialect_.advertised_limit(*target, headers);
   if (!IsOk(limit)) {
     log_(kTargetLimitUnreadable, {{"request", run.request->caller_id},
                                   {"error", ToString(ErrorOf(limit))}});
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -39,7 +39,7 @@
       revisions_({.instance = options_.instance.name,
                   .incarnation = options_.incarnation,
                   .deployment = "",
-                  .book = options_.revisions},
+                  .revision_table = options_.revisions},
                  RevisionHooks(), log_),
       tick_timer_(*io),
       forwards_(metrics->AddCounter("indigolead_entry_forwards_total",
@@ -228,10 +228,13 @@
   if (auto* request =
           std::get_if<std::shared_ptr<const CallerRequest>>(&message)) {
     flow_.OnRequest(std::move(*request), now);
-  } else if (const auto* gone = std::get_if<CallerDisconnected>(&message)) {
-    flow_.OnCallerGone(gone->request, now);
-  } else if (const auto* took = std::get_if<AnswerBytesWritten>(&message)) {
-    flow_.OnCallerTook(took->request, took->bytes, now);
+  } else if (const auto* disconnected =
+                 std::get_if<CallerDisconnected>(&message)) {
+    flow_.OnCallerDisconnected(disconnected->request, now);
+  } else if (const auto* bytes_written =
+                 std::get_if<AnswerBytesWritten>(&message)) {
+    flow_.OnAnswerBytesWritten(bytes_written->request, bytes_written->bytes,
+                               now);
   }
   Flush();
 }
--- a/src/entry/entry_process.cc
+++ b/src/entry/entry_process.cc
@@ -16,7 +16,7 @@
 #include "entry/control_runner.h"
 #include "entry/dispatcher.h"
 #include "entry/events.h"
-#include "entry/guard_runtime.h"
+#include "entry/guard_runner.h"
 #include "entry/load_control.h"
 #include "entry/platform_watcher.h"
 #include "runtime/clock.h"
@@ -25,8 +25,8 @@
 namespace indigolead {
 namespace {
 
-constexpr std::size_t kRingCapacity = 16384;
-constexpr std::size_t kPlatformRingCapacity = 1024;
+constexpr std::size_t kMailboxCapacity = 16384;
+constexpr std::size_t kPlatformMailboxCapacity = 1024;
 constexpr std::chrono::milliseconds kDrainPoll{20};
 constexpr std::chrono::milliseconds kResignTimeout{500};
 
@@ -122,12 +122,12 @@
         log_(std::move(log)),
         stop_fd_(eventfd(0, EFD_CLOEXEC)),
         to_callers_(
-            callers_thread_.io(), kRingCapacity,
+            callers_thread_.io(), kMailboxCapacity,
             [this](ToCallers&& it) { callers_.OnMessage(std::move(it)); }),
         to_dispatch_(
-            dispatch_thread_.io(), kRingCapacity,
+            dispatch_thread_.io(), kMailboxCapacity,
             [this](ToDispatch&& it) { dispatcher_.OnMessage(std::move(it)); }),
-        from_platform_(dispatch_thread_.io(), kPlatformRingCapacity,
+        from_platform_(dispatch_thread_.io(), kPlatformMailboxCapacity,
                        [this](PlatformEvent&& it) {
                          dispatcher_.OnMessage(std::move(it));
                        }),
@@ -153,8 +153,8 @@
         callers_(callers_thread_.io(), &settings_.entry, CallersHooks(),
                  BootTimeNow, MakeRandomIdSource(), log_, &metrics_),
         control_(platform_thread_.io(), dispatch_thread_.io(),
-                 platform_.store(), &dispatcher_.revisions().book(), settings_,
-                 dispatcher_.incarnation(), ControlHooks(), log_) {
+                 platform_.store(), &dispatcher_.revisions().revision_table(),
+                 settings_, dispatcher_.incarnation(), ControlHooks(), log_) {
     if (stop_fd_ < 0) {
       throw std::system_error(errno, std::generic_category(), "eventfd");
     }
@@ -275,8 +275,8 @@
     return hooks;
   }
 
-  GuardRuntime::Hooks GuardHooks() {
-    GuardRuntime::Hooks hooks;
+  GuardRunner::Hooks GuardHooks() {
+    GuardRunner::Hooks hooks;
     hooks.send = [this](LinkId link, const wire::Envelope& message) {
       return dispatcher_.links().Send(link, message);
     };
@@ -307,11 +307,11 @@
       }
       return to_dispatch_.Push(ToDispatch(std::move(request)));
     };
-    hooks.gone = [this](CallerDisconnected gone) {
-      dispatch_outbox_.Push(gone);
+    hooks.disconnected = [this](CallerDisconnected disconnected) {
+      dispatch_outbox_.Push(disconnected);
     };
-    hooks.took = [this](AnswerBytesWritten took) {
-      dispatch_outbox_.Push(took);
+    hooks.bytes_written = [this](AnswerBytesWritten bytes_written) {
+      dispatch_outbox_.Push(bytes_written);
     };
     hooks.ready = [this] {
       return configured_.load(std::memory_order_relaxed);
@@ -387,7 +387,7 @@
   const Incarnation incarnation_{RandomId()};
   LoadControl load_control_;
   PlatformWatcher platform_;
-  GuardRuntime guards_;
+  GuardRunner guards_;
   Dispatcher dispatcher_;
   CallersServer callers_;
   ControlRunner control_;
--- a/src/entry/guard_runtime.cc
+++ b/src/entry/guard_runner.cc
@@ -1,4 +1,4 @@
-#include "entry/guard_runtime.h"
+#include "entry/guard_runner.h"
 
 #include <chrono>
 
@@ -18,11 +18,11 @@
 
 }  // namespace
 
-GuardRuntime::GuardRuntime(boost::asio::io_context* platform_io,
-                           boost::asio::io_context* dispatch_io,
-                           ObjectStore* store, const Settings& settings,
-                           const Incarnation& incarnation, Hooks hooks,
-                           EventLog log, MetricsRegistry* metrics)
+GuardRunner::GuardRunner(boost::asio::io_context* platform_io,
+                         boost::asio::io_context* dispatch_io,
+                         ObjectStore* store, const Settings& settings,
+                         const Incarnation& incarnation, Hooks hooks,
+                         EventLog log, MetricsRegistry* metrics)
     : hooks_(std::move(hooks)),
       to_platform_(
           platform_io, kMailboxCapacity,
@@ -39,7 +39,7 @@
                    BootTimeNow, MakeRunAfter(platform_io), log),
       tick_timer_(*platform_io) {}
 
-RequestGuards::Hooks GuardRuntime::GuardHooks() {
+RequestGuards::Hooks GuardRunner::GuardHooks() {
   RequestGuards::Hooks hooks;
   hooks.send = hooks_.send;
   hooks.flow = hooks_.flow;
@@ -53,7 +53,7 @@
   return hooks;
 }
 
-GuardStateStore::Hooks GuardRuntime::StateStoreHooks() {
+GuardStateStore::Hooks GuardRunner::StateStoreHooks() {
   GuardStateStore::Hooks hooks;
   hooks.emit = [this](GuardEvent&& it) {
     dispatch_outbox_.Push(std::move(it));
@@ -63,7 +63,7 @@
   return hooks;
 }
 
-EntryService GuardRuntime::Service() {
+EntryService GuardRunner::Service() {
   EntryService service = guards_.MakeService();
   service.tick = [this, tick = std::move(service.tick)](TimePoint now) {
     tick(now);
@@ -72,28 +72,28 @@
   return service;
 }
 
-void GuardRuntime::OnRevision(const Revision& revision) {
+void GuardRunner::OnRevision(const Revision& revision) {
   const DeploymentSpec& spec = revision.spec;
   policies_[spec.name] = {spec.quarantine_kills, spec.quarantine_time};
 }
 
-void GuardRuntime::Start() {
+void GuardRunner::Start() {
   state_store_.Start();
   ArmTick();
 }
 
-void GuardRuntime::Stop() {
+void GuardRunner::Stop() {
   stopped_ = true;
   tick_timer_.cancel();
 }
 
-void GuardRuntime::OnPlatformEvent(const PlatformEvent& event) {
+void GuardRunner::OnPlatformEvent(const PlatformEvent& event) {
   if (const auto* instances = std::get_if<InstanceListRead>(&event)) {
     state_store_.OnInstances(instances->list);
   }
 }
 
-void GuardRuntime::ArmTick() {
+void GuardRunner::ArmTick() {
   tick_timer_.expires_after(kTickInterval);
   tick_timer_.async_wait([this](const boost::system::error_code& ec) {
     if (ec || stopped_) {
--- a/src/entry/guard_runtime.h
+++ b/src/entry/guard_runner.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_ENTRY_GUARD_RUNTIME_H_
-#define INDIGOLEAD_ENTRY_GUARD_RUNTIME_H_
+#ifndef INDIGOLEAD_ENTRY_GUARD_RUNNER_H_
+#define INDIGOLEAD_ENTRY_GUARD_RUNNER_H_
 
 #include <utility>
 // Asio of Boost 1.74 needs <utility> before it.
@@ -23,7 +23,7 @@
 /// Runs the request guards on an entry's threads: claims and quarantine on the
 /// dispatch thread, slot maps and stored quarantines on the platform thread,
 /// with a bounded mailbox in each direction.
-class GuardRuntime {
+class GuardRunner {
  public:
   struct Hooks {
     /// Called on the dispatch thread.
@@ -37,12 +37,12 @@
   };
 
   /// The io_contexts, `store` and `metrics` must outlive this object.
-  GuardRuntime(boost::asio::io_context* platform_io,
-               boost::asio::io_context* dispatch_io, ObjectStore* store,
-               const Settings& settings, const Incarnation& incarnation,
-               Hooks hooks, EventLog log, MetricsRegistry* metrics);
-  GuardRuntime(const GuardRuntime&) = delete;
-  GuardRuntime& operator=(const GuardRuntime&) = delete;
+  GuardRunner(boost::asio::io_context* platform_io,
+              boost::asio::io_context* dispatch_io, ObjectStore* store,
+              const Settings& settings, const Incarnation& incarnation,
+              Hooks hooks, EventLog log, MetricsRegistry* metrics);
+  GuardRunner(const GuardRunner&) = delete;
+  GuardRunner& operator=(const GuardRunner&) = delete;
 
   /// Installs the guards in front of the functions already set in `hooks`.
   void InstallHooks(RequestFlowHooks* hooks) { guards_.InstallHooks(hooks); }
@@ -78,4 +78,4 @@
 
 }  // namespace indigolead
 
-#endif  // INDIGOLEAD_ENTRY_GUARD_RUNTIME_H_
+#endif  // INDIGOLEAD_ENTRY_GUARD_RUNNER_H_
--- a/src/entry/load_control.cc
+++ b/src/entry/load_control.cc
@@ -57,7 +57,7 @@
   return view;
 }
 
-AttemptResult FateOf(AttemptOutcome outcome) {
+AttemptResult ResultOf(AttemptOutcome outcome) {
   switch (outcome) {
     case AttemptOutcome::kComplete:
       return AttemptResult::kFinished;
@@ -414,7 +414,7 @@
   if (deployment == nullptr || sent == sent_attempts_.end()) {
     return;
   }
-  deployment->router.OnEnded(attempt, FateOf(outcome), now);
+  deployment->router.OnEnded(attempt, ResultOf(outcome), now);
   const auto open_request = open_requests_.find(request.id);
   if (outcome == AttemptOutcome::kComplete) {
     UpdateRatio(deployment, sent->second, now);
--- a/src/entry/session.cc
+++ b/src/entry/session.cc
@@ -68,7 +68,7 @@
   socket_.close(ec);
   if (forwarded_) {
     forwarded_ = false;
-    host_->finished(request_, /*gone=*/true);
+    host_->finished(request_, /*disconnected=*/true);
   }
   host_->closed(this);
 }
@@ -222,7 +222,7 @@
       active_body_bytes_ > 0) {
     const std::uint64_t taken = std::exchange(active_body_bytes_, 0);
     if (forwarded_ && !answer_ended_) {
-      host_->took(request_, taken);
+      host_->bytes_written(request_, taken);
     }
   }
   if (active_bytes_written_ < active_output_.size() ||
@@ -250,7 +250,7 @@
   event_scanner_.reset();
   if (forwarded_) {
     forwarded_ = false;
-    host_->finished(request_, /*gone=*/false);
+    host_->finished(request_, /*disconnected=*/false);
   }
   if (keep_alive_ && !host_->draining()) {
     SetDeadline(host_->settings->idle_timeout);
--- a/src/entry/session.h
+++ b/src/entry/session.h
@@ -35,10 +35,10 @@
   std::function<std::optional<WholeAnswer>(std::string_view path)> local;
   /// Submits a request; returns false if there is no room.
   std::function<bool(std::shared_ptr<const CallerRequest>, Session*)> submit;
-  std::function<void(const RequestId&, std::uint64_t bytes)> took;
-  /// Called when the answer is written, or with `gone` if the caller has
-  /// closed its connection.
-  std::function<void(const RequestId&, bool gone)> finished;
+  std::function<void(const RequestId&, std::uint64_t bytes)> bytes_written;
+  /// Called when the answer is written, or with `disconnected` if the caller
+  /// has closed its connection.
+  std::function<void(const RequestId&, bool disconnected)> finished;
   std::function<void(Session*)> closed;
   /// Called if the connection closed before its request was read; `request`
   /// is the request id shown to the caller.
--- a/src/entry/target_dialect.h
+++ b/src/entry/target_dialect.h
@@ -72,12 +72,12 @@
   /// all entries together; nullopt if it has none.
   std::function<Result<std::optional<double>>(
       const TargetRecord& target, const std::vector<HttpHeader>& headers)>
-      announced_limit;
+      advertised_limit;
   /// Returns for how long the head of an answer asks this entry to send no
   /// requests; zero if it does not ask.
   std::function<Result<Duration>(const TargetRecord& target, int status,
                                  const std::vector<HttpHeader>& headers)>
-      requested_rest;
+      requested_cooldown;
   /// Returns true if the head of an answer says that its target is leaving.
   std::function<Result<bool>(const TargetRecord& target,
                              const std::vector<HttpHeader>& headers)>
--- a/src/entry/usage_service.cc
+++ b/src/entry/usage_service.cc
@@ -50,7 +50,7 @@
       incomplete_(metrics->AddCounter(
           "indigolead_usage_windows_incomplete_total",
           "Windows settled before all entries had told what they counted.")),
-      given_up_(metrics->AddCounter(
+      abandoned_(metrics->AddCounter(
           "indigolead_usage_windows_given_up_total",
           "Windows whose report was refused or could not be delivered.")),
       lost_(metrics->AddCounter(
@@ -179,31 +179,32 @@
 }
 
 void UsageService::ReadFinalized(std::uint64_t ticket) {
-  store_->Get(options_.fixed_key, Call(),
-              [this, alive = alive_,
-               ticket](const Result<std::optional<StoredObject>>& result) {
-                if (!*alive) {
-                  return;
-                }
-                using View = std::optional<UsageReporter::FinalizedView>;
-                Result<View> view = View();
-                if (!IsOk(result)) {
-                  view = ErrorOf(result);
-                } else if (const auto& object = ValueOf(result)) {
-                  auto fixed = DecodeFinalizedUsage(object->value);
-                  if (IsOk(fixed)) {
-                    view = View({ValueOf(std::move(fixed)), object->version});
-                  } else {
-                    view = ErrorOf(fixed);
-                  }
-                }
-                if (!IsOk(view)) {
-                  log_(kUsageCallFailed, {{"step", "read settled reports"},
-                                          {"error", ToString(ErrorOf(view))}});
-                }
-                reporter_.OnFinalizedRead(ticket, view, clock_());
-                RunReporter(*calendar_.At(clock_()));
-              });
+  store_->Get(
+      options_.finalized_key, Call(),
+      [this, alive = alive_,
+       ticket](const Result<std::optional<StoredObject>>& result) {
+        if (!*alive) {
+          return;
+        }
+        using View = std::optional<UsageReporter::FinalizedView>;
+        Result<View> view = View();
+        if (!IsOk(result)) {
+          view = ErrorOf(result);
+        } else if (const auto& object = ValueOf(result)) {
+          auto finalized = DecodeFinalizedUsage(object->value);
+          if (IsOk(finalized)) {
+            view = View({ValueOf(std::move(finalized)), object->version});
+          } else {
+            view = ErrorOf(finalized);
+          }
+        }
+        if (!IsOk(view)) {
+          log_(kUsageCallFailed, {{"step", "read settled reports"},
+                                  {"error", ToString(ErrorOf(view))}});
+        }
+        reporter_.OnFinalizedRead(ticket, view, clock_());
+        RunReporter(*calendar_.At(clock_()));
+      });
 }
 
 void UsageService::ListEntries(std::uint64_t ticket) {
@@ -264,7 +265,7 @@
 void UsageService::WriteFinalized(std::uint64_t ticket,
                                   const UsageReporter::WriteFinalized& write) {
   store_->Put(
-      options_.fixed_key, EncodeFinalizedUsage(write.value), write.expected,
+      options_.finalized_key, EncodeFinalizedUsage(write.value), write.expected,
       Call(),
       [this, alive = alive_, ticket](const Result<std::uint64_t>& result) {
         if (!*alive) {
@@ -320,13 +321,13 @@
 }
 
 void UsageService::ReportProgress() {
-  if (const auto settled = reporter_.TakeFinalizedReport()) {
-    incomplete_.Add(settled->complete ? 0 : 1);
-    log_(kUsageSettled, {{"window", std::to_string(settled->window)},
-                         {"whole", settled->complete ? "yes" : "no"}});
+  if (const auto finalized_report = reporter_.TakeFinalizedReport()) {
+    incomplete_.Add(finalized_report->complete ? 0 : 1);
+    log_(kUsageSettled, {{"window", std::to_string(finalized_report->window)},
+                         {"whole", finalized_report->complete ? "yes" : "no"}});
   }
   for (const UsageWindow it : reporter_.TakeAbandoned()) {
-    given_up_.Add();
+    abandoned_.Add();
     log_(kUsageGivenUp, {{"window", std::to_string(it)}});
   }
   if (const std::uint64_t late = reporter_.TakeLateRequests(); late > 0) {
--- a/src/entry/usage_service.h
+++ b/src/entry/usage_service.h
@@ -44,7 +44,7 @@
     std::string instance;
     Incarnation incarnation;
     std::string entries_prefix;  ///< Of entries' records, with the final slash.
-    std::string fixed_key;       ///< Key of the finalized reports.
+    std::string finalized_key;   ///< Key of the finalized reports.
     UsageMeter::Options meter;
     UsageReporter::Options reporter;
     /// A request is counted when its answer arrives and began up to this much
@@ -133,7 +133,7 @@
   Counter& late_;
   Counter& repeated_;
   Counter& incomplete_;
-  Counter& given_up_;
+  Counter& abandoned_;
   Counter& lost_;
   /// False once this object is destroyed; store callbacks may run after that.
   std::shared_ptr<bool> alive_;
--- a/src/replay/replay.cc
+++ b/src/replay/replay.cc
@@ -116,7 +116,7 @@
   void Dispatch(std::uint32_t r);
   std::uint64_t AddAttempt(std::uint32_t r, const RouteLeg& leg, Part part);
   void Launch(std::uint64_t attempt);
-  void Release(std::uint64_t attempt, AttemptResult fate);
+  void Release(std::uint64_t attempt, AttemptResult attempt_result);
   void ReleaseAll(std::uint32_t r);
   void Finish(std::uint32_t r, End end);
   void Fail(std::uint64_t attempt, bool killed);
@@ -446,15 +446,15 @@
   StartStep(it.engine);
 }
 
-void Simulation::Release(std::uint64_t attempt, AttemptResult fate) {
+void Simulation::Release(std::uint64_t attempt, AttemptResult attempt_result) {
   const Attempt& it = attempts_[attempt];
   Engine& engine = engines_[it.engine];
   engine.model.Cancel(attempt);
   engine.attempts.erase(attempt);
   Request& request = requests_[it.request];
   std::erase(request.attempts, attempt);
-  entries_[request.entry].router->OnEnded(AttemptId{Id128{1, attempt}}, fate,
-                                          now_);
+  entries_[request.entry].router->OnEnded(AttemptId{Id128{1, attempt}},
+                                          attempt_result, now_);
 }
 
 void Simulation::ReleaseAll(std::uint32_t r) {
--- a/src/side/side_process.cc
+++ b/src/side/side_process.cc
@@ -36,7 +36,7 @@
 /// Factor by which the poll interval grows while the side has links. Entries
 /// then tell it everything, and polling the platform is only a fallback.
 constexpr int kLinkedPollFactor = 10;
-constexpr std::size_t kRingCapacity = 4096;
+constexpr std::size_t kMailboxCapacity = 4096;
 constexpr std::uint32_t kProtocolVersion = 1;
 constexpr int kExitClean = 0;
 constexpr int kExitAttemptsCut = 1;
@@ -137,10 +137,10 @@
         tick_timer_(dispatch_io_),
         client_(&target_io_, {.address = settings_.side.target_address}),
         to_target_(
-            &target_io_, kRingCapacity,
+            &target_io_, kMailboxCapacity,
             [this](TargetCommand&& it) { worker_.Handle(std::move(it)); }),
         to_dispatch_(
-            &dispatch_io_, kRingCapacity,
+            &dispatch_io_, kMailboxCapacity,
             [this](TargetEvent&& it) { OnTargetEvent(std::move(it)); }),
         worker_(
             &target_io_,
--- a/src/wire/revision_exchange.cc
+++ b/src/wire/revision_exchange.cc
@@ -18,7 +18,7 @@
     : options_(std::move(options)),
       hooks_(std::move(hooks)),
       log_(std::move(log)),
-      book_(options_.book) {}
+      revision_table_(options_.revision_table) {}
 
 bool RevisionExchange::HandleMessage(LinkId link, const wire::Envelope& message,
                                      TimePoint now) {
@@ -36,10 +36,11 @@
       OfferMissing(link, &peer, now);
       return true;
     case wire::Envelope::kRevisionApplied:
-      book_.OnApplied(message.revision_applied().instance(),
-                      IncarnationOf(message.revision_applied().incarnation()),
-                      message.revision_applied().deployment(),
-                      message.revision_applied().number());
+      revision_table_.OnApplied(
+          message.revision_applied().instance(),
+          IncarnationOf(message.revision_applied().incarnation()),
+          message.revision_applied().deployment(),
+          message.revision_applied().number());
       return true;
     case wire::Envelope::kHeartbeat:
       RecordKnown(peer, message.heartbeat().revisions());
@@ -57,8 +58,8 @@
   Peer peer{hello.instance(), IncarnationOf(hello.incarnation()),
             hello.target().deployment(), hello.kind() == wire::PROCESS_ENTRY,
             TimePoint{}};
-  if (!book_.OnPeerUp({peer.instance, peer.incarnation, peer.deployment},
-                      now)) {
+  if (!revision_table_.OnPeerUp(
+          {peer.instance, peer.incarnation, peer.deployment}, now)) {
     log_(kRevisionPeerDropped, {{"peer", peer.instance}});
     return;
   }
@@ -81,11 +82,11 @@
       return;
     }
   }
-  book_.OnPeerDown(gone.instance, gone.incarnation, now);
+  revision_table_.OnPeerDown(gone.instance, gone.incarnation, now);
 }
 
 void RevisionExchange::Tick(TimePoint now) {
-  book_.Tick(now);
+  revision_table_.Tick(now);
   for (auto& [link, peer] : peers_) {
     OfferMissing(link, &peer, now);
   }
@@ -98,7 +99,7 @@
 
 void RevisionExchange::AddKnownRevisions(
     google::protobuf::RepeatedPtrField<wire::KnownRevision>* known) const {
-  for (const auto& [deployment, number] : book_.Known()) {
+  for (const auto& [deployment, number] : revision_table_.Known()) {
     wire::KnownRevision* revision = known->Add();
     revision->set_deployment(deployment);
     revision->set_number(number);
@@ -119,8 +120,8 @@
   if (!options_.deployment.empty() && deployment != options_.deployment) {
     return RevisionOutcome::kOlder;
   }
-  const RevisionOutcome outcome =
-      book_.Offer({deployment, revision.number, revision.digest, json});
+  const RevisionOutcome outcome = revision_table_.Offer(
+      {deployment, revision.number, revision.digest, json});
   const EventFields fields = {{"deployment", deployment},
                               {"number", std::to_string(revision.number)},
                               {"source", source}};
@@ -164,8 +165,8 @@
       now - peer->last_offer < options_.offer_interval) {
     return;
   }
-  const auto missing =
-      book_.NewerThan(book_.AppliedBy(peer->instance), peer->deployment);
+  const auto missing = revision_table_.NewerThan(
+      revision_table_.AppliedBy(peer->instance), peer->deployment);
   for (const RevisionRecord& record : missing) {
     wire::Envelope message;
     wire::RevisionOffer* offer = message.mutable_revision();
@@ -182,8 +183,8 @@
     const Peer& peer,
     const google::protobuf::RepeatedPtrField<wire::KnownRevision>& known) {
   for (const wire::KnownRevision& revision : known) {
-    book_.OnApplied(peer.instance, peer.incarnation, revision.deployment(),
-                    revision.number());
+    revision_table_.OnApplied(peer.instance, peer.incarnation,
+                              revision.deployment(), revision.number());
   }
 }
 
--- a/src/wire/revision_exchange.h
+++ b/src/wire/revision_exchange.h
@@ -30,7 +30,7 @@
     Incarnation incarnation;
     /// Sides: the only deployment to keep. Empty: every deployment.
     std::string deployment;
-    RevisionTable::Options book;
+    RevisionTable::Options revision_table;
     /// Interval at which offers to a peer that lacks a revision are repeated.
     Duration offer_interval = std::chrono::seconds(1);
   };
@@ -61,8 +61,8 @@
   void AddKnownRevisions(
       google::protobuf::RepeatedPtrField<wire::KnownRevision>* known) const;
 
-  const RevisionTable& book() const { return book_; }
-  RevisionTable& book() { return book_; }
+  const RevisionTable& revision_table() const { return revision_table_; }
+  RevisionTable& revision_table() { return revision_table_; }
 
  private:
   struct Peer {
@@ -84,7 +84,7 @@
   Options options_;
   Hooks hooks_;
   EventLog log_;
-  RevisionTable book_;
+  RevisionTable revision_table_;
   std::map<LinkId, Peer> peers_;
 };
 
--- a/tests/core/control/authority_test.cc
+++ b/tests/core/control/authority_test.cc
@@ -20,10 +20,11 @@
   return options;
 }
 
-bool AllAt(const ControlSimulation& world, int sides,
+bool AllAt(const ControlSimulation& simulation, int sides,
            const std::string& version) {
   for (int i = 0; i < sides; ++i) {
-    if (world.engine(i).state.version != version || world.engine(i).changing) {
+    if (simulation.engine(i).state.version != version ||
+        simulation.engine(i).changing) {
       return false;
     }
   }
@@ -31,30 +32,30 @@
 }
 
 /// Injects one fault, chosen by `choice`.
-void InjectFault(ControlSimulation* world, std::uint64_t choice) {
+void InjectFault(ControlSimulation* simulation, std::uint64_t choice) {
   const int which = static_cast<int>(choice / 16 % 4);
   switch (choice % 8) {
     case 0:
-      world->PauseEntry(which % 2, seconds(1 + choice / 64 % 20));
+      simulation->PauseEntry(which % 2, seconds(1 + choice / 64 % 20));
       break;
     case 1:
-      world->RestartSide(which);
+      simulation->RestartSide(which);
       break;
     case 2:
-      world->CrashEngine(which);
+      simulation->CrashEngine(which);
       break;
     case 3:
-      world->DisconnectEntry(which % 2, true);
+      simulation->DisconnectEntry(which % 2, true);
       break;
     case 4:
-      world->DisconnectEntry(0, false);
-      world->DisconnectEntry(1, false);
+      simulation->DisconnectEntry(0, false);
+      simulation->DisconnectEntry(1, false);
       break;
     case 5:
-      world->SetStoreDown(true);
+      simulation->SetStoreDown(true);
       break;
     default:
-      world->SetStoreDown(false);
+      simulation->SetStoreDown(false);
       break;
   }
 }
@@ -76,27 +77,27 @@
     options.seed = *rc::gen::arbitrary<std::uint64_t>();
     options.engines_check_fencing = *rc::gen::arbitrary<bool>();
     options.faults = {0.1, 0.1, 0.1, 0.2, 0.2};
-    ControlSimulation world(options);
+    ControlSimulation simulation(options);
     std::uint64_t revision = 1;
     const auto fault_choices = *rc::gen::container<std::vector<std::uint64_t>>(
         12, rc::gen::arbitrary<std::uint64_t>());
     for (const std::uint64_t choice : fault_choices) {
-      world.Run(seconds(1 + choice / 1024 % 8));
+      simulation.Run(seconds(1 + choice / 1024 % 8));
       if (choice % 3 == 0) {
         ++revision;
-        world.Accept(revision, std::to_string(revision));
+        simulation.Accept(revision, std::to_string(revision));
       }
-      InjectFault(&world, choice);
+      InjectFault(&simulation, choice);
     }
-    world.SetStoreDown(false);
-    world.DisconnectEntry(0, false);
-    world.DisconnectEntry(1, false);
-    world.SetFaults({});
-    world.Run(seconds(120));
-    for (const std::string& violation : world.violations()) {
+    simulation.SetStoreDown(false);
+    simulation.DisconnectEntry(0, false);
+    simulation.DisconnectEntry(1, false);
+    simulation.SetFaults({});
+    simulation.Run(seconds(120));
+    for (const std::string& violation : simulation.violations()) {
       RC_FAIL(violation);
     }
-    RC_ASSERT(AllAt(world, 4, std::to_string(revision)));
+    RC_ASSERT(AllAt(simulation, 4, std::to_string(revision)));
   };
   const auto result = rc::detail::checkTestable(property, metadata, params);
   std::ostringstream text;
@@ -114,43 +115,43 @@
 TEST_CASE("A holder paused between decision and send has no effect") {
   const bool engines_check = GENERATE(true, false);
   CAPTURE(engines_check);
-  ControlSimulation world(FaultFreeOptions(engines_check));
-  world.Run(seconds(20));
-  REQUIRE(world.Holders().size() == 1);
-  const int holder = world.Holders()[0];
-  REQUIRE(AllAt(world, 4, "1"));
+  ControlSimulation simulation(FaultFreeOptions(engines_check));
+  simulation.Run(seconds(20));
+  REQUIRE(simulation.Holders().size() == 1);
+  const int holder = simulation.Holders()[0];
+  REQUIRE(AllAt(simulation, 4, "1"));
 
   SECTION("the new holder has rewritten the order of the target") {
-    world.BeforeNextOrderWrite([&](int entry) {
-      world.PauseEntry(entry, seconds(60));
-      world.Run(seconds(30));
+    simulation.BeforeNextOrderWrite([&](int entry) {
+      simulation.PauseEntry(entry, seconds(60));
+      simulation.Run(seconds(30));
     });
-    world.Accept(2, "2");
-    world.Run(seconds(90));
-    CHECK(world.violations() == std::vector<std::string>{});
-    CHECK(AllAt(world, 4, "2"));
-    CHECK(world.Holders() != std::vector<int>{holder});
+    simulation.Accept(2, "2");
+    simulation.Run(seconds(90));
+    CHECK(simulation.violations() == std::vector<std::string>{});
+    CHECK(AllAt(simulation, 4, "2"));
+    CHECK(simulation.Holders() != std::vector<int>{holder});
   }
   SECTION("the new holder has not rewritten the order of the target yet") {
     // No side learns the new fencing number, so only the version of the order
     // shows that it was written too late.
     ControlFaults faults;
     faults.lose_notice = 1;
-    world.SetFaults(faults);
-    world.BeforeNextOrderWrite([&](int entry) {
-      world.PauseEntry(entry, seconds(60));
+    simulation.SetFaults(faults);
+    simulation.BeforeNextOrderWrite([&](int entry) {
+      simulation.PauseEntry(entry, seconds(60));
       for (int i = 0; i < 600; ++i) {
-        world.Run(milliseconds(50));
-        if (world.Holders() == std::vector<int>{1 - holder}) {
+        simulation.Run(milliseconds(50));
+        if (simulation.Holders() == std::vector<int>{1 - holder}) {
           return;
         }
       }
       FAIL("the other entry did not take over in 30 s");
     });
-    world.Accept(2, "2");
-    world.Run(seconds(90));
-    CHECK(world.violations() == std::vector<std::string>{});
-    CHECK(AllAt(world, 4, "2"));
+    simulation.Accept(2, "2");
+    simulation.Run(seconds(90));
+    CHECK(simulation.violations() == std::vector<std::string>{});
+    CHECK(AllAt(simulation, 4, "2"));
   }
 }
 
@@ -160,21 +161,21 @@
 TEST_CASE("An entry with an outdated order does not send it to a new side") {
   const bool engines_check = GENERATE(true, false);
   CAPTURE(engines_check);
-  ControlSimulation world(FaultFreeOptions(engines_check));
-  world.Run(seconds(20));
-  REQUIRE(world.Holders().size() == 1);
-  const int other = 1 - world.Holders()[0];
-  world.DisconnectFromStore(other, true);
-  world.Accept(2, "2");
-  world.Run(seconds(30));
-  REQUIRE(AllAt(world, 4, "2"));
+  ControlSimulation simulation(FaultFreeOptions(engines_check));
+  simulation.Run(seconds(20));
+  REQUIRE(simulation.Holders().size() == 1);
+  const int other = 1 - simulation.Holders()[0];
+  simulation.DisconnectFromStore(other, true);
+  simulation.Accept(2, "2");
+  simulation.Run(seconds(30));
+  REQUIRE(AllAt(simulation, 4, "2"));
   for (int side = 0; side < 4; ++side) {
-    world.RestartSide(side);
-    world.CrashEngine(side);
+    simulation.RestartSide(side);
+    simulation.CrashEngine(side);
   }
-  world.Run(seconds(60));
-  CHECK(world.violations() == std::vector<std::string>{});
-  CHECK(AllAt(world, 4, "2"));
+  simulation.Run(seconds(60));
+  CHECK(simulation.violations() == std::vector<std::string>{});
+  CHECK(AllAt(simulation, 4, "2"));
 }
 
 struct Fault {
@@ -194,22 +195,26 @@
 TEST_CASE("A controller that fails during an order is replaced") {
   const std::vector<Fault> faults = {
       {"killed",
-       [](ControlSimulation* world, int holder) {
-         world->PauseEntry(holder, std::chrono::hours(1));
+       [](ControlSimulation* simulation, int holder) {
+         simulation->PauseEntry(holder, std::chrono::hours(1));
+       }},
+      {"paused",
+       [](ControlSimulation* simulation, int holder) {
+         simulation->PauseEntry(holder, seconds(15));
+       }},
+      {"partitioned",
+       [](ControlSimulation* simulation, int holder) {
+         simulation->DisconnectEntry(holder, true);
        }},
-      {"paused", [](ControlSimulation* world,
-                    int holder) { world->PauseEntry(holder, seconds(15)); }},
-      {"partitioned", [](ControlSimulation* world,
-                         int holder) { world->DisconnectEntry(holder, true); }},
   };
   const std::vector<Moment> moments = {
       {"before the order is written", [](ControlSimulation*) {}},
       {"after it is written",
-       [](ControlSimulation* world) {
+       [](ControlSimulation* simulation) {
          for (int i = 0; i < 400; ++i) {
-           world->Run(milliseconds(50));
+           simulation->Run(milliseconds(50));
            for (int side = 0; side < 4; ++side) {
-             if (world->StoredOrderOf(side)->desired.version == "2") {
+             if (simulation->StoredOrderOf(side)->desired.version == "2") {
                return;
              }
            }
@@ -217,11 +222,11 @@
          FAIL("no order was written in 20 s");
        }},
       {"while the engine changes",
-       [](ControlSimulation* world) {
+       [](ControlSimulation* simulation) {
          for (int i = 0; i < 400; ++i) {
-           world->Run(milliseconds(50));
+           simulation->Run(milliseconds(50));
            for (int side = 0; side < 4; ++side) {
-             if (world->engine(side).changing) {
+             if (simulation->engine(side).changing) {
                return;
              }
            }
@@ -233,17 +238,17 @@
     for (const Fault& fault : faults) {
       for (const Moment& moment : moments) {
         CAPTURE(fault.name, moment.name, check);
-        ControlSimulation world(FaultFreeOptions(check));
-        world.Run(seconds(20));
-        REQUIRE(world.Holders().size() == 1);
-        const int holder = world.Holders()[0];
-        world.Accept(2, "2");
-        moment.reach(&world);
-        fault.strike(&world, holder);
-        world.Run(seconds(90));
-        CHECK(world.violations() == std::vector<std::string>{});
-        CHECK(AllAt(world, 4, "2"));
-        CHECK(world.Holders() == std::vector<int>{1 - holder});
+        ControlSimulation simulation(FaultFreeOptions(check));
+        simulation.Run(seconds(20));
+        REQUIRE(simulation.Holders().size() == 1);
+        const int holder = simulation.Holders()[0];
+        simulation.Accept(2, "2");
+        moment.reach(&simulation);
+        fault.strike(&simulation, holder);
+        simulation.Run(seconds(90));
+        CHECK(simulation.violations() == std::vector<std::string>{});
+        CHECK(AllAt(simulation, 4, "2"));
+        CHECK(simulation.Holders() == std::vector<int>{1 - holder});
       }
     }
   }
@@ -266,42 +271,42 @@
 // one entry must hold the lease and every engine must have the revision.
 TEST_CASE("The store fails during a lease renewal, an order or a start") {
   const std::vector<StoreFault> faults = {
-      {"down",
-       [](ControlSimulation* world, bool on) { world->SetStoreDown(on); }},
+      {"down", [](ControlSimulation* simulation,
+                  bool on) { simulation->SetStoreDown(on); }},
       {"slow",
-       [](ControlSimulation* world, bool on) {
-         world->SetFaults(Only(&ControlFaults::slow_effect, on));
+       [](ControlSimulation* simulation, bool on) {
+         simulation->SetFaults(Only(&ControlFaults::slow_effect, on));
        }},
       {"write answer lost",
-       [](ControlSimulation* world, bool on) {
-         world->SetFaults(Only(&ControlFaults::lose_answer, on));
+       [](ControlSimulation* simulation, bool on) {
+         simulation->SetFaults(Only(&ControlFaults::lose_answer, on));
        }},
       {"stale read",
-       [](ControlSimulation* world, bool on) {
-         world->SetFaults(Only(&ControlFaults::stale_read, on));
+       [](ControlSimulation* simulation, bool on) {
+         simulation->SetFaults(Only(&ControlFaults::stale_read, on));
        }},
-      {"watch silent",
-       [](ControlSimulation* world, bool on) { world->SetWatchesSilent(on); }},
+      {"watch silent", [](ControlSimulation* simulation,
+                          bool on) { simulation->SetWatchesSilent(on); }},
   };
   for (const StoreFault& fault : faults) {
     for (const std::string when : {"lease renewal", "order", "start"}) {
       CAPTURE(fault.name, when);
-      ControlSimulation world(FaultFreeOptions(true));
+      ControlSimulation simulation(FaultFreeOptions(true));
       if (when != "start") {
-        world.Run(seconds(20));
-        REQUIRE(world.Holders().size() == 1);
+        simulation.Run(seconds(20));
+        REQUIRE(simulation.Holders().size() == 1);
       }
       if (when == "order") {
-        world.Accept(2, "2");
-        world.Run(milliseconds(500));
+        simulation.Accept(2, "2");
+        simulation.Run(milliseconds(500));
       }
-      fault.turn(&world, true);
-      world.Run(seconds(30));
-      fault.turn(&world, false);
-      world.Run(seconds(60));
-      CHECK(world.violations() == std::vector<std::string>{});
-      CHECK(world.Holders().size() == 1);
-      CHECK(AllAt(world, 4, when == "order" ? "2" : "1"));
+      fault.turn(&simulation, true);
+      simulation.Run(seconds(30));
+      fault.turn(&simulation, false);
+      simulation.Run(seconds(60));
+      CHECK(simulation.violations() == std::vector<std::string>{});
+      CHECK(simulation.Holders().size() == 1);
+      CHECK(AllAt(simulation, 4, when == "order" ? "2" : "1"));
     }
   }
 }
@@ -309,20 +314,20 @@
 // While the store is unavailable for long, no order may be written and no
 // engine may change. When it returns, exactly one controller must act.
 TEST_CASE("No order is written during a long store outage") {
-  ControlSimulation world(FaultFreeOptions(true));
-  world.Run(seconds(20));
-  const auto effects = world.effects().size();
-  world.SetStoreDown(true);
-  world.Accept(2, "2");
-  world.Run(seconds(300));
-  CHECK(world.Holders().empty());
-  CHECK(world.effects().size() == effects);
-  world.SetStoreDown(false);
-  world.Run(seconds(60));
-  CHECK(world.Holders().size() == 1);
-  CHECK(AllAt(world, 4, "2"));
-  CHECK(world.effects().size() == effects + 4);
-  CHECK(world.violations() == std::vector<std::string>{});
+  ControlSimulation simulation(FaultFreeOptions(true));
+  simulation.Run(seconds(20));
+  const auto effects = simulation.effects().size();
+  simulation.SetStoreDown(true);
+  simulation.Accept(2, "2");
+  simulation.Run(seconds(300));
+  CHECK(simulation.Holders().empty());
+  CHECK(simulation.effects().size() == effects);
+  simulation.SetStoreDown(false);
+  simulation.Run(seconds(60));
+  CHECK(simulation.Holders().size() == 1);
+  CHECK(AllAt(simulation, 4, "2"));
+  CHECK(simulation.effects().size() == effects + 4);
+  CHECK(simulation.violations() == std::vector<std::string>{});
 }
 
 }  // namespace
--- a/tests/core/request/request_flow_direct_test.cc
+++ b/tests/core/request/request_flow_direct_test.cc
@@ -109,7 +109,7 @@
     CHECK(driver.seen(id).finals == 0);
   }
   SECTION("a cancel goes to the new target") {
-    driver.flow().OnCallerGone(id, driver.now());
+    driver.flow().OnCallerDisconnected(id, driver.now());
     driver.Collect();
     REQUIRE(driver.cancels.size() == 1);
     CHECK(driver.cancels[0].link == *link);
--- a/tests/core/request/request_flow_faults_test.cc
+++ b/tests/core/request/request_flow_faults_test.cc
@@ -507,7 +507,7 @@
   REQUIRE(driver.starts.size() == 1);
 
   SECTION("finished even if the caller has left") {
-    driver.flow().OnCallerGone(id, driver.now());
+    driver.flow().OnCallerDisconnected(id, driver.now());
     driver.Head(driver.starts[0]);
     driver.End(driver.starts[0], 1, "");
     CHECK(settled == std::vector{ClaimSettlement::kFinished});
--- a/tests/core/request/request_flow_random_test.cc
+++ b/tests/core/request/request_flow_random_test.cc
@@ -286,7 +286,7 @@
           std::advance(
               it, RandomBelow(static_cast<std::uint32_t>(requests_.size())));
           disconnected_.insert(it->first);
-          driver_.flow().OnCallerGone(it->first, driver_.now());
+          driver_.flow().OnCallerDisconnected(it->first, driver_.now());
           driver_.Collect();
         }
         break;
--- a/tests/core/request/request_flow_test.cc
+++ b/tests/core/request/request_flow_test.cc
@@ -124,7 +124,7 @@
 
   SECTION("at once if the side is connected") {
     const RequestId id = driver.Ask(Repeatability::kIdempotent);
-    driver.flow().OnCallerGone(id, driver.now());
+    driver.flow().OnCallerDisconnected(id, driver.now());
     driver.Collect();
     REQUIRE(driver.cancels.size() == 1);
     CHECK(driver.cancels[0].ref.attempt == driver.starts[0].attempt);
@@ -134,7 +134,7 @@
   SECTION("on reconnect if the side is absent") {
     const RequestId id = driver.Ask(Repeatability::kIdempotent);
     driver.Down(link);
-    driver.flow().OnCallerGone(id, driver.now());
+    driver.flow().OnCallerDisconnected(id, driver.now());
     driver.Collect();
     CHECK(driver.cancels.empty());
     const SideLink again = driver.Up("bilbao-a-1");
@@ -144,7 +144,7 @@
 
   SECTION("but a keyed request continues, for the caller's retry") {
     const RequestId id = driver.Ask(Repeatability::kKeyed);
-    driver.flow().OnCallerGone(id, driver.now());
+    driver.flow().OnCallerDisconnected(id, driver.now());
     driver.Collect();
     CHECK(driver.cancels.empty());
     CHECK(driver.flow().open_requests() == 1);
@@ -159,17 +159,17 @@
   driver.Up("bilbao-a-1");
   const RequestId id = driver.Ask(Repeatability::kIdempotent, true);
   CHECK(driver.starts[0].initial_credit_bytes == 400);
-  driver.flow().OnCallerTook(id, 99, driver.now());
+  driver.flow().OnAnswerBytesWritten(id, 99, driver.now());
   driver.Collect();
   CHECK(driver.credits.empty());
-  driver.flow().OnCallerTook(id, 1, driver.now());
+  driver.flow().OnAnswerBytesWritten(id, 1, driver.now());
   driver.Collect();
   REQUIRE(driver.credits.size() == 1);
   CHECK(driver.credits[0].bytes == 100);
 
   SECTION("credit that could not be sent is added to the next grant") {
     driver.flow().OnCreditNotSent(driver.starts[0].attempt, 100);
-    driver.flow().OnCallerTook(id, 1, driver.now());
+    driver.flow().OnAnswerBytesWritten(id, 1, driver.now());
     driver.Collect();
     REQUIRE(driver.credits.size() == 2);
     CHECK(driver.credits[1].bytes == 101);
--- a/tests/core/request/stream_resume_test.cc
+++ b/tests/core/request/stream_resume_test.cc
@@ -131,7 +131,7 @@
     CHECK(scene.driver.seen(scene.id).refusal);
   }
   SECTION("but is cancelled once its caller has left") {
-    scene.driver.flow().OnCallerGone(scene.id, scene.driver.now());
+    scene.driver.flow().OnCallerDisconnected(scene.id, scene.driver.now());
     scene.driver.Collect();
     CHECK(scene.driver.cancels.size() == 1);
     CHECK(scene.driver.flow().open_requests() == 0);
--- a/tests/platform/direct_prompt_test.cc
+++ b/tests/platform/direct_prompt_test.cc
@@ -37,16 +37,17 @@
 /// the entry's failure domain and therefore preferred over the `far` one.
 class Scene {
  public:
-  explicit Scene(Script reader,
+  explicit Scene(Script prefill_engine,
                  const EntryRetryBudget::Options& budget = {0, {10, 0}, 10},
                  Script near = Send(kAnswer))
-      : Scene(std::vector<Script>{std::move(reader)}, budget, std::move(near)) {
-  }
-
-  /// `reader` has one script per prompt; the last one serves all later prompts.
-  Scene(std::vector<Script> reader, const EntryRetryBudget::Options& budget,
-        Script near = Send(kAnswer))
-      : reader_(std::move(reader)),
+      : Scene(std::vector<Script>{std::move(prefill_engine)}, budget,
+              std::move(near)) {}
+
+  /// `prefill_engine` has one script per prompt; the last one serves all later
+  /// prompts.
+  Scene(std::vector<Script> prefill_engine,
+        const EntryRetryBudget::Options& budget, Script near = Send(kAnswer))
+      : prefill_engine_(std::move(prefill_engine)),
         near_({std::move(near)}),
         far_({Send(kAnswer)}),
         dispatcher_(&io_, Options(budget), platform::MakePlatformDialect(),
@@ -62,7 +63,7 @@
   /// Gives the entry its list of targets, with the near one leaving or not.
   void ListTargets(bool near_leaves) {
     listed_ = {
-        Target("reader", reader_, kLocalDomain, EngineRole::kPrefill),
+        Target("reader", prefill_engine_, kLocalDomain, EngineRole::kPrefill),
         Target("near", near_, kLocalDomain, EngineRole::kDecode, near_leaves),
         Target("far", far_, "bilbao", EngineRole::kDecode),
     };
@@ -79,22 +80,23 @@
   }
 
   /// Lists a second prefill engine, which always succeeds.
-  void AddSecondReader() {
-    listed_.push_back(
-        Target("second", second_reader_, kLocalDomain, EngineRole::kPrefill));
+  void AddSecondPrefillEngine() {
+    listed_.push_back(Target("second", second_prefill_engine_, kLocalDomain,
+                             EngineRole::kPrefill));
     dispatcher_.OnTargets(listed_);
   }
-  void MarkReaderLeaving(bool first) {
+  void MarkPrefillEngineLeaving(bool first) {
     listed_[first ? 0 : 3].leaving = true;
     dispatcher_.OnTargets(listed_);
   }
   std::string reader_address(bool first) const {
-    return (first ? reader_ : second_reader_).address();
+    return (first ? prefill_engine_ : second_prefill_engine_).address();
   }
   /// Returns the heads and bodies of all requests to a prefill engine.
   std::string prefill_requests(bool first) const {
     std::string all;
-    for (const auto& it : (first ? reader_ : second_reader_).requests()) {
+    for (const auto& it :
+         (first ? prefill_engine_ : second_prefill_engine_).requests()) {
       all += it;
     }
     return all;
@@ -107,7 +109,7 @@
   }
 
   /// Lists a second prefill engine, whose address refuses connections.
-  void AddUnreachableReader() {
+  void AddUnreachablePrefillEngine() {
     const ScriptedServer gone({});
     listed_.push_back(Target("gone", gone, kLocalDomain, EngineRole::kPrefill));
     dispatcher_.OnTargets(listed_);
@@ -173,7 +175,7 @@
     });
   }
 
-  std::size_t prefill_calls() const { return RunsAt(reader_); }
+  std::size_t prefill_calls() const { return RunsAt(prefill_engine_); }
   std::size_t near_runs() const { return RunsAt(near_); }
   std::size_t far_runs() const { return RunsAt(far_); }
 
@@ -235,8 +237,8 @@
 
   boost::asio::io_context io_;
   MetricsRegistry metrics_;
-  ScriptedServer reader_;
-  ScriptedServer second_reader_{{Send(kPrefillAnswer)}};
+  ScriptedServer prefill_engine_;
+  ScriptedServer second_prefill_engine_{{Send(kPrefillAnswer)}};
   ScriptedServer near_;
   ScriptedServer far_;
   std::vector<TargetRecord> listed_;
@@ -352,7 +354,7 @@
 TEST_CASE(
     "A prompt for an unreachable prefill engine is retried without charge") {
   Scene scene(Send(kPrefillAnswer), /*budget=*/{0, {0, 0}, 0});
-  scene.AddUnreachableReader();
+  scene.AddUnreachablePrefillEngine();
   for (std::uint64_t part = 10; part < 30; ++part) {
     scene.SendRequest(milliseconds(1500), part);
     CHECK(scene.AwaitStatus() == 200);
@@ -421,7 +423,7 @@
 // it. A leaving home still holds its prefixes, and the new home copies them.
 TEST_CASE("A prefill engine copies the shared prefix from its likely holder") {
   Scene scene(Send(kPrefillAnswer), {0, {10, 0}, 10});
-  scene.AddSecondReader();
+  scene.AddSecondPrefillEngine();
   scene.SendRequest();
   CHECK(scene.AwaitStatus() == 200);
   const bool first_is_home = scene.prefill_calls() == 1;
@@ -432,7 +434,7 @@
           std::string::npos);
   }
   SECTION("the new home copies from the leaving home") {
-    scene.MarkReaderLeaving(first_is_home);
+    scene.MarkPrefillEngineLeaving(first_is_home);
     scene.SendRequest();
     CHECK(scene.AwaitStatus() == 200);
     CHECK(scene.prefill_requests(!first_is_home)
--- a/tests/platform/soak_process_test.cc
+++ b/tests/platform/soak_process_test.cc
@@ -20,7 +20,7 @@
 #include "core/base/random.h"
 #include "tests/platform/support/platform_scene.h"
 #include "tests/platform/support/repeats.h"
-#include "tests/support/backoff_rule.h"
+#include "tests/support/cooldown_rule.h"
 #include "tests/support/limit_rule.h"
 #include "tests/support/retry_rule.h"
 
@@ -170,11 +170,11 @@
   void EndFaults() {
     for (ModelWorker& it : scene_->workers) {
       EndLimit(&it);
-      it.SetRequestedPause(std::nullopt);
+      it.SetRequestedCooldown(std::nullopt);
       it.SetBodyEnd({});
-      CHECK(MaxArrivalsDuringBackoff(it.requested_pauses(), it.arrivals(),
-                                     entry_disruptions_) <=
-            kMaxRequestsDuringBackoff);
+      CHECK(MaxArrivalsDuringCooldown(it.requested_cooldowns(), it.arrivals(),
+                                      entry_disruptions_) <=
+            kMaxRequestsDuringCooldown);
       CHECK(CountArrivalsAfterLeaving(it.leaving_announced_at(), it.arrivals(),
                                       entry_disruptions_) == 0);
     }
@@ -196,7 +196,7 @@
       scene_->worker(n % 16 == 0 ? "e1" : "a0").SetAnnouncesLeaving(true);
       return;
     }
-    scene_->workers[n / 8 % scene_->workers.size()].SetRequestedPause(
+    scene_->workers[n / 8 % scene_->workers.size()].SetRequestedCooldown(
         kPauses[notice_random_() % std::size(kPauses)]);
   }
 
@@ -220,7 +220,7 @@
       EndLimit(worker);
       return;
     }
-    worker->SetAnnouncedLimit(kSoakLimit);
+    worker->SetAdvertisedLimit(kSoakLimit);
     limited_.insert(worker);
   }
 
@@ -230,11 +230,11 @@
     }
     // A target that garbles or resets all its answers advertises its limit to
     // no entry.
-    if (const auto announced_at = worker->limit_announced_at()) {
-      CHECK(MaxInSpan(worker->arrivals(), *announced_at + kLimitGracePeriod) <=
+    if (const auto advertised_at = worker->limit_advertised_at()) {
+      CHECK(MaxInSpan(worker->arrivals(), *advertised_at + kLimitGracePeriod) <=
             MaxAllowedInSpan(kSoakLimit));
     }
-    worker->SetAnnouncedLimit(std::nullopt);
+    worker->SetAdvertisedLimit(std::nullopt);
   }
 
   void InjectStoreFault() {
--- a/tests/platform/support/model_worker.cc
+++ b/tests/platform/support/model_worker.cc
@@ -133,28 +133,28 @@
   }
 }
 
-void ModelWorker::SetAnnouncedLimit(std::optional<double> limit) {
+void ModelWorker::SetAdvertisedLimit(std::optional<double> limit) {
   server_.Invoke([&] {
-    announced_limit_ = limit;
-    limit_announced_at_.reset();
+    advertised_limit_ = limit;
+    limit_advertised_at_.reset();
   });
 }
 
 std::optional<std::chrono::steady_clock::time_point>
-ModelWorker::limit_announced_at() {
-  std::optional<std::chrono::steady_clock::time_point> announced_at;
-  server_.Invoke([&] { announced_at = limit_announced_at_; });
-  return announced_at;
+ModelWorker::limit_advertised_at() {
+  std::optional<std::chrono::steady_clock::time_point> advertised_at;
+  server_.Invoke([&] { advertised_at = limit_advertised_at_; });
+  return advertised_at;
 }
 
-void ModelWorker::SetRequestedPause(std::optional<double> seconds) {
-  server_.Invoke([&] { requested_pause_ = seconds; });
+void ModelWorker::SetRequestedCooldown(std::optional<double> seconds) {
+  server_.Invoke([&] { requested_cooldown_ = seconds; });
 }
 
-std::vector<ModelWorker::RequestedPause> ModelWorker::requested_pauses() {
-  std::vector<RequestedPause> requested_pauses;
-  server_.Invoke([&] { requested_pauses = requested_pauses_; });
-  return requested_pauses;
+std::vector<ModelWorker::Cooldown> ModelWorker::requested_cooldowns() {
+  std::vector<Cooldown> requested_cooldowns;
+  server_.Invoke([&] { requested_cooldowns = requested_cooldowns_; });
+  return requested_cooldowns;
 }
 
 void ModelWorker::SetAnnouncesLeaving(bool leaving) {
@@ -192,8 +192,8 @@
     co_await exchange.Reply(200, std::move(body), NoticeHeaders());
   } else if (request.path == "/api/order") {
     co_await Order(exchange);
-  } else if (requested_pause_ && !IdOf(exchange).empty()) {
-    co_await RequestPause(exchange);
+  } else if (requested_cooldown_ && !IdOf(exchange).empty()) {
+    co_await RequestCooldown(exchange);
   } else if (request.Header("X-Stage") == "prefill") {
     co_await Prefill(exchange);
   } else {
@@ -214,14 +214,14 @@
   }
 }
 
-Task ModelWorker::RequestPause(HttpExchange& exchange) {
-  requested_pauses_.push_back(
+Task ModelWorker::RequestCooldown(HttpExchange& exchange) {
+  requested_cooldowns_.push_back(
       {arrivals_.back(),
        std::chrono::duration_cast<std::chrono::steady_clock::duration>(
-           std::chrono::duration<double>(*requested_pause_))});
+           std::chrono::duration<double>(*requested_cooldown_))});
   HttpHeaders headers = NoticeHeaders();
   headers.emplace_back("X-Not-Executed", "1");
-  headers.emplace_back("Retry-After", std::to_string(*requested_pause_));
+  headers.emplace_back("Retry-After", std::to_string(*requested_cooldown_));
   co_await exchange.Reply(503, "", std::move(headers));
 }
 
@@ -315,9 +315,9 @@
 HttpHeaders ModelWorker::NoticeHeaders() {
   const auto now = std::chrono::steady_clock::now();
   HttpHeaders headers;
-  if (announced_limit_) {
-    limit_announced_at_ = limit_announced_at_.value_or(now);
-    headers.emplace_back("Server-Limit", std::to_string(*announced_limit_));
+  if (advertised_limit_) {
+    limit_advertised_at_ = limit_advertised_at_.value_or(now);
+    headers.emplace_back("Server-Limit", std::to_string(*advertised_limit_));
   }
   if (announces_leaving_) {
     leaving_announced_at_.push_back(now);
--- a/tests/platform/support/model_worker.h
+++ b/tests/platform/support/model_worker.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "standins/http_server.h"
-#include "tests/support/backoff_rule.h"
+#include "tests/support/cooldown_rule.h"
 
 namespace indigolead::testing {
 
@@ -97,18 +97,17 @@
   std::vector<std::chrono::steady_clock::time_point> crashes();
   /// Sets the limit, in requests per second, that all answers advertise from
   /// now on, or none. The worker does not enforce it.
-  void SetAnnouncedLimit(std::optional<double> limit);
+  void SetAdvertisedLimit(std::optional<double> limit);
   /// Returns when an answer first advertised the current limit. Empty if none
   /// has yet, for instance because the worker resets or garbles all its
   /// answers.
-  std::optional<std::chrono::steady_clock::time_point> limit_announced_at();
-  using RequestedPause =
-      RequestedBackoff<std::chrono::steady_clock::time_point>;
+  std::optional<std::chrono::steady_clock::time_point> limit_advertised_at();
+  using Cooldown = RequestedCooldown<std::chrono::steady_clock::time_point>;
   /// Makes the worker refuse all callers' requests from now on with a
   /// Retry-After of `seconds`, or serve them again.
-  void SetRequestedPause(std::optional<double> seconds);
+  void SetRequestedCooldown(std::optional<double> seconds);
   /// Returns the cooldowns that were requested with Retry-After.
-  std::vector<RequestedPause> requested_pauses();
+  std::vector<Cooldown> requested_cooldowns();
   /// Sets whether answers announce from now on that the target is leaving.
   void SetAnnouncesLeaving(bool leaving);
   /// Returns when answers announced that the target is leaving.
@@ -119,7 +118,7 @@
  private:
   standins::Task Handle(standins::HttpExchange& exchange);
   /// Refuses the request with a Retry-After header.
-  standins::Task RequestPause(standins::HttpExchange& exchange);
+  standins::Task RequestCooldown(standins::HttpExchange& exchange);
   standins::Task Prefill(standins::HttpExchange& exchange);
   standins::Task Run(standins::HttpExchange& exchange);
   standins::Task Order(standins::HttpExchange& exchange);
@@ -155,11 +154,11 @@
   std::map<std::string, std::vector<std::string>> accounts_;
   std::vector<Arrival> request_arrivals_;
   int arrivals_with_key_ = 0;
-  std::optional<double> announced_limit_;
-  std::optional<std::chrono::steady_clock::time_point> limit_announced_at_;
+  std::optional<double> advertised_limit_;
+  std::optional<std::chrono::steady_clock::time_point> limit_advertised_at_;
   std::vector<std::chrono::steady_clock::time_point> arrivals_;
-  std::optional<double> requested_pause_;  ///< In seconds.
-  std::vector<RequestedPause> requested_pauses_;
+  std::optional<double> requested_cooldown_;  ///< In seconds.
+  std::vector<Cooldown> requested_cooldowns_;
   bool announces_leaving_ = false;
   std::vector<std::chrono::steady_clock::time_point> leaving_announced_at_;
   standins::HttpServer server_;
--- a/tests/platform/target_limit_process_test.cc
+++ b/tests/platform/target_limit_process_test.cc
@@ -88,26 +88,26 @@
   SECTION("a plain target, whose requests go to the other one") {
     Callers callers(&scene, "GET", "/desk/1");
     std::this_thread::sleep_for(seconds(8));
-    target.SetAnnouncedLimit(kLimit);
-    const Time announced_at = std::chrono::steady_clock::now();
+    target.SetAdvertisedLimit(kLimit);
+    const Time advertised_at = std::chrono::steady_clock::now();
     std::this_thread::sleep_for(seconds(12));
     callers.Stop();
-    CHECK(MaxInSpan(target.arrivals(), announced_at + kLimitGracePeriod) <=
+    CHECK(MaxInSpan(target.arrivals(), advertised_at + kLimitGracePeriod) <=
           MaxAllowedInSpan(kLimit));
     // The limit is used, and callers are not affected.
-    CHECK(MaxInSpan(target.arrivals(), announced_at + kLimitGracePeriod) >= 4);
+    CHECK(MaxInSpan(target.arrivals(), advertised_at + kLimitGracePeriod) >= 4);
     CHECK(callers.refused() == 0);
   }
   SECTION("a plain target, counting requests before the announcement") {
     // Twice the limit: requests in the last second before the limit count.
     Callers callers(&scene, "GET", "/desk/1", milliseconds(400));
     std::this_thread::sleep_for(seconds(8));
-    target.SetAnnouncedLimit(kLimit);
-    const Time announced_at = std::chrono::steady_clock::now();
+    target.SetAdvertisedLimit(kLimit);
+    const Time advertised_at = std::chrono::steady_clock::now();
     std::this_thread::sleep_for(seconds(8));
     callers.Stop();
     CHECK(
-        MaxInSpanEnding(target.arrivals(), announced_at + kLimitGracePeriod) <=
+        MaxInSpanEnding(target.arrivals(), advertised_at + kLimitGracePeriod) <=
         MaxAllowedInSpan(kLimit));
     CHECK(callers.refused() == 0);
   }
@@ -118,13 +118,13 @@
     Callers callers(&scene, "POST", "/audit/1");
     std::this_thread::sleep_for(seconds(8));
     for (ModelWorker& it : scene.workers) {
-      it.SetAnnouncedLimit(kLimit);
+      it.SetAdvertisedLimit(kLimit);
     }
-    const Time announced_at = std::chrono::steady_clock::now();
+    const Time advertised_at = std::chrono::steady_clock::now();
     std::this_thread::sleep_for(seconds(12));
     callers.Stop();
     for (ModelWorker& it : scene.workers) {
-      CHECK(MaxInSpan(it.arrivals(), announced_at + kLimitGracePeriod) <=
+      CHECK(MaxInSpan(it.arrivals(), advertised_at + kLimitGracePeriod) <=
             MaxAllowedInSpan(kLimit));
     }
     CHECK(callers.served() > 0);
@@ -132,8 +132,8 @@
   SECTION("while entries start, stop, freeze and crash") {
     Callers callers(&scene, "GET", "/desk/1");
     std::this_thread::sleep_for(seconds(8));
-    target.SetAnnouncedLimit(kLimit);
-    const Time announced_at = std::chrono::steady_clock::now();
+    target.SetAdvertisedLimit(kLimit);
+    const Time advertised_at = std::chrono::steady_clock::now();
     std::this_thread::sleep_for(seconds(2));
     scene.further[0].process->Kill();
     scene.further[0].Start();
@@ -148,7 +148,7 @@
     std::this_thread::sleep_for(seconds(12));
     more.Stop();
     callers.Stop();
-    CHECK(MaxInSpan(target.arrivals(), announced_at + kLimitGracePeriod) <=
+    CHECK(MaxInSpan(target.arrivals(), advertised_at + kLimitGracePeriod) <=
           MaxAllowedInSpan(kLimit));
   }
 }
@@ -157,8 +157,8 @@
 TEST_CASE("Callers beyond the limits of all targets get a Retry-After") {
   PlatformScene scene;
   std::this_thread::sleep_for(seconds(8));
-  scene.worker("a0").SetAnnouncedLimit(kLimit);
-  scene.worker("a1").SetAnnouncedLimit(kLimit);
+  scene.worker("a0").SetAdvertisedLimit(kLimit);
+  scene.worker("a1").SetAdvertisedLimit(kLimit);
   int served = 0;
   int refused = 0;
   for (int n = 0; n < 100; ++n) {
@@ -191,13 +191,13 @@
                .body.find("\nindigolead_targets_limited 1\n") !=
            std::string::npos;
   };
-  scene.worker("a0").SetAnnouncedLimit(kLimit);
+  scene.worker("a0").SetAdvertisedLimit(kLimit);
   scene.worker("a1").SetBehaviour(ModelWorker::Behaviour::kRefuses);
   scene.Send("GET", "/desk/1", "r-1");
   CHECK(WaitUntil(limited_at_other, seconds(2)));
   CHECK(scene.store.Get("servers", "a0").contains("address"));
 
-  scene.worker("a0").SetAnnouncedLimit(std::nullopt);
+  scene.worker("a0").SetAdvertisedLimit(std::nullopt);
   std::this_thread::sleep_for(seconds(8));
   CHECK(WaitUntil(
       [&] {
@@ -209,8 +209,8 @@
 
 TEST_CASE("An entry reports a target's limit to the operator") {
   PlatformScene scene;
-  scene.worker("a0").SetAnnouncedLimit(kLimit);
-  scene.worker("a1").SetAnnouncedLimit(kLimit);
+  scene.worker("a0").SetAdvertisedLimit(kLimit);
+  scene.worker("a1").SetAdvertisedLimit(kLimit);
   scene.Send("GET", "/desk/1", "r-1");
   CHECK(scene.Metric("indigolead_targets_limited") == "1");
   CHECK(WaitUntil([&] {
@@ -226,10 +226,10 @@
           "[limit]") {
   PlatformScene scene;
   ModelWorker& target = scene.worker("a0");
-  target.SetAnnouncedLimit(kLimit);
+  target.SetAdvertisedLimit(kLimit);
   Callers callers(&scene, "GET", "/desk/1");
   std::this_thread::sleep_for(seconds(10));
-  target.SetAnnouncedLimit(std::nullopt);
+  target.SetAdvertisedLimit(std::nullopt);
   std::this_thread::sleep_for(seconds(3));
   const std::size_t before = target.arrivals().size();
   std::this_thread::sleep_for(seconds(4));
--- a/tests/platform/target_protocol_test.cc
+++ b/tests/platform/target_protocol_test.cc
@@ -146,7 +146,7 @@
 
 TEST_CASE("A target's limit is a number of requests per second") {
   const auto limit_of = [](const std::vector<HttpHeader>& headers) {
-    return MakePlatformDialect().announced_limit(Target(), headers);
+    return MakePlatformDialect().advertised_limit(Target(), headers);
   };
   CHECK(ValueOf(limit_of({{"Content-Type", "text/plain"}})) == std::nullopt);
   CHECK(ValueOf(limit_of({{"Server-Limit", "5.4"}})) == 5.4);
@@ -161,7 +161,7 @@
 TEST_CASE("A target's Retry-After is a number of seconds") {
   const TargetDialect dialect = MakePlatformDialect();
   const auto rest = [&](int status, std::vector<HttpHeader> headers) {
-    return dialect.requested_rest(Target(), status, headers);
+    return dialect.requested_cooldown(Target(), status, headers);
   };
   SECTION("with 503, whether or not the response proves that nothing ran") {
     CHECK(ValueOf(rest(503, {{"Retry-After", "3"}})) == seconds(3));
--- a/tests/platform/target_rest_process_test.cc
+++ b/tests/platform/target_rest_process_test.cc
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "tests/platform/support/platform_scene.h"
-#include "tests/support/backoff_rule.h"
+#include "tests/support/cooldown_rule.h"
 
 namespace indigolead::testing {
 namespace {
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr double kPauseS = 3;  ///< Requested by targets, in seconds.
+constexpr double kCooldownS = 3;  ///< Requested by targets, in seconds.
 
 /// Callers of one entry that send requests in a loop with a pause between.
 class Callers {
@@ -66,11 +66,11 @@
 
 /// Returns the most requests that reached any target during one requested
 /// cooldown.
-int MostDuringAnyPause(PlatformScene* scene) {
+int MostDuringAnyCooldown(PlatformScene* scene) {
   int most = 0;
   for (ModelWorker& it : scene->workers) {
-    most = std::max(
-        most, MaxArrivalsDuringBackoff(it.requested_pauses(), it.arrivals()));
+    most = std::max(most, MaxArrivalsDuringCooldown(it.requested_cooldowns(),
+                                                    it.arrivals()));
   }
   return most;
 }
@@ -87,11 +87,11 @@
 
   SECTION("a plain target, whose requests go to the other one") {
     Callers callers(&scene, "GET", "/desk/1");
-    scene.worker("a0").SetRequestedPause(kPauseS);
+    scene.worker("a0").SetRequestedCooldown(kCooldownS);
     std::this_thread::sleep_for(seconds(8));
     callers.Stop();
-    CHECK_FALSE(scene.worker("a0").requested_pauses().empty());
-    CHECK(MostDuringAnyPause(&scene) <= kMaxRequestsDuringBackoff);
+    CHECK_FALSE(scene.worker("a0").requested_cooldowns().empty());
+    CHECK(MostDuringAnyCooldown(&scene) <= kMaxRequestsDuringCooldown);
     CHECK(callers.served() > 0);
   }
   SECTION("all prefill engines or all decode engines") {
@@ -100,35 +100,35 @@
     Callers callers(&scene, "POST", "/audit/1");
     for (ModelWorker& it : scene.workers) {
       if (it.stage() == stage && it.service() == "llm") {
-        it.SetRequestedPause(kPauseS);
+        it.SetRequestedCooldown(kCooldownS);
       }
     }
     std::this_thread::sleep_for(seconds(8));
     callers.Stop();
-    CHECK(MostDuringAnyPause(&scene) <= kMaxRequestsDuringBackoff);
+    CHECK(MostDuringAnyCooldown(&scene) <= kMaxRequestsDuringCooldown);
     for (ModelWorker& it : scene.workers) {
-      it.SetRequestedPause(std::nullopt);
+      it.SetRequestedCooldown(std::nullopt);
     }
-    std::this_thread::sleep_for(seconds(static_cast<int>(kPauseS)));
+    std::this_thread::sleep_for(seconds(static_cast<int>(kCooldownS)));
     CHECK(scene.Send("POST", "/audit/1", "after").status == 200);
   }
   SECTION("every target of a service, and callers are refused at once") {
     Callers callers(&scene, "GET", "/desk/1");
     for (ModelWorker& it : scene.workers) {
-      it.SetRequestedPause(kPauseS);
+      it.SetRequestedCooldown(kCooldownS);
     }
     std::this_thread::sleep_for(seconds(8));
     callers.Stop();
-    CHECK(MostDuringAnyPause(&scene) <= kMaxRequestsDuringBackoff);
+    CHECK(MostDuringAnyCooldown(&scene) <= kMaxRequestsDuringCooldown);
     const auto sent_at = std::chrono::steady_clock::now();
     const HttpAnswer answer = scene.Send("GET", "/desk/1", "last");
     CHECK(answer.status == 503);
     CHECK(std::chrono::steady_clock::now() - sent_at < seconds(1));
     for (ModelWorker& it : scene.workers) {
-      it.SetRequestedPause(std::nullopt);
+      it.SetRequestedCooldown(std::nullopt);
     }
     // Targets are used again after the requested time.
-    std::this_thread::sleep_for(seconds(static_cast<int>(kPauseS)));
+    std::this_thread::sleep_for(seconds(static_cast<int>(kCooldownS)));
     CHECK(scene.Send("GET", "/desk/1", "after").status == 200);
   }
 }
--- a/tests/shell/callers_server_test.cc
+++ b/tests/shell/callers_server_test.cc
@@ -79,7 +79,7 @@
 
   SECTION("and a disconnect of the caller is reported") {
     client.Close();
-    CHECK(entry.WaitForCallerGone(request->id));
+    CHECK(entry.WaitForCallerDisconnected(request->id));
   }
 }
 
@@ -110,7 +110,7 @@
       AnswerHead{request->id, 200, {{"Content-Type", "text/event-stream"}}});
   entry.Answer(AnswerData{request->id, "data: 1\n\n"});
   client.ReadUntil("data: 1\n\n");
-  CHECK(entry.WaitForTaken(9) == 9);
+  CHECK(entry.WaitForBytesWritten(9) == 9);
 
   SECTION("and ends with the last chunk") {
     entry.Answer(AnswerEnd{request->id});
@@ -171,7 +171,7 @@
   SECTION("by the write timeout") {
     // Exceeds the buffers of both sockets, so that the write stalls.
     entry.Answer(AnswerData{request->id, std::string(64U << 20, 'x')});
-    CHECK(entry.WaitForCallerGone(request->id));
+    CHECK(entry.WaitForCallerDisconnected(request->id));
   }
   client.ReadToEnd();
   CHECK(client.reset());
@@ -187,7 +187,7 @@
   const auto request = entry.Request(0);
   entry.Answer(AnswerHead{request->id, 200, {}});
   entry.Answer(AnswerData{request->id, "all of it"});
-  CHECK(entry.WaitForTaken(9) == 9);  // The output buffer is empty.
+  CHECK(entry.WaitForBytesWritten(9) == 9);  // The output buffer is empty.
   entry.Answer(AnswerEnd{request->id});
   CHECK_THAT(client.ReadToEnd(), EndsWith("all of it"));
   CHECK(client.closed());
@@ -315,8 +315,8 @@
   entry.Answer(AnswerHead{request->id, 200, {}});
   // Exceeds the buffers of both sockets, so that the write stalls.
   entry.Answer(AnswerData{request->id, std::string(64U << 20, 'x')});
-  CHECK(entry.WaitForCallerGone(request->id));
-  CHECK(entry.took() == 0);
+  CHECK(entry.WaitForCallerDisconnected(request->id));
+  CHECK(entry.bytes_written() == 0);
 }
 
 TEST_CASE("Connections over the limit are refused as not run") {
--- a/tests/shell/direct_rest_test.cc
+++ b/tests/shell/direct_rest_test.cc
@@ -26,7 +26,7 @@
     failed_runs += report.violations.empty() ? 0 : 1;
     total.requests += report.requests;
     total.answered += report.answered;
-    total.backoffs += report.backoffs;
+    total.cooldowns += report.cooldowns;
     total.leaving += report.leaving;
   }
   return total;
@@ -35,8 +35,8 @@
 /// Guards against calls of any kind to a target that has asked the entry for
 /// rest, whether they were decided before or after it asked.
 TEST_CASE("A target at rest gets no calls in random simulations") {
-  const DirectSimulationReport total = RunSimulations({.backoffs = true});
-  CHECK(total.backoffs > 300);
+  const DirectSimulationReport total = RunSimulations({.cooldowns = true});
+  CHECK(total.cooldowns > 300);
   CHECK(total.answered > total.requests / 4);
 }
 
--- a/tests/shell/usage_service_test.cc
+++ b/tests/shell/usage_service_test.cc
@@ -16,7 +16,7 @@
 
 constexpr WallMicros kSecond = 1'000'000;
 constexpr UsageWindow kWindow = 353'445'120;
-constexpr char kFixedKey[] = "control/usage";
+constexpr char kFinalizedKey[] = "control/usage";
 
 /// Answers reports at once, or withholds the answers.
 class Receiver : public TargetClient {
@@ -90,7 +90,7 @@
       options.instance = name;
       options.incarnation = Incarnation{{1, run}};
       options.entries_prefix = "usage/";
-      options.fixed_key = kFixedKey;
+      options.finalized_key = kFinalizedKey;
       options.meter.window = seconds(5);
       options.reporter.window = seconds(5);
       options.reporter.due_after = seconds(10);
--- a/tests/support/callers_fixture.cc
+++ b/tests/support/callers_fixture.cc
@@ -52,14 +52,14 @@
     changed_.notify_all();
     return true;
   };
-  hooks.gone = [this](CallerDisconnected gone) {
+  hooks.disconnected = [this](CallerDisconnected disconnected) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    gone_.push_back(gone.request);
+    disconnected_.push_back(disconnected.request);
     changed_.notify_all();
   };
-  hooks.took = [this](AnswerBytesWritten took) {
+  hooks.bytes_written = [this](AnswerBytesWritten bytes_written) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    took_ += took.bytes;
+    bytes_written_ += bytes_written.bytes;
     changed_.notify_all();
   };
   hooks.ready = [] { return true; };
@@ -99,22 +99,24 @@
   Run([&](CallersServer& server) { server.OnMessage(std::move(message)); });
 }
 
-bool CallersFixture::WaitForCallerGone(const RequestId& id) {
+bool CallersFixture::WaitForCallerDisconnected(const RequestId& id) {
   std::unique_lock<std::mutex> lock(mutex_);
   return changed_.wait_for(lock, kTestTimeout, [&] {
-    return std::find(gone_.begin(), gone_.end(), id) != gone_.end();
+    return std::find(disconnected_.begin(), disconnected_.end(), id) !=
+           disconnected_.end();
   });
 }
 
-std::uint64_t CallersFixture::WaitForTaken(std::uint64_t least) {
+std::uint64_t CallersFixture::WaitForBytesWritten(std::uint64_t least) {
   std::unique_lock<std::mutex> lock(mutex_);
-  changed_.wait_for(lock, kTestTimeout, [&] { return took_ >= least; });
-  return took_;
+  changed_.wait_for(lock, kTestTimeout,
+                    [&] { return bytes_written_ >= least; });
+  return bytes_written_;
 }
 
-std::uint64_t CallersFixture::took() {
+std::uint64_t CallersFixture::bytes_written() {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return took_;
+  return bytes_written_;
 }
 
 void CallersFixture::Run(const std::function<void(CallersServer&)>& task) {
--- a/tests/support/callers_fixture.h
+++ b/tests/support/callers_fixture.h
@@ -39,10 +39,10 @@
   void Answer(ToCallers message);
 
   /// Waits until the caller of `id` is reported disconnected; false after 10 s.
-  bool WaitForCallerGone(const RequestId& id);
+  bool WaitForCallerDisconnected(const RequestId& id);
   /// Returns the bytes written so far, once they reach `least` or after 10 s.
-  std::uint64_t WaitForTaken(std::uint64_t least);
-  std::uint64_t took();
+  std::uint64_t WaitForBytesWritten(std::uint64_t least);
+  std::uint64_t bytes_written();
 
   /// Runs `task` on the server's thread.
   void Run(const std::function<void(CallersServer&)>& task);
@@ -56,8 +56,8 @@
   std::mutex mutex_;
   std::condition_variable changed_;
   std::vector<std::shared_ptr<const CallerRequest>> requests_;
-  std::vector<RequestId> gone_;
-  std::uint64_t took_ = 0;
+  std::vector<RequestId> disconnected_;
+  std::uint64_t bytes_written_ = 0;
   std::thread thread_;
 };
 
--- a/tests/support/control_simulation.cc
+++ b/tests/support/control_simulation.cc
@@ -226,7 +226,7 @@
     At(now_ + Between(milliseconds(10), seconds(3)),
        [this, i, record, revision = revision_] {
          Entry& entry = entries_[static_cast<std::size_t>(i)];
-         entry.book.Offer(record);
+         entry.revision_table.Offer(record);
          entry.controller->reconciler().OnRevision(revision);
        });
   }
--- a/tests/support/control_simulation.h
+++ b/tests/support/control_simulation.h
@@ -97,7 +97,7 @@
     std::unique_ptr<ObjectStore> store;
     std::unique_ptr<Controller> controller;
     std::unique_ptr<OrderForwarder> forwarder;
-    RevisionTable book{RevisionTable::Options{}};
+    RevisionTable revision_table{RevisionTable::Options{}};
     std::uint64_t revision = 0;
     Duration offset{};
     TimePoint paused_until;
--- a/tests/support/control_simulation_sides.cc
+++ b/tests/support/control_simulation_sides.cc
@@ -215,7 +215,7 @@
     violations_.push_back(two);
   }
   for (Entry& entry : entries_) {
-    const RevisionRecord* held = entry.book.Find("brief-llm");
+    const RevisionRecord* held = entry.revision_table.Find("brief-llm");
     const std::uint64_t number = held ? held->number : 0;
     if (number < entry.revision) {
       violations_.push_back("a revision number decreased");
--- a/tests/support/backoff_rule.h
+++ b/tests/support/cooldown_rule.h
@@ -1,5 +1,5 @@
-#ifndef INDIGOLEAD_TESTS_SUPPORT_BACKOFF_RULE_H_
-#define INDIGOLEAD_TESTS_SUPPORT_BACKOFF_RULE_H_
+#ifndef INDIGOLEAD_TESTS_SUPPORT_COOLDOWN_RULE_H_
+#define INDIGOLEAD_TESTS_SUPPORT_COOLDOWN_RULE_H_
 
 #include <algorithm>
 #include <chrono>
@@ -8,20 +8,20 @@
 // Operator's requirements on cooldown and leaving notices.
 //
 // After a target requests a cooldown from an entry, at most
-// `kMaxRequestsDuringBackoff` requests of that entry reach it between
-// `kBackoffReaction` after the notice and the end of the cooldown. After a
+// `kMaxRequestsDuringCooldown` requests of that entry reach it between
+// `kCooldownReaction` after the notice and the end of the cooldown. After a
 // target announces in an answer that it leaves, no request of that entry
 // reaches it later than `kLeavingDrain` after the answer. A restart or freeze
 // of the entry since the notice exempts it.
 namespace indigolead::testing {
 
-inline constexpr std::chrono::milliseconds kBackoffReaction{500};
-inline constexpr int kMaxRequestsDuringBackoff = 2;
+inline constexpr std::chrono::milliseconds kCooldownReaction{500};
+inline constexpr int kMaxRequestsDuringCooldown = 2;
 inline constexpr std::chrono::seconds kLeavingDrain{2};
 
 /// Cooldown that a target requested from an entry.
 template <typename Time>
-struct RequestedBackoff {
+struct RequestedCooldown {
   Time asked_at;
   typename Time::duration length;
 };
@@ -37,16 +37,16 @@
 /// cooldown. `exemptions` are the times at which the entry was killed, stopped
 /// or resumed.
 template <typename Time>
-int MaxArrivalsDuringBackoff(
-    const std::vector<RequestedBackoff<Time>>& backoffs,
+int MaxArrivalsDuringCooldown(
+    const std::vector<RequestedCooldown<Time>>& cooldowns,
     const std::vector<Time>& arrivals,
     const std::vector<Time>& exemptions = {}) {
   std::ptrdiff_t most = 0;
-  for (const RequestedBackoff<Time>& backoff_request : backoffs) {
-    const Time end = backoff_request.asked_at + backoff_request.length;
+  for (const RequestedCooldown<Time>& cooldown_request : cooldowns) {
+    const Time end = cooldown_request.asked_at + cooldown_request.length;
     const auto counts = [&](Time at) {
-      return at > backoff_request.asked_at + kBackoffReaction && at < end &&
-             !IsExempt(exemptions, backoff_request.asked_at, at);
+      return at > cooldown_request.asked_at + kCooldownReaction && at < end &&
+             !IsExempt(exemptions, cooldown_request.asked_at, at);
     };
     most =
         std::max(most, std::count_if(arrivals.begin(), arrivals.end(), counts));
@@ -73,4 +73,4 @@
 
 }  // namespace indigolead::testing
 
-#endif  // INDIGOLEAD_TESTS_SUPPORT_BACKOFF_RULE_H_
+#endif  // INDIGOLEAD_TESTS_SUPPORT_COOLDOWN_RULE_H_
--- a/tests/support/direct_simulation.h
+++ b/tests/support/direct_simulation.h
@@ -12,19 +12,19 @@
   std::vector<std::string> violations;  ///< Violated invariants.
   int requests = 0;
   int answered = 0;
-  int refused = 0;   ///< Reported to the caller as not run.
-  int unknown = 0;   ///< Reported to the caller as possibly run.
-  int cut = 0;       ///< Their entry was killed.
-  int retries = 0;   ///< Further attempts sent.
-  int resumed = 0;   ///< Streams resumed at another target.
-  int backoffs = 0;  ///< Refusals with requested backoffs.
-  int leaving = 0;   ///< Answers that announced that the target leaves.
+  int refused = 0;    ///< Reported to the caller as not run.
+  int unknown = 0;    ///< Reported to the caller as possibly run.
+  int cut = 0;        ///< Their entry was killed.
+  int retries = 0;    ///< Further attempts sent.
+  int resumed = 0;    ///< Streams resumed at another target.
+  int cooldowns = 0;  ///< Refusals with requested cooldowns.
+  int leaving = 0;    ///< Answers that announced that the target leaves.
 };
 
 /// Faults of a simulation run that are off by default.
 struct DirectSimulationOptions {
-  bool backoffs = false;  ///< Targets request backoffs in refusals.
-  bool leaving = false;   ///< Targets announce in answers that they leave.
+  bool cooldowns = false;  ///< Targets request cooldowns in refusals.
+  bool leaving = false;    ///< Targets announce in answers that they leave.
 };
 
 /// Simulates entries that call their targets directly, in simulated time and
--- a/tests/support/direct_simulation/callers.cc
+++ b/tests/support/direct_simulation/callers.cc
@@ -47,7 +47,7 @@
         RequestObservation& gone = observations_[id];
         if (gone.finals == 0) {
           gone.disconnected_at = time_.now();
-          entries_[number].dispatcher->OnCallerGone(request->id);
+          entries_[number].dispatcher->OnCallerDisconnected(request->id);
           CheckClosed(id);
         }
       });
--- a/tests/support/direct_simulation/limits.cc
+++ b/tests/support/direct_simulation/limits.cc
@@ -19,13 +19,13 @@
 }
 
 void Simulation::EndLimit(Target* target) {
-  const AnnouncedLimit limit = *target->limit;
+  const AdvertisedLimit limit = *target->limit;
   target->limit.reset();
-  if (!limit.announced_at) {
+  if (!limit.advertised_at) {
     return;
   }
   const int most =
-      MaxInSpan(limit.informed_calls, *limit.announced_at + kLimitGracePeriod);
+      MaxInSpan(limit.informed_calls, *limit.advertised_at + kLimitGracePeriod);
   if (most > MaxAllowedInSpan(limit.per_second)) {
     AddViolation("limit: " + std::to_string(most) + " calls in 4 s at " +
                  target->record.id + ", whose limit is " +
@@ -52,8 +52,8 @@
       FieldOf(call.request, kInstance) == target->record.id) {
     headers.push_back({kLimit, std::to_string(target->limit->per_second)});
     target->limit->received_at.emplace(call.life, time_.now());
-    target->limit->announced_at =
-        target->limit->announced_at.value_or(time_.now());
+    target->limit->advertised_at =
+        target->limit->advertised_at.value_or(time_.now());
   }
   return headers;
 }
--- a/tests/support/direct_simulation/messages.cc
+++ b/tests/support/direct_simulation/messages.cc
@@ -90,8 +90,8 @@
         return AnswerMeaning::kAnswer;
     }
   };
-  dialect.announced_limit = [](const TargetRecord& /*target*/,
-                               const std::vector<HttpHeader>& headers)
+  dialect.advertised_limit = [](const TargetRecord& /*target*/,
+                                const std::vector<HttpHeader>& headers)
       -> Result<std::optional<double>> {
     for (const HttpHeader& it : headers) {
       if (it.name == kLimit) {
@@ -100,12 +100,12 @@
     }
     return std::optional<double>();
   };
-  dialect.requested_rest =
+  dialect.requested_cooldown =
       [](const TargetRecord& /*target*/, int status,
          const std::vector<HttpHeader>& headers) -> Result<Duration> {
-    const std::string rest = FieldOf(headers, kBackoffMs);
-    return status == 503 && !rest.empty()
-               ? Duration(std::chrono::milliseconds(std::stol(rest)))
+    const std::string cooldown = FieldOf(headers, kCooldownMs);
+    return status == 503 && !cooldown.empty()
+               ? Duration(std::chrono::milliseconds(std::stol(cooldown)))
                : Duration{0};
   };
   dialect.says_leaving =
--- a/tests/support/direct_simulation/messages.h
+++ b/tests/support/direct_simulation/messages.h
@@ -18,7 +18,7 @@
 /// Answer header: the target's limit in requests per second.
 inline constexpr char kLimit[] = "Limit";
 /// Refusal header: milliseconds during which the target wants no requests.
-inline constexpr char kBackoffMs[] = "RestMs";
+inline constexpr char kCooldownMs[] = "RestMs";
 /// Answer header: the target is leaving.
 inline constexpr char kLeaving[] = "Leaving";
 
--- a/tests/support/direct_simulation/notices.cc
+++ b/tests/support/direct_simulation/notices.cc
@@ -10,7 +10,7 @@
 using std::chrono::seconds;
 
 void Simulation::StartNotice() {
-  if (!options_.backoffs && !options_.leaving) {
+  if (!options_.cooldowns && !options_.leaving) {
     return;
   }
   Target* target = targets_[notice_random_() % targets_.size()].get();
@@ -18,8 +18,8 @@
   if (!target->alive || !free || target->record.leaving) {
     return;
   }
-  const bool both = options_.backoffs && options_.leaving;
-  if (both ? notice_random_() % 3 > 0 : options_.backoffs) {
+  const bool both = options_.cooldowns && options_.leaving;
+  if (both ? notice_random_() % 3 > 0 : options_.cooldowns) {
     BeginShedding(target);
   } else {
     BeginLeaving(target);
@@ -28,10 +28,11 @@
 
 void Simulation::BeginShedding(Target* target) {
   constexpr double kShares[] = {0.5, 0.9, 1};
-  constexpr milliseconds kRests[] = {milliseconds(300), seconds(1), seconds(3),
-                                     seconds(6)};
-  target->shedding = Shedding{kShares[notice_random_() % std::size(kShares)],
-                              kRests[notice_random_() % std::size(kRests)]};
+  constexpr milliseconds kCooldowns[] = {milliseconds(300), seconds(1),
+                                         seconds(3), seconds(6)};
+  target->shedding =
+      Shedding{kShares[notice_random_() % std::size(kShares)],
+               kCooldowns[notice_random_() % std::size(kCooldowns)]};
   time_.After(seconds(2 + notice_random_() % 4),
               [target] { target->shedding.reset(); });
 }
@@ -60,8 +61,8 @@
       ToUnitInterval(notice_random_()) >= target.shedding->share) {
     return false;
   }
-  const auto backoff = target.shedding->backoff / milliseconds(1);
-  Answer(call, 503, "", {{kBackoffMs, std::to_string(backoff)}});
+  const auto cooldown = target.shedding->cooldown / milliseconds(1);
+  Answer(call, 503, "", {{kCooldownMs, std::to_string(cooldown)}});
   return true;
 }
 
@@ -70,12 +71,12 @@
   if (!target) {
     return;
   }
-  const auto backoff = target->backoffs.find(call.life);
-  if (backoff != target->backoffs.end() && time_.now() < backoff->second) {
+  const auto cooldown = target->cooldowns.find(call.life);
+  if (cooldown != target->cooldowns.end() && time_.now() < cooldown->second) {
     AddViolation(
         "back-off: a call is written to " + target->record.id +
         ", whose back-off lasts " +
-        std::to_string((backoff->second - time_.now()) / milliseconds(1)) +
+        std::to_string((cooldown->second - time_.now()) / milliseconds(1)) +
         " ms longer");
   }
 }
@@ -86,11 +87,11 @@
   if (!target) {
     return headers;
   }
-  const std::string backoff = FieldOf(headers, kBackoffMs);
-  if (!backoff.empty()) {
-    ++report_.backoffs;
-    TimePoint& until = target->backoffs[call.life];
-    until = std::max(until, time_.now() + milliseconds(std::stol(backoff)));
+  const std::string cooldown = FieldOf(headers, kCooldownMs);
+  if (!cooldown.empty()) {
+    ++report_.cooldowns;
+    TimePoint& until = target->cooldowns[call.life];
+    until = std::max(until, time_.now() + milliseconds(std::stol(cooldown)));
   }
   if (target->announces_leaving) {
     ++report_.leaving;
--- a/tests/support/direct_simulation/simulation.h
+++ b/tests/support/direct_simulation/simulation.h
@@ -32,9 +32,9 @@
 enum class Kind { kSafe, kUnsafe, kStream, kResumable };
 
 /// Rate limit that a target advertises, and the calls received since then.
-struct AnnouncedLimit {
+struct AdvertisedLimit {
   double per_second = 0;
-  std::optional<TimePoint> announced_at;  ///< First answer that advertised it.
+  std::optional<TimePoint> advertised_at;  ///< First answer that advertised it.
   /// Time at which each entry process first received the limit.
   std::map<std::uint64_t, TimePoint> received_at;
   std::vector<TimePoint> informed_calls;  ///< Calls by entries that knew it.
@@ -42,8 +42,8 @@
 
 /// Load shedding by an overloaded target.
 struct Shedding {
-  double share = 1;     ///< Fraction of requests that it refuses.
-  Duration backoff{0};  ///< Requested with each refusal.
+  double share = 1;      ///< Fraction of requests that it refuses.
+  Duration cooldown{0};  ///< Requested with each refusal.
 };
 
 /// Actual state of one target, whatever the entries believe.
@@ -55,10 +55,10 @@
   std::uint32_t running = 0;
   std::uint64_t handles_made = 0;
   std::set<std::string> handles;
-  std::optional<AnnouncedLimit> limit;
+  std::optional<AdvertisedLimit> limit;
   std::optional<Shedding> shedding;
-  /// End of the backoff requested from each entry process.
-  std::map<std::uint64_t, TimePoint> backoffs;
+  /// End of the cooldown requested from each entry process.
+  std::map<std::uint64_t, TimePoint> cooldowns;
   bool announces_leaving = false;
 };
 
--- a/tests/wire/revision_exchange_test.cc
+++ b/tests/wire/revision_exchange_test.cc
@@ -98,22 +98,23 @@
   network.Add("side-1", false);
   network.ConnectNodes("entry-a", "side-1");
   network.ConnectNodes("entry-a", "entry-b");
-  const auto& book = network.nodes["entry-a"].exchange->book();
+  const auto& revision_table =
+      network.nodes["entry-a"].exchange->revision_table();
 
   SECTION("from the store through an entry to its side, and reports back") {
     network.nodes["entry-a"].exchange->OfferFromStore(Json(1), network.now);
     CHECK(network.nodes["side-1"].applied == std::vector<std::uint64_t>{1});
     network.Tick();
-    CHECK(book.RolloutOf("brief-llm").everywhere());
+    CHECK(revision_table.RolloutOf("brief-llm").everywhere());
   }
   SECTION("lists the missing processes and repeats a lost offer") {
     network.drop_messages = true;
     network.nodes["entry-a"].exchange->OfferFromStore(Json(1), network.now);
-    CHECK(book.RolloutOf("brief-llm").waiting_for ==
+    CHECK(revision_table.RolloutOf("brief-llm").waiting_for ==
           std::vector<std::string>{"entry-b", "side-1"});
     network.drop_messages = false;
     network.Tick();
-    CHECK(book.RolloutOf("brief-llm").everywhere());
+    CHECK(revision_table.RolloutOf("brief-llm").everywhere());
   }
   SECTION("an older revision from the store is ignored") {
     network.nodes["entry-a"].exchange->OfferFromStore(Json(2), network.now);
@@ -123,7 +124,7 @@
   SECTION("a value that cannot be parsed is ignored") {
     network.nodes["entry-a"].exchange->OfferFromStore(Json(1), network.now);
     network.nodes["entry-a"].exchange->OfferFromStore("{", network.now);
-    CHECK(book.Find("brief-llm")->number == 1);
+    CHECK(revision_table.Find("brief-llm")->number == 1);
   }
 }
 
