--- a/src/core/claims/claim_journal.cc
+++ b/src/core/claims/claim_journal.cc
@@ -87,15 +87,16 @@
   if (phase_ != Phase::kIdle || !WantsWrite()) {
     return;
   }
-  attempt_ = MakeAttempt();
+  segment_in_flight_ = MakeSegment();
   // The store may hold this generation from now on, so grants without a store
   // write also need the agreement of its witnesses. Otherwise a recovery write
   // whose reply is lost would look complete while such grants continue.
-  possible_generations_[attempt_.generation] = attempt_.witnesses;
+  possible_generations_[segment_in_flight_.generation] =
+      segment_in_flight_.witnesses;
   phase_ = Phase::kWriting;
   next_store_call_ = now + options_.write_interval;
   ++writes_;
-  out->push_back(WriteSegment{attempt_, open_version_});
+  out->push_back(WriteSegment{segment_in_flight_, open_version_});
 }
 
 void ClaimJournal::AdvanceWitnesses(TimePoint now,
@@ -171,7 +172,7 @@
   return picked;
 }
 
-JournalSegment ClaimJournal::MakeAttempt() const {
+JournalSegment ClaimJournal::MakeSegment() const {
   JournalSegment segment = open_;
   std::size_t bytes = SizeOf(segment.records);
   std::size_t taken = 0;
@@ -208,7 +209,7 @@
     return;
   }
   if (IsOk(version)) {
-    Commit(attempt_, ValueOf(version), now);
+    Commit(segment_in_flight_, ValueOf(version), now);
     return;
   }
   // A conflict may also come from an earlier write of this journal whose reply
--- a/src/core/claims/claim_journal.h
+++ b/src/core/claims/claim_journal.h
@@ -196,7 +196,7 @@
   bool WantsWrite() const;
   bool WantsNewWitnesses() const;
   bool AskedWitnesses() const;
-  JournalSegment MakeAttempt() const;
+  JournalSegment MakeSegment() const;
   std::vector<Incarnation> PickWitnesses() const;
   void AdvanceStore(TimePoint now, std::vector<JournalAction>* out);
   void AdvanceWitnesses(TimePoint now, std::vector<JournalAction>* out);
@@ -212,7 +212,7 @@
   bool gaps_changed_ = false;
   JournalSegment open_;  ///< Newest segment, as last written.
   std::uint64_t open_version_ = 0;
-  JournalSegment attempt_;
+  JournalSegment segment_in_flight_;
   /// Generations that the store may hold, with their witnesses.
   /// `agreed_witnesses_` holds the witnesses that marked each generation as
   /// degraded.
--- a/src/core/membership/target_directory.cc
+++ b/src/core/membership/target_directory.cc
@@ -70,7 +70,7 @@
   }
 }
 
-std::vector<TargetChange> TargetDirectory::OnLeavingTold(
+std::vector<TargetChange> TargetDirectory::OnLeavingNotice(
     const std::string& id) {
   std::vector<TargetChange> changes;
   if (const auto it = targets_.find(id); it != targets_.end()) {
--- a/src/core/membership/target_directory.h
+++ b/src/core/membership/target_directory.h
@@ -95,7 +95,7 @@
                                      TimePoint now);
   /// Records that the target has announced that it leaves. Returns what
   /// changed.
-  std::vector<TargetChange> OnLeavingTold(const std::string& id);
+  std::vector<TargetChange> OnLeavingNotice(const std::string& id);
   /// Records that changes of the store can no longer be followed; its last
   /// answer came at `heard_at`.
   void OnStoreLost(TimePoint heard_at);
--- a/src/entry/direct_dispatcher.cc
+++ b/src/entry/direct_dispatcher.cc
@@ -190,7 +190,7 @@
     OnTargetCooldownRequested(instance, length);
   };
   hooks.on_leaving_announced = [this](const std::string& instance) {
-    OnLeavingTold(instance);
+    OnLeavingNotice(instance);
   };
   hooks.flush = [this] { Flush(); };
   return hooks;
--- a/src/entry/direct_dispatcher.h
+++ b/src/entry/direct_dispatcher.h
@@ -201,7 +201,7 @@
   std::vector<std::string> TargetsSharingAddress(
       const std::string& instance) const;
   void OnTargetCooldownRequested(const std::string& instance, Duration length);
-  void OnLeavingTold(const std::string& instance);
+  void OnLeavingNotice(const std::string& instance);
   /// Stops calls to a target that asks for a cooldown, and new work for one
   /// that is leaving. Covers calls that were routed before, and calls that are
   /// not routed at all.
--- a/src/entry/direct_dispatcher_notices.cc
+++ b/src/entry/direct_dispatcher_notices.cc
@@ -29,9 +29,9 @@
   targets_in_cooldown_.Set(static_cast<std::int64_t>(cooldowns_.size()));
 }
 
-void DirectDispatcher::OnLeavingTold(const std::string& instance) {
+void DirectDispatcher::OnLeavingNotice(const std::string& instance) {
   for (const std::string& it : TargetsSharingAddress(instance)) {
-    const std::vector<TargetChange> changes = directory_.OnLeavingTold(it);
+    const std::vector<TargetChange> changes = directory_.OnLeavingNotice(it);
     if (!changes.empty()) {
       log_(kTargetToldLeaving, {{"target", it}, {"answered", instance}});
     }
--- a/tests/core/membership/target_directory_test.cc
+++ b/tests/core/membership/target_directory_test.cc
@@ -67,9 +67,9 @@
     }
   }
   SECTION("a target that announces that it leaves is reported once") {
-    CHECK(KindsOf(directory.OnLeavingTold("a")) ==
+    CHECK(KindsOf(directory.OnLeavingNotice("a")) ==
           std::vector<Kind>{Kind::kLeaving});
-    CHECK(directory.OnLeavingTold("a").empty());
+    CHECK(directory.OnLeavingNotice("a").empty());
     SECTION("later lists do not make it return") {
       CHECK(directory.OnListed({Target("a"), Target("b")}, now).empty());
       directory.OnListed({Target("b")}, now);
@@ -84,7 +84,7 @@
             std::vector<Kind>{Kind::kRestarted, Kind::kReturned});
       CHECK(directory.OnListed({run, Target("b")}, now).empty());
     }
-    CHECK(directory.OnLeavingTold("unknown").empty());
+    CHECK(directory.OnLeavingNotice("unknown").empty());
   }
   SECTION("an unlisted target is leaving at once") {
     CHECK(KindsOf(directory.OnListed({Target("b")}, now)) ==
