--- a/src/core/admission/admission.cc
+++ b/src/core/admission/admission.cc
@@ -14,7 +14,7 @@
 constexpr Duration kScanInterval = std::chrono::milliseconds(10);
 
 /// Maximum number of requests evicted for one new request.
-constexpr int kMaxDisplaced = 8;
+constexpr int kMaxEvicted = 8;
 
 Duration FromSeconds(double seconds) {
   // A rate near zero yields huge values; they are limited to one day.
@@ -106,10 +106,10 @@
 }
 
 double Admission::ServiceRate() const {
-  return efficiency_ * fleet_.prefill_tokens_per_s;
+  return rate_ratio_ * fleet_.prefill_tokens_per_s;
 }
 
-bool Admission::GateOpen() const {
+bool Admission::CanDispatch() const {
   const double max_queued =
       options_.max_target_backlog_s * fleet_.prefill_tokens_per_s;
   return fleet_.serving > 0 && concurrency_.HasRoom() &&
@@ -198,7 +198,8 @@
 }
 
 AdmissionDecision Admission::Offer(const AdmissionRequest& request,
-                                   TimePoint now, const OnDecision& displaced) {
+                                   TimePoint now,
+                                   const OnDecision& on_evicted) {
   const std::optional<std::uint32_t> account = FindAccount(request.account);
   if (!account || !accounts_[*account].accepts) {
     return Refuse(request.id, RefusalCause::kUnknownAccount, std::nullopt);
@@ -206,7 +207,7 @@
   if (auto refused = CheckLimits(request, *account, now)) {
     return *refused;
   }
-  const bool can_run_now = queue_.size() == 0 && GateOpen();
+  const bool can_run_now = queue_.size() == 0 && CanDispatch();
   const Duration wait = can_run_now ? Duration{0} : ExpectedWait(*account);
   if (auto refused = CheckDeadline(request, wait, now)) {
     return *refused;
@@ -214,7 +215,7 @@
   const QueuedRequest queued{request.id, *account, WorkOf(request),
                              request.deadline, request.service};
   AdmissionDecision decision =
-      can_run_now ? Admit(queued, now) : Enqueue(queued, displaced);
+      can_run_now ? Admit(queued, now) : Enqueue(queued, on_evicted);
   if (decision.verdict != AdmissionVerdict::kRefused) {
     // Only accepted requests count towards the rate limits.
     AccountState& state = accounts_[*account];
@@ -226,15 +227,15 @@
 }
 
 AdmissionDecision Admission::Enqueue(const QueuedRequest& request,
-                                     const OnDecision& displaced) {
+                                     const OnDecision& on_evicted) {
   const double work = request.work;
-  for (int it = 0; it < kMaxDisplaced && !queue_.HasRoom(work); ++it) {
+  for (int it = 0; it < kMaxEvicted && !queue_.HasRoom(work); ++it) {
     const auto evicted_request = queue_.EvictFor(request.account, work);
     if (!evicted_request) {
       break;
     }
-    displaced(Refuse(evicted_request->id, RefusalCause::kDisplaced,
-                     ExpectedWait(evicted_request->account)));
+    on_evicted(Refuse(evicted_request->id, RefusalCause::kDisplaced,
+                      ExpectedWait(evicted_request->account)));
   }
   if (!queue_.HasRoom(work)) {
     return Refuse(request.id, RefusalCause::kQueueFull,
@@ -265,7 +266,7 @@
                         const OnDecision& on_decision) {
   RefuseUnmeetable(now, on_decision);
   fleet_ = fleet();
-  while (queue_.size() > 0 && GateOpen()) {
+  while (queue_.size() > 0 && CanDispatch()) {
     const QueuedRequest next = *queue_.Pop();
     if (now + next.service > next.deadline) {
       on_decision(
@@ -315,7 +316,7 @@
       fleet_.prefill_tokens_per_s > 0) {
     const double share =
         window_work_ / Seconds(elapsed) / fleet_.prefill_tokens_per_s;
-    efficiency_ += 0.2 * (std::clamp(share, 0.05, 4.0) - efficiency_);
+    rate_ratio_ += 0.2 * (std::clamp(share, 0.05, 4.0) - rate_ratio_);
   }
   window_start_ = now;
   window_work_ = 0;
--- a/src/core/admission/admission.h
+++ b/src/core/admission/admission.h
@@ -123,10 +123,10 @@
   /// dispatched.
   void SetFleet(const FleetLoad& fleet) { fleet_ = fleet; }
 
-  /// Decides on a new request. If it evicts queued requests, `displaced` is
+  /// Decides on a new request. If it evicts queued requests, `on_evicted` is
   /// called with the refusal of each.
   AdmissionDecision Offer(const AdmissionRequest& request, TimePoint now,
-                          const OnDecision& displaced);
+                          const OnDecision& on_evicted);
 
   /// Admits queued requests that may run now and refuses those that can no
   /// longer meet their deadline; `on_decision` is called with each decision.
@@ -164,7 +164,7 @@
 
   std::optional<std::uint32_t> FindAccount(std::string_view name) const;
   std::optional<std::uint32_t> IndexFor(const std::string& name) const;
-  bool GateOpen() const;
+  bool CanDispatch() const;
   bool FleetIsIdle() const;
   double WorkOf(const AdmissionRequest& request) const;
   Duration ExpectedWait(std::uint32_t account) const;
@@ -179,7 +179,7 @@
   bool IndicatesOverload(const AdmissionTicket& ticket, AdmissionEnd end,
                          TimePoint now) const;
   AdmissionDecision Enqueue(const QueuedRequest& request,
-                            const OnDecision& displaced);
+                            const OnDecision& on_evicted);
   void RefuseUnmeetable(TimePoint now, const OnDecision& on_decision);
   void MeasureRate(double work, TimePoint now);
 
@@ -191,7 +191,7 @@
   double average_service_s_ = 1;
   /// Ratio of the measured to the reported rate of work. Storing a ratio makes
   /// the loss of a target take effect immediately.
-  double efficiency_ = 1;
+  double rate_ratio_ = 1;
   TimePoint window_start_{};
   double window_work_ = 0;
   bool window_saturated_ = false;
--- a/src/core/placement/engine_placement.cc
+++ b/src/core/placement/engine_placement.cc
@@ -43,9 +43,10 @@
 
 /// Returns true if some engine could do the work of role `wanted` but gets none
 /// now because of its limit or a cooldown.
-bool AnyClosed(const std::vector<PlacementEngine>& engines, EngineRole wanted) {
+bool AnyRateLimited(const std::vector<PlacementEngine>& engines,
+                    EngineRole wanted) {
   return std::any_of(engines.begin(), engines.end(), [wanted](const auto& it) {
-    return it.closed && !it.leaving && Fits(it.role, wanted);
+    return it.rate_limited && !it.leaving && Fits(it.role, wanted);
   });
 }
 
@@ -106,17 +107,18 @@
   auto decode_engines = Usable(engines, EngineRole::kDecode, now);
   auto prefill_engines = Usable(engines, EngineRole::kPrefill, now);
   if (decode_engines.empty()) {
-    return AnyClosed(engines, EngineRole::kDecode)
-               ? PlacementDecision(EnginesClosed{})
+    return AnyRateLimited(engines, EngineRole::kDecode)
+               ? PlacementDecision(EnginesRateLimited{})
                : PlacementDecision(NoEngine{});
   }
   if (AllFull(decode_engines, now)) {
     // The prefill would be wasted.
     return MakeBusy(options_.avoid_after_refusal, Duration{0});
   }
-  if (prefill_engines.empty() && AnyClosed(engines, EngineRole::kPrefill)) {
+  if (prefill_engines.empty() &&
+      AnyRateLimited(engines, EngineRole::kPrefill)) {
     // A prefill on a decode engine would stall the answers that it streams.
-    return EnginesClosed{};
+    return EnginesRateLimited{};
   }
   if (prefill_engines.empty()) {
     return PlaceUnsplit(request, decode_engines, now);
@@ -157,7 +159,7 @@
     const std::string& prefill_engine) const {
   auto holders = prefill_engines;
   for (const PlacementEngine& it : engines) {
-    if ((it.leaving || it.closed) && it.role == EngineRole::kPrefill) {
+    if ((it.leaving || it.rate_limited) && it.role == EngineRole::kPrefill) {
       holders.push_back(&it);
     }
   }
@@ -245,7 +247,7 @@
   std::vector<const PlacementEngine*> usable;
   std::vector<const PlacementEngine*> fallback;
   for (const PlacementEngine& it : engines) {
-    if (it.leaving || it.closed || !Fits(it.role, role)) {
+    if (it.leaving || it.rate_limited || !Fits(it.role, role)) {
       continue;
     }
     const EngineState* state = Find(it.instance);
@@ -273,7 +275,7 @@
 
 void EnginePlacement::AddPendingCall(const std::string& instance,
                                      TimePoint now) {
-  EngineState& state = StateOf(instance);
+  EngineState& state = GetOrCreate(instance);
   if (state.pending_calls++ == 0) {
     state.progress_at = now;
   }
@@ -356,7 +358,7 @@
       decode_engines,
       prefill_engine == engines.end() ? "" : prefill_engine->failure_domain);
   assignment.decode = chosen->instance;
-  EngineState& decode = StateOf(assignment.decode);
+  EngineState& decode = GetOrCreate(assignment.decode);
   sent->second.decode_epoch = decode.epoch;
   sent->second.decode_requested_at = now;
   ++decode.streams;
@@ -388,8 +390,8 @@
                              const CallerRequest& request,
                              const EngineAssignment& assignment,
                              TimePoint now) {
-  EngineState& prefill_engine = StateOf(PrefillEngineOf(assignment));
-  EngineState& decode = StateOf(assignment.decode);
+  EngineState& prefill_engine = GetOrCreate(PrefillEngineOf(assignment));
+  EngineState& decode = GetOrCreate(assignment.decode);
   SentAttempt sent{assignment, SharedPrefixHash(request.prompt_parts),
                    SharedTokens(request), prefill_engine.epoch, decode.epoch};
   sent.tokens = request.prompt_tokens;
@@ -542,7 +544,7 @@
   return it == engines_.end() ? nullptr : &it->second;
 }
 
-EnginePlacement::EngineState& EnginePlacement::StateOf(
+EnginePlacement::EngineState& EnginePlacement::GetOrCreate(
     const std::string& instance) {
   const auto [it, added] = engines_.try_emplace(instance);
   if (added) {
--- a/src/core/placement/engine_placement.h
+++ b/src/core/placement/engine_placement.h
@@ -33,7 +33,7 @@
   /// Gets no work from this entry process now, because it reached a limit that
   /// the engine declares or the engine asked for a pause. Its cache can still
   /// be copied.
-  bool closed = false;
+  bool rate_limited = false;
 
   friend bool operator==(const PlacementEngine&,
                          const PlacementEngine&) = default;
@@ -64,8 +64,9 @@
 
 /// No engine is available for the prefill or the decode, and at least one
 /// suitable engine gets no work now because of its limit or a cooldown.
-struct EnginesClosed {
-  friend bool operator==(const EnginesClosed&, const EnginesClosed&) = default;
+struct EnginesRateLimited {
+  friend bool operator==(const EnginesRateLimited&,
+                         const EnginesRateLimited&) = default;
 };
 
 /// No engine can run the decode.
@@ -74,7 +75,7 @@
 };
 
 using PlacementDecision =
-    std::variant<EngineAssignment, EnginesBusy, EnginesClosed, NoEngine>;
+    std::variant<EngineAssignment, EnginesBusy, EnginesRateLimited, NoEngine>;
 
 /// Chooses the prefill engine and the decode engine of each request in a fleet
 /// with disaggregated prefill and decode.
@@ -250,7 +251,7 @@
   void UpdateTimeModel(const SentAttempt& sent, EngineState* prefill_engine,
                        TimePoint now);
   const EngineState* Find(const std::string& instance) const;
-  EngineState& StateOf(const std::string& instance);
+  EngineState& GetOrCreate(const std::string& instance);
   EngineState* FindRun(const std::string& instance, std::uint64_t epoch);
   void AddPendingCall(const std::string& instance, TimePoint now);
   void RememberPrefix(EngineState* state, const SentAttempt& sent);
--- a/src/core/request/crash_ledger.cc
+++ b/src/core/request/crash_ledger.cc
@@ -64,7 +64,7 @@
     return ReportUrgency::kNone;
   }
   const ClearedRequest cleared{request, {it->second.begin(), it->second.end()}};
-  const bool urgent = it->second.size() + 1 >= options_.crashes_to_stop;
+  const bool urgent = it->second.size() + 1 >= options_.crashes_to_block;
   Merge(cleared, &own_);
   Rebuild(now);
   return urgent ? ReportUrgency::kNow : ReportUrgency::kSoon;
@@ -173,9 +173,9 @@
   return it == crashes_by_request_.end() ? 0 : it->second.size();
 }
 
-std::optional<Duration> CrashLedger::StoppedFor(Fingerprint request,
+std::optional<Duration> CrashLedger::BlockedFor(Fingerprint request,
                                                 TimePoint now) const {
-  if (CountCrashes(request) < options_.crashes_to_stop) {
+  if (CountCrashes(request) < options_.crashes_to_block) {
     return std::nullopt;
   }
   std::vector<TimePoint> since;
@@ -183,7 +183,7 @@
     since.push_back(known_since_.at(it));
   }
   std::sort(since.begin(), since.end(), std::greater<>());
-  const TimePoint until = since[options_.crashes_to_stop - 1] + options_.keep;
+  const TimePoint until = since[options_.crashes_to_block - 1] + options_.keep;
   return until > now ? std::optional<Duration>(until - now) : std::nullopt;
 }
 
@@ -200,7 +200,7 @@
     return;
   }
   const auto may_run = [this](Fingerprint it) {
-    return CountCrashes(it) < options_.crashes_to_stop;
+    return CountCrashes(it) < options_.crashes_to_block;
   };
   for (CrashRecord& it : own_.crashes) {
     if (CountOwnRequests() > options_.max_requests) {
--- a/src/core/request/crash_ledger.h
+++ b/src/core/request/crash_ledger.h
@@ -55,12 +55,12 @@
 ///
 /// A crash does not show which of the running requests caused it, so it counts
 /// against all of them. A complete answer clears a request. A harmless request
-/// is blocked only if it was running in `crashes_to_stop` crashes without an
+/// is blocked only if it was running in `crashes_to_block` crashes without an
 /// answer in between.
 class CrashLedger {
  public:
   struct Options {
-    std::size_t crashes_to_stop = 3;
+    std::size_t crashes_to_block = 3;
     /// How long a crash counts after this entry learned of it.
     Duration keep = std::chrono::hours(1);
     /// Bound on the requests in this entry's own report. Crashes that block a
@@ -91,7 +91,7 @@
   /// Returns the number of crashes that count against the request.
   std::size_t CountCrashes(Fingerprint request) const;
   /// Returns for how long the request is blocked; `nullopt` if it may run.
-  std::optional<Duration> StoppedFor(Fingerprint request, TimePoint now) const;
+  std::optional<Duration> BlockedFor(Fingerprint request, TimePoint now) const;
   /// Returns the report of this entry for the others.
   const CrashReport& own() const { return own_; }
   /// Returns the number of requests with crashes counted against them.
--- a/src/core/request/request_flow.h
+++ b/src/core/request/request_flow.h
@@ -137,7 +137,7 @@
   /// Called when a target died while it ran the request.
   std::function<void(const CallerRequest&, const std::string& instance,
                      TimePoint)>
-      report_target_death;
+      report_target_crash;
   /// Called when the request has its final answer or its caller has left.
   std::function<void(const CallerRequest&, TimePoint)> on_done;
 };
--- a/src/core/request/request_flow_ends.cc
+++ b/src/core/request/request_flow_ends.cc
@@ -67,8 +67,8 @@
     ++counts_.corrupt_answers;
   }
   if (end.outcome == AttemptOutcome::kTargetDied &&
-      hooks_.report_target_death) {
-    hooks_.report_target_death(*it->request, it->attempt->instance(), now);
+      hooks_.report_target_crash) {
+    hooks_.report_target_crash(*it->request, it->attempt->instance(), now);
   }
   // A head proves a start, whatever the end frame states.
   const bool not_started =
--- a/src/core/request/route_table.h
+++ b/src/core/request/route_table.h
@@ -47,7 +47,7 @@
   std::uint32_t slots = 1;  ///< Requests that run concurrently.
   std::uint64_t kv_capacity_tokens = 0;
   /// Time that an engine is unavailable while it changes its role.
-  Duration stage_change_time{0};
+  Duration role_change_time{0};
   double kv_bytes_per_token = 0;  ///< KV cache size; 0: unknown.
   double link_bits_per_s = 0;     ///< Per engine, for KV cache; 0: unknown.
 
--- a/src/core/roles/role_planner.cc
+++ b/src/core/roles/role_planner.cc
@@ -115,7 +115,7 @@
 double RolePlanner::ServedEngines(const RoleCounts& counts,
                                   const EngineDemand& demand) const {
   const double capacity_ratio = CapacityRatio(counts, demand, rates_);
-  const double share = std::min(1.0, capacity_ratio * options_.target_use);
+  const double share = std::min(1.0, capacity_ratio * options_.max_utilization);
   return share * (demand.prefill + demand.decode);
 }
 
--- a/src/core/roles/role_planner.h
+++ b/src/core/roles/role_planner.h
@@ -86,7 +86,7 @@
     Duration max_step = std::chrono::seconds(5);
     /// Utilization of the engines up to which latency stays good. The capacity
     /// is sized for the demand divided by this.
-    double target_use = 0.85;
+    double max_utilization = 0.85;
     /// A returned change that is not ordered within this time is planned again.
     Duration order_timeout = std::chrono::seconds(15);
     /// A change that takes longer no longer blocks others.
--- a/src/entry/crash_service.h
+++ b/src/entry/crash_service.h
@@ -57,8 +57,8 @@
   /// Records that a target answered the request completely.
   void OnAnswered(Fingerprint request);
   /// Returns how much longer the request is blocked; nullopt if it may run.
-  std::optional<Duration> StoppedFor(Fingerprint request) const {
-    return ledger_.StoppedFor(request, clock_());
+  std::optional<Duration> BlockedFor(Fingerprint request) const {
+    return ledger_.BlockedFor(request, clock_());
   }
   void Tick();
 
--- a/src/entry/direct_dispatcher.h
+++ b/src/entry/direct_dispatcher.h
@@ -162,9 +162,9 @@
   /// entry, at least `min_closed_wait`.
   Duration WaitForTargets(const std::vector<Candidate>& candidates,
                           TimePoint now) const;
-  Refusal TargetsClosed(const std::string& service,
-                        const std::vector<Candidate>& candidates,
-                        TimePoint now) const;
+  Refusal TargetsRateLimited(const std::string& service,
+                             const std::vector<Candidate>& candidates,
+                             TimePoint now) const;
   std::vector<PlacementEngine> EnginesOf(
       const std::string& service, const std::vector<Candidate>& candidates,
       TimePoint now) const;
--- a/src/entry/direct_dispatcher_route.cc
+++ b/src/entry/direct_dispatcher_route.cc
@@ -137,8 +137,8 @@
             FormatMilliseconds(busy->first_event) + " ms.",
         busy->retry_after};
   }
-  if (std::holds_alternative<EnginesClosed>(decision)) {
-    return TargetsClosed(request.deployment, candidates, now);
+  if (std::holds_alternative<EnginesRateLimited>(decision)) {
+    return TargetsRateLimited(request.deployment, candidates, now);
   }
   if (const auto* assignment = std::get_if<EngineAssignment>(&decision)) {
     decided_assignment_ = *assignment;
@@ -164,7 +164,7 @@
   return longest;
 }
 
-Refusal DirectDispatcher::TargetsClosed(
+Refusal DirectDispatcher::TargetsRateLimited(
     const std::string& service, const std::vector<Candidate>& candidates,
     TimePoint now) const {
   const Duration wait = WaitForTargets(candidates, now);
@@ -209,7 +209,7 @@
     }
   }
   if (!best) {
-    return TargetsClosed(service, candidates, now);
+    return TargetsRateLimited(service, candidates, now);
   }
   return RouteTo{best->side->instance, ""};
 }
--- a/src/entry/request_guards.cc
+++ b/src/entry/request_guards.cc
@@ -57,7 +57,7 @@
                                const WholeAnswer* answer, TimePoint now) {
     claims_.Settle(it, settlement, answer, now);
   };
-  hooks->report_target_death =
+  hooks->report_target_crash =
       [this](const CallerRequest& it, const std::string& instance,
              TimePoint now) { quarantine_.ReportKill(it, instance, now); };
   const auto route = hooks->route ? hooks->route : LeastOutstanding;
--- a/tests/core/placement/engine_placement_test.cc
+++ b/tests/core/placement/engine_placement_test.cc
@@ -433,7 +433,7 @@
   EnginePlacement placement = MakePlacement(1);
   const auto limit = [&fleet](const std::string& instance) {
     for (PlacementEngine& it : fleet) {
-      it.closed = it.closed || it.instance == instance;
+      it.rate_limited = it.rate_limited || it.instance == instance;
     }
   };
   const EngineAssignment before =
@@ -463,14 +463,14 @@
     limit("r1");
     limit("r2");
     CHECK(placement.Place(Request(7, 4), fleet, kNow) ==
-          PlacementDecision(EnginesClosed{}));
+          PlacementDecision(EnginesRateLimited{}));
   }
   SECTION("no prompt is placed if all decode engines reached their limits") {
     limit("d3");
     limit("d4");
     limit("d5");
     CHECK(placement.Place(Request(7, 5), fleet, kNow) ==
-          PlacementDecision(EnginesClosed{}));
+          PlacementDecision(EnginesRateLimited{}));
   }
 }
 
--- a/tests/core/request/crash_ledger_test.cc
+++ b/tests/core/request/crash_ledger_test.cc
@@ -28,22 +28,22 @@
 
   SECTION("the request may run after two crashes") {
     CHECK(ledger.CountCrashes(kCrashingRequest) == 2);
-    CHECK_FALSE(ledger.StoppedFor(kCrashingRequest, kStart + minutes(1)));
+    CHECK_FALSE(ledger.BlockedFor(kCrashingRequest, kStart + minutes(1)));
   }
   SECTION("the third crash blocks it until the first is an hour old") {
     ledger.OnCrash(Crash(3), {kCrashingRequest}, kStart + minutes(2));
-    CHECK(ledger.StoppedFor(kCrashingRequest, kStart + minutes(2)) ==
+    CHECK(ledger.BlockedFor(kCrashingRequest, kStart + minutes(2)) ==
           Duration(minutes(58)));
-    CHECK_FALSE(ledger.StoppedFor(11, kStart + minutes(2)));
+    CHECK_FALSE(ledger.BlockedFor(11, kStart + minutes(2)));
 
     SECTION("a fourth crash extends the block") {
       ledger.OnCrash(Crash(4), {kCrashingRequest}, kStart + minutes(3));
-      CHECK(ledger.StoppedFor(kCrashingRequest, kStart + minutes(3)) ==
+      CHECK(ledger.BlockedFor(kCrashingRequest, kStart + minutes(3)) ==
             Duration(minutes(58)));
     }
     SECTION("the block expires") {
       CHECK(ledger.Tick(kStart + minutes(60)));
-      CHECK_FALSE(ledger.StoppedFor(kCrashingRequest, kStart + minutes(60)));
+      CHECK_FALSE(ledger.BlockedFor(kCrashingRequest, kStart + minutes(60)));
       CHECK(ledger.own().crashes.size() == 2);
     }
   }
@@ -54,16 +54,16 @@
   }
   SECTION("a crash in another run of the same target counts again") {
     ledger.OnCrash({"i-2", 6}, {kCrashingRequest}, kStart + minutes(2));
-    CHECK(ledger.StoppedFor(kCrashingRequest, kStart + minutes(2)));
+    CHECK(ledger.BlockedFor(kCrashingRequest, kStart + minutes(2)));
   }
   SECTION("reports of other entries block the request") {
     ledger.OnReports({{{{Crash(3), {kCrashingRequest}}}, {}}},
                      kStart + minutes(2));
-    CHECK(ledger.StoppedFor(kCrashingRequest, kStart + minutes(2)));
+    CHECK(ledger.BlockedFor(kCrashingRequest, kStart + minutes(2)));
     SECTION("reports that never expire do not extend the block") {
       ledger.OnReports({{{{Crash(3), {kCrashingRequest}}}, {}}},
                        kStart + minutes(70));
-      CHECK_FALSE(ledger.StoppedFor(kCrashingRequest, kStart + minutes(70)));
+      CHECK_FALSE(ledger.BlockedFor(kCrashingRequest, kStart + minutes(70)));
       CHECK(ledger.CountCrashes(kCrashingRequest) == 0);
     }
   }
@@ -90,7 +90,7 @@
     CrashLedger next(CrashLedger::Options{});
     next.OnCrash(Crash(3), {kCrashingRequest}, kStart + minutes(2));
     next.RestoreOwnReport(ledger.own(), kStart + minutes(2));
-    CHECK(next.StoppedFor(kCrashingRequest, kStart + minutes(2)));
+    CHECK(next.BlockedFor(kCrashingRequest, kStart + minutes(2)));
     CHECK(next.own().crashes.size() == 3);
   }
 }
@@ -115,7 +115,7 @@
   }
   CHECK(requests <= 100);
   SECTION("crashes that block a request are kept") {
-    CHECK(ledger.StoppedFor(kCrashingRequest, kStart));
+    CHECK(ledger.BlockedFor(kCrashingRequest, kStart));
   }
   SECTION("the newest crash is kept") { CHECK(ledger.CountCrashes(1995) == 1); }
 }
@@ -157,13 +157,13 @@
     }
   }
 
-  int sent_on() const {
+  int forwarded_after_crashes() const {
     return CountForwardedAfterCrashes(crashes_, undisturbed_sends_);
   }
   std::size_t crashes() const { return crashes_.size(); }
   /// Returns how often a request was blocked that had not been running in three
   /// crashes since its last answer.
-  int wrongly_stopped() const { return wrongly_stopped_; }
+  int wrongly_blocked() const { return wrongly_blocked_; }
 
  private:
   /// A report that an entry has not received yet.
@@ -182,7 +182,7 @@
   void SendCrashingRequest() {
     const auto entry = static_cast<std::size_t>(RandomBelow(ledgers_.size()));
     if (now_ < frozen_until(entry) ||
-        ledgers_[entry].StoppedFor(kCrashingRequest, now_)) {
+        ledgers_[entry].BlockedFor(kCrashingRequest, now_)) {
       return;
     }
     if (now_ >= disturbed_until_[entry]) {
@@ -217,10 +217,10 @@
       return;
     }
     HarmlessRequest& it = harmless_requests_[harmless_request];
-    if (ledgers_[entry].StoppedFor(harmless_request, now_)) {
+    if (ledgers_[entry].BlockedFor(harmless_request, now_)) {
       const bool answer_known = now_ - it.answered_at > kAnswerKnown;
-      const bool ran = it.crashes >= static_cast<int>(testing::kCrashesToStop);
-      wrongly_stopped_ += answer_known && !ran ? 1 : 0;
+      const bool ran = it.crashes >= static_cast<int>(testing::kCrashesToBlock);
+      wrongly_blocked_ += answer_known && !ran ? 1 : 0;
       return;
     }
     it.crashes = 0;
@@ -315,7 +315,7 @@
   std::vector<TimePoint> undisturbed_sends_;
   std::map<Fingerprint, HarmlessRequest> harmless_requests_;
   std::map<std::size_t, TimePoint> publish_at_;
-  int wrongly_stopped_ = 0;
+  int wrongly_blocked_ = 0;
 };
 
 /// Guards against entries that count only their own crashes or lose their
@@ -328,9 +328,10 @@
     CrashSimulation simulation(static_cast<std::uint64_t>(seed), entries);
     simulation.Run();
     INFO("seed " << seed);
-    CHECK(simulation.crashes() >= testing::kCrashesToStop);
-    CHECK(simulation.sent_on() <= testing::kMaxForwardedAfterCrashes);
-    CHECK(simulation.wrongly_stopped() == 0);
+    CHECK(simulation.crashes() >= testing::kCrashesToBlock);
+    CHECK(simulation.forwarded_after_crashes() <=
+          testing::kMaxForwardedAfterCrashes);
+    CHECK(simulation.wrongly_blocked() == 0);
   }
 }
 
--- a/tests/platform/crashing_request_process_test.cc
+++ b/tests/platform/crashing_request_process_test.cc
@@ -131,7 +131,7 @@
   bad.Stop();
   good.Stop();
   const std::vector<Time> crashes = CrashesOf(&scene);
-  CHECK(crashes.size() >= kCrashesToStop);
+  CHECK(crashes.size() >= kCrashesToBlock);
   CHECK(bad.sent_count() > 20);
   CHECK(CountForwardedAfterCrashes(crashes, ArrivalsOf(&scene, crashing)) <=
         kMaxForwardedAfterCrashes);
--- a/tests/shell/crash_service_test.cc
+++ b/tests/shell/crash_service_test.cc
@@ -34,7 +34,7 @@
   CrashService& operator*() { return service_; }
   CrashService* operator->() { return &service_; }
   bool Stops(Fingerprint request) const {
-    return service_.StoppedFor(request).has_value();
+    return service_.BlockedFor(request).has_value();
   }
 
  private:
--- a/tests/support/crash_rule.h
+++ b/tests/support/crash_rule.h
@@ -11,7 +11,7 @@
 // crash, whatever ids its retries have.
 namespace indigolead::testing {
 
-inline constexpr std::size_t kCrashesToStop = 3;
+inline constexpr std::size_t kCrashesToBlock = 3;
 inline constexpr int kMaxForwardedAfterCrashes = 3;
 inline constexpr std::chrono::seconds kCrashReaction{3};
 
@@ -20,11 +20,11 @@
 template <typename Time>
 int CountForwardedAfterCrashes(std::vector<Time> crashes,
                                const std::vector<Time>& arrivals) {
-  if (crashes.size() < kCrashesToStop) {
+  if (crashes.size() < kCrashesToBlock) {
     return 0;
   }
   std::sort(crashes.begin(), crashes.end());
-  const Time from = crashes[kCrashesToStop - 1] + kCrashReaction;
+  const Time from = crashes[kCrashesToBlock - 1] + kCrashReaction;
   return static_cast<int>(std::count_if(arrivals.begin(), arrivals.end(),
                                         [&](Time it) { return it > from; }));
 }
