--- a/src/entry/control_runner.cc
+++ b/src/entry/control_runner.cc
@@ -48,8 +48,9 @@
       to_platform_(
           platform_io, kMailboxCapacity,
           [this](ToPlatform&& it) { OnPlatformMessage(std::move(it)); }),
-      to_send_(dispatch_io, kMailboxCapacity,
-               [this](ToSend&& it) { hooks_.send(it.link, it.message); }),
+      to_send_(
+          dispatch_io, kMailboxCapacity,
+          [this](OutgoingMessage&& it) { hooks_.send(it.link, it.message); }),
       platform_outbox_(&to_platform_),
       send_outbox_(&to_send_),
       service_(store, ServiceOptions(settings, incarnation), ServiceHooks(),
@@ -59,7 +60,7 @@
 
 ControlService::Hooks ControlRunner::ServiceHooks() {
   return {[this](LinkId link, const wire::Envelope& message) {
-            send_outbox_.Push(ToSend{link, message});
+            send_outbox_.Push(OutgoingMessage{link, message});
             return true;
           },
           hooks_.role_plan, RandomFraction};
@@ -132,7 +133,7 @@
   // the next one carries the same data.
   const bool room = platform_outbox_.waiting() == 0;
   if (message.has_order_status() || (message.has_heartbeat() && room)) {
-    platform_outbox_.Push(Received{link, message});
+    platform_outbox_.Push(IncomingMessage{link, message});
   }
   return message.has_order_status();
 }
@@ -145,7 +146,7 @@
     service_.OnLinkUp(up->link, up->hello);
   } else if (const auto* down = std::get_if<LinkDown>(&event)) {
     service_.OnLinkDown(down->link);
-  } else if (const auto* received = std::get_if<Received>(&event)) {
+  } else if (const auto* received = std::get_if<IncomingMessage>(&event)) {
     service_.HandleMessage(received->link, received->message);
   } else if (const auto* revision =
                  std::get_if<std::shared_ptr<const Revision>>(&event)) {
--- a/src/entry/control_runner.h
+++ b/src/entry/control_runner.h
@@ -80,16 +80,16 @@
   struct LinkDown {
     LinkId link;
   };
-  struct Received {
+  struct IncomingMessage {
     LinkId link;
     wire::Envelope message;
   };
-  struct ToSend {
+  struct OutgoingMessage {
     LinkId link;
     wire::Envelope message;
   };
   using ToPlatform =
-      std::variant<std::monostate, LinkUp, LinkDown, Received,
+      std::variant<std::monostate, LinkUp, LinkDown, IncomingMessage,
                    std::shared_ptr<const Revision>, ConfigSnapshot>;
 
   ControlService::Hooks ServiceHooks();
@@ -103,9 +103,9 @@
   Hooks hooks_;
   EventLog log_;
   Mailbox<ToPlatform> to_platform_;
-  Mailbox<ToSend> to_send_;
+  Mailbox<OutgoingMessage> to_send_;
   Outbox<ToPlatform> platform_outbox_;
-  Outbox<ToSend> send_outbox_;
+  Outbox<OutgoingMessage> send_outbox_;
   ControlService service_;
   boost::asio::steady_timer tick_timer_;
   TimePoint next_snapshot_;
--- a/src/entry/direct_dispatcher.h
+++ b/src/entry/direct_dispatcher.h
@@ -75,7 +75,7 @@
     std::function<void(Fingerprint)> on_answered;
     /// Returns how much longer the request is blocked because targets crashed
     /// while running it; nullopt if it may run.
-    std::function<std::optional<Duration>(Fingerprint)> stopped_for;
+    std::function<std::optional<Duration>(Fingerprint)> blocked_for;
     /// A target started to run the request, or may have. Called once per
     /// request.
     std::function<void(const CallerRequest&, TimePoint)> on_run_started;
--- a/src/entry/direct_dispatcher_crashes.cc
+++ b/src/entry/direct_dispatcher_crashes.cc
@@ -32,7 +32,7 @@
 
 std::optional<Refusal> DirectDispatcher::RefuseBlocked(
     const CallerRequest& request) const {
-  const auto left = hooks_.stopped_for ? hooks_.stopped_for(request.fingerprint)
+  const auto left = hooks_.blocked_for ? hooks_.blocked_for(request.fingerprint)
                                        : std::nullopt;
   if (!left) {
     return std::nullopt;
--- a/src/report/report_page.cc
+++ b/src/report/report_page.cc
@@ -38,8 +38,8 @@
           std::to_string(it.unknown),
           std::to_string(it.abandoned),
           std::to_string(it.further_attempts),
-          MedianAndTail(it.placing),
-          MedianAndTail(it.reading),
+          MedianAndTail(it.before_first_attempt),
+          MedianAndTail(it.prefill_time),
           MedianAndTail(it.first_event),
           MedianAndTail(it.pause),
           MedianAndTail(it.whole)};
@@ -146,7 +146,8 @@
   for (const auto& [second, it] : report.by_second()) {
     out << second << ',' << it.ended() << ',' << it.answered << ',' << it.failed
         << ',' << it.refused << ',' << it.unknown << ',' << it.abandoned;
-    for (const Durations* times : {&it.reading, &it.first_event, &it.whole}) {
+    for (const Durations* times :
+         {&it.prefill_time, &it.first_event, &it.whole}) {
       out << ',' << Ms(times->Quantile(kMedian)) << ','
           << Ms(times->Quantile(kTail));
     }
--- a/src/report/request_report.cc
+++ b/src/report/request_report.cc
@@ -43,8 +43,8 @@
   } else if (line.event == "runner-chosen") {
     const auto it = open_requests_.find(line.process + " " +
                                         std::string(line.Get("request")));
-    if (it != open_requests_.end() && !it->second.read_ms) {
-      it->second.read_ms = line.Number("after_ms");
+    if (it != open_requests_.end() && !it->second.prefilled_ms) {
+      it->second.prefilled_ms = line.Number("after_ms");
     }
   } else if (line.event == "request-answered") {
     const bool failure =
@@ -103,13 +103,14 @@
   const auto pause = line.Number("longest_pause_ms");
   const auto whole = line.Number("after_ms");
   if (open.placed_ms) {
-    stats->placing.Add(*open.placed_ms);
+    stats->before_first_attempt.Add(*open.placed_ms);
   }
-  if (open.placed_ms && open.read_ms) {
-    stats->reading.Add(*open.read_ms - *open.placed_ms);
+  if (open.placed_ms && open.prefilled_ms) {
+    stats->prefill_time.Add(*open.prefilled_ms - *open.placed_ms);
   }
-  if (first && (open.read_ms || open.placed_ms)) {
-    stats->first_event.Add(*first - open.read_ms.value_or(*open.placed_ms));
+  if (first && (open.prefilled_ms || open.placed_ms)) {
+    stats->first_event.Add(*first -
+                           open.prefilled_ms.value_or(*open.placed_ms));
   }
   if (pause) {
     stats->pause.Add(*pause);
--- a/src/report/request_report.h
+++ b/src/report/request_report.h
@@ -31,11 +31,11 @@
   std::uint64_t unknown = 0;    ///< Possibly executed, without full response.
   std::uint64_t abandoned = 0;  ///< The caller disconnected.
   std::uint64_t further_attempts = 0;
-  Durations placing;      ///< From acceptance to the first attempt.
-  Durations reading;      ///< From there to the end of prefill.
-  Durations first_event;  ///< From there to the first event.
-  Durations pause;        ///< Longest pause between two events.
-  Durations whole;        ///< From acceptance to the end.
+  Durations before_first_attempt;  ///< From acceptance to the first attempt.
+  Durations prefill_time;          ///< From there to the end of prefill.
+  Durations first_event;           ///< From there to the first event.
+  Durations pause;                 ///< Longest pause between two events.
+  Durations whole;                 ///< From acceptance to the end.
 
   std::uint64_t ended() const {
     return answered + failed + refused + unknown + abandoned;
@@ -86,7 +86,7 @@
   struct OpenRequest {
     std::string route;
     std::optional<double> placed_ms;  ///< Since acceptance.
-    std::optional<double> read_ms;
+    std::optional<double> prefilled_ms;
   };
 
   void Count(const LogLine& line);
--- a/tests/shell/request_report_test.cc
+++ b/tests/shell/request_report_test.cc
@@ -72,8 +72,8 @@
   SECTION("time breakdown of a request") {
     const RequestStats& it = report.by_route().at("audit");
     CHECK(it.answered == 1);
-    CHECK(it.placing.Quantile(0.5) == 2);
-    CHECK(it.reading.Quantile(0.5) == 200);
+    CHECK(it.before_first_attempt.Quantile(0.5) == 2);
+    CHECK(it.prefill_time.Quantile(0.5) == 200);
     CHECK(it.first_event.Quantile(0.5) == 40);
     CHECK(it.pause.Quantile(0.5) == 31);
     CHECK(it.whole.Quantile(0.5) == 400);
--- a/tests/support/claims/claim_world.h
+++ b/tests/support/claims/claim_world.h
@@ -94,7 +94,7 @@
     std::uint64_t version;
   };
   using StoreKey = std::pair<JournalRef, std::uint64_t>;
-  struct Asked {
+  struct IssuedRequest {
     int key;
     std::size_t entry;
   };
@@ -134,7 +134,7 @@
   std::uint64_t version_ = 0;
   bool store_up_ = true;
   std::optional<SlotMap> map_;
-  std::map<RequestId, Asked> asked_;
+  std::map<RequestId, IssuedRequest> issued_requests_;
   std::map<RequestId, ClaimVerdict> verdicts_;
   std::map<int, int> runs_;
   std::map<int, std::string> answers_;
--- a/tests/support/claims/claim_world_run.cc
+++ b/tests/support/claims/claim_world_run.cc
@@ -26,7 +26,7 @@
 }
 
 void ClaimWorld::Decided(std::size_t n, const ClaimDecided& decided) {
-  const int key = asked_.at(decided.request).key;
+  const int key = issued_requests_.at(decided.request).key;
   verdicts_[decided.request] = decided.decision.verdict;
   switch (decided.decision.verdict) {
     case ClaimVerdict::kGranted:
@@ -101,7 +101,7 @@
     return;
   }
   const RequestId request{NextId()};
-  asked_[request] = {key, n};
+  issued_requests_[request] = {key, n};
   entries_[n].client->Begin(request, kDeployment, KeyOf(key), 7, seconds(5),
                             now_);
   EntryActions(n);
@@ -111,7 +111,7 @@
                                                 int steps) {
   StartRequest(entry, key);
   RequestId request;
-  for (const auto& [id, asked] : asked_) {
+  for (const auto& [id, asked] : issued_requests_) {
     if (asked.key == key && asked.entry == entry && verdicts_.count(id) == 0) {
       request = id;
     }
--- a/tests/support/direct_simulation.cc
+++ b/tests/support/direct_simulation.cc
@@ -43,10 +43,11 @@
   for (Duration at{0}; at < kTrafficPeriod + kQuietPeriod;
        at += milliseconds(100)) {
     for (int n = 0; n < entries; ++n) {
-      time_.After(
-          at + RandomBetween(Duration{0}, milliseconds(600)), [this, n] {
-            RunOnEntry(n, entries_[n].life, [this, n] { SendTargets(n); });
-          });
+      time_.After(at + RandomBetween(Duration{0}, milliseconds(600)),
+                  [this, n] {
+                    RunOnEntry(n, entries_[n].process_number,
+                               [this, n] { SendTargets(n); });
+                  });
     }
   }
   time_.RunUntil(start + kTrafficPeriod + kQuietPeriod);
--- a/tests/support/direct_simulation/callers.cc
+++ b/tests/support/direct_simulation/callers.cc
@@ -33,24 +33,26 @@
   observation.service = request->deployment;
   observation.deadline = request->deadline;
   observation.entry = number;
-  observation.life = entries_[number].life;
+  observation.process_number = entries_[number].process_number;
   names_[request->id] = id;
   ++report_.requests;
-  RunOnEntry(number, observation.life, [this, number, request] {
+  RunOnEntry(number, observation.process_number, [this, number, request] {
     ++entries_[number].requests[request->deployment];
     entries_[number].dispatcher->OnRequest(request);
   });
   if (Chance(0.05)) {
     time_.After(RandomBetween(Duration{0}, milliseconds(400)), [this, number,
                                                                 id, request] {
-      RunOnEntry(number, observations_[id].life, [this, number, id, request] {
-        RequestObservation& gone = observations_[id];
-        if (gone.finals == 0) {
-          gone.disconnected_at = time_.now();
-          entries_[number].dispatcher->OnCallerDisconnected(request->id);
-          CheckClosed(id);
-        }
-      });
+      RunOnEntry(
+          number, observations_[id].process_number,
+          [this, number, id, request] {
+            RequestObservation& gone = observations_[id];
+            if (gone.finals == 0) {
+              gone.disconnected_at = time_.now();
+              entries_[number].dispatcher->OnCallerDisconnected(request->id);
+              CheckClosed(id);
+            }
+          });
     });
   }
 }
--- a/tests/support/direct_simulation/entries.cc
+++ b/tests/support/direct_simulation/entries.cc
@@ -10,11 +10,11 @@
 /// Client of one target, in simulated time.
 class SimulatedClient : public TargetClient {
  public:
-  SimulatedClient(Simulation* simulation, int entry, std::uint64_t life,
-                  std::string address)
+  SimulatedClient(Simulation* simulation, int entry,
+                  std::uint64_t process_number, std::string address)
       : simulation_(simulation),
         entry_(entry),
-        life_(life),
+        process_number_(process_number),
         address_(std::move(address)) {}
 
   std::unique_ptr<TargetClient::Call> Start(TargetRequest request,
@@ -23,7 +23,7 @@
  private:
   Simulation* simulation_;
   int entry_;
-  std::uint64_t life_;
+  std::uint64_t process_number_;
   std::string address_;
 };
 
@@ -44,7 +44,7 @@
     TargetRequest request, Hooks hooks) {
   auto state = std::make_shared<direct_simulation::Call>();
   state->entry = entry_;
-  state->life = life_;
+  state->process_number = process_number_;
   state->address = address_;
   state->request = std::move(request);
   state->hooks = std::move(hooks);
@@ -57,8 +57,8 @@
 void Simulation::StartEntry(int number) {
   Entry& entry = entries_[number];
   entry = Entry{};
-  entry.life = ++next_life_;
-  if (entry.life <= entries_.size()) {
+  entry.process_number = ++next_process_number_;
+  if (entry.process_number <= entries_.size()) {
     // The initial entries count as registered a minute ago.
     entry.registered_at = time_.now() - std::chrono::minutes(1);
   }
@@ -72,8 +72,10 @@
   options.flow.max_forwards = 4;
   options.retry_budget = {kRetryShare, {kRetryBurst, 0}, kRetriesAtStart};
   options.transport.make_client =
-      [this, number, life = entry.life](const std::string& address) {
-        return std::make_unique<SimulatedClient>(this, number, life, address);
+      [this, number,
+       process_number = entry.process_number](const std::string& address) {
+        return std::make_unique<SimulatedClient>(this, number, process_number,
+                                                 address);
       };
   DirectDispatcher::Hooks hooks;
   hooks.to_callers = [this, number](const ToCallers& message) {
@@ -92,10 +94,10 @@
   SendTargets(number);
 }
 
-void Simulation::RunOnEntry(int number, std::uint64_t life,
+void Simulation::RunOnEntry(int number, std::uint64_t process_number,
                             std::function<void()> function) {
   Entry& entry = entries_[number];
-  if (entry.life != life) {
+  if (entry.process_number != process_number) {
     return;
   }
   if (entry.frozen_until > time_.now()) {
@@ -110,24 +112,26 @@
 void Simulation::Freeze(int number, Duration length) {
   Entry& entry = entries_[number];
   entry.frozen_until = std::max(entry.frozen_until, time_.now() + length);
-  time_.After(length,
-              [this, number, life = entry.life] { Unfreeze(number, life); });
+  time_.After(length, [this, number, process_number = entry.process_number] {
+    Unfreeze(number, process_number);
+  });
 }
 
-void Simulation::Unfreeze(int number, std::uint64_t life) {
+void Simulation::Unfreeze(int number, std::uint64_t process_number) {
   Entry& entry = entries_[number];
-  if (entry.life != life || entry.frozen_until > time_.now()) {
+  if (entry.process_number != process_number ||
+      entry.frozen_until > time_.now()) {
     return;
   }
   // Deferred functions run in their order of arrival.
   const auto waiting = std::exchange(entry.waiting, {});
   for (const auto& it : waiting) {
-    RunOnEntry(number, life, it);
+    RunOnEntry(number, process_number, it);
   }
 }
 
 void Simulation::TickEntry(int number) {
-  RunOnEntry(number, entries_[number].life,
+  RunOnEntry(number, entries_[number].process_number,
              [this, number] { entries_[number].dispatcher->Tick(); });
   time_.After(kTick, [this, number] { TickEntry(number); });
 }
--- a/tests/support/direct_simulation/faults.cc
+++ b/tests/support/direct_simulation/faults.cc
@@ -77,8 +77,9 @@
     case 5:
       for (auto& [id, observation] : observations_) {
         observation.cut =
-            observation.cut || (observation.life == entries_[entry].life &&
-                                observation.finals == 0);
+            observation.cut ||
+            (observation.process_number == entries_[entry].process_number &&
+             observation.finals == 0);
       }
       CheckBudget(entries_[entry]);
       StartEntry(entry);
--- a/tests/support/direct_simulation/limits.cc
+++ b/tests/support/direct_simulation/limits.cc
@@ -38,7 +38,7 @@
   if (!target || !target->limit) {
     return;
   }
-  const auto received_at = target->limit->received_at.find(call.life);
+  const auto received_at = target->limit->received_at.find(call.process_number);
   if (received_at != target->limit->received_at.end() &&
       time_.now() - received_at->second >= kLimitReaction) {
     target->limit->informed_calls.push_back(time_.now());
@@ -51,7 +51,7 @@
   if (target && target->limit &&
       FieldOf(call.request, kInstance) == target->record.id) {
     headers.push_back({kLimit, std::to_string(target->limit->per_second)});
-    target->limit->received_at.emplace(call.life, time_.now());
+    target->limit->received_at.emplace(call.process_number, time_.now());
     target->limit->advertised_at =
         target->limit->advertised_at.value_or(time_.now());
   }
--- a/tests/support/direct_simulation/notices.cc
+++ b/tests/support/direct_simulation/notices.cc
@@ -71,7 +71,7 @@
   if (!target) {
     return;
   }
-  const auto cooldown = target->cooldowns.find(call.life);
+  const auto cooldown = target->cooldowns.find(call.process_number);
   if (cooldown != target->cooldowns.end() && time_.now() < cooldown->second) {
     AddViolation(
         "back-off: a call is written to " + target->record.id +
@@ -90,7 +90,7 @@
   const std::string cooldown = FieldOf(headers, kCooldownMs);
   if (!cooldown.empty()) {
     ++report_.cooldowns;
-    TimePoint& until = target->cooldowns[call.life];
+    TimePoint& until = target->cooldowns[call.process_number];
     until = std::max(until, time_.now() + milliseconds(std::stol(cooldown)));
   }
   if (target->announces_leaving) {
--- a/tests/support/direct_simulation/simulation.h
+++ b/tests/support/direct_simulation/simulation.h
@@ -70,7 +70,7 @@
   std::string service;
   TimePoint deadline;
   int entry = 0;
-  std::uint64_t life = 0;  ///< Entry process that accepted it.
+  std::uint64_t process_number = 0;  ///< Entry process that accepted it.
   int runs = 0;
   int sends = 0;     ///< Written calls that run it.
   int prefills = 0;  ///< Written calls that prefill its prompt.
@@ -85,7 +85,7 @@
 /// One call from an entry to a target.
 struct Call {
   int entry = 0;
-  std::uint64_t life = 0;
+  std::uint64_t process_number = 0;
   std::string address;
   TargetRequest request;
   TargetClient::Hooks hooks;
@@ -112,7 +112,7 @@
   struct Entry {
     std::unique_ptr<DirectDispatcher> dispatcher;
     std::unique_ptr<MetricsRegistry> metrics;
-    std::uint64_t life = 0;
+    std::uint64_t process_number = 0;
     std::optional<TimePoint> registered_at;
     TimePoint frozen_until{};
     std::vector<std::function<void()>> waiting;  ///< Deferred while frozen.
@@ -141,10 +141,10 @@
   void TickEntry(int number);
   void SendTargets(int number);
   void SendEntries(int number);
-  void RunOnEntry(int number, std::uint64_t life,
+  void RunOnEntry(int number, std::uint64_t process_number,
                   std::function<void()> function);
   void Freeze(int number, Duration length);
-  void Unfreeze(int number, std::uint64_t life);
+  void Unfreeze(int number, std::uint64_t process_number);
   void OnToCaller(int number, const ToCallers& message);
   void RecordFinalAnswer(RequestObservation* observation);
   void OnRefused(const std::string& id, RequestObservation* observation,
@@ -198,7 +198,7 @@
   std::map<RequestId, std::string> names_;
   std::uint64_t next_target_ = 0;
   std::uint64_t next_request_ = 0;
-  std::uint64_t next_life_ = 0;
+  std::uint64_t next_process_number_ = 0;
   std::uint64_t next_id_ = 0;
   bool store_down_ = false;
   DirectSimulationReport report_;
--- a/tests/support/direct_simulation/targets.cc
+++ b/tests/support/direct_simulation/targets.cc
@@ -42,7 +42,7 @@
     return;
   }
   time_.After(RandomBetween(microseconds(100), milliseconds(3)), [this, call] {
-    RunOnEntry(call->entry, call->life, [this, call] {
+    RunOnEntry(call->entry, call->process_number, [this, call] {
       if (!call->open || call->ended) {
         return;
       }
@@ -72,7 +72,7 @@
 }
 
 void Simulation::EndCall(const std::shared_ptr<Call>& call, ErrorCode code) {
-  RunOnEntry(call->entry, call->life, [call, code] {
+  RunOnEntry(call->entry, call->process_number, [call, code] {
     if (call->open && !call->ended) {
       call->ended = true;
       call->hooks.on_end(Error{code, "target.call", call->address, "world"});
@@ -81,7 +81,7 @@
 }
 
 void Simulation::SendBody(const std::shared_ptr<Call>& call, std::string data) {
-  RunOnEntry(call->entry, call->life, [call, data = std::move(data)] {
+  RunOnEntry(call->entry, call->process_number, [call, data = std::move(data)] {
     if (call->open && !call->ended) {
       call->hooks.on_body(data);
     }
@@ -91,7 +91,7 @@
 void Simulation::Answer(const std::shared_ptr<Call>& call, int status,
                         std::string body, std::vector<HttpHeader> headers) {
   headers.push_back({"Content-Length", std::to_string(body.size())});
-  RunOnEntry(call->entry, call->life,
+  RunOnEntry(call->entry, call->process_number,
              [this, call, status, body = std::move(body),
               headers = std::move(headers)] {
                if (call->open && !call->ended) {
@@ -222,7 +222,7 @@
   time_.After(RandomBetween(milliseconds(1), milliseconds(80)), [this, call, id,
                                                                  first,
                                                                  breaks_at] {
-    RunOnEntry(call->entry, call->life, [this, call] {
+    RunOnEntry(call->entry, call->process_number, [this, call] {
       if (call->open && !call->ended) {
         call->hooks.on_head(
             200, WithNotices(*call, WithLimit(*call, {{"Content-Type",
@@ -239,7 +239,7 @@
     return;
   }
   if (number > EventCount(id)) {
-    RunOnEntry(call->entry, call->life, [call] {
+    RunOnEntry(call->entry, call->process_number, [call] {
       if (call->open && !call->ended) {
         call->ended = true;
         call->hooks.on_end(Unit{});
