--- a/src/entry/stage_service.cc
+++ b/src/entry/stage_service.cc
@@ -25,11 +25,11 @@
 
 }  // namespace
 
-StageService::StageService(ObjectStore* store, DirectTransport* carrier,
+StageService::StageService(ObjectStore* store, DirectTransport* transport,
                            Options options, OrderDialect dialect,
                            Lease::Jitter jitter, Clock clock, IdSource ids,
                            EventLog log)
-    : carrier_(carrier),
+    : transport_(transport),
       options_(std::move(options)),
       dialect_(std::move(dialect)),
       clock_(clock),
@@ -162,14 +162,14 @@
 }
 
 void StageService::Send(const std::string& service, const StageOrder& order) {
-  TargetClient* client = carrier_->ClientForExtraCall(order.instance);
+  TargetClient* client = transport_->ClientForExtraCall(order.instance);
   if (!client) {
     Finish(service, order, StageOrderOutcome::kRefused,
            "the engine is gone or takes no calls now");
     return;
   }
   calls_[order.instance] = FetchAnswer(
-      client, dialect_.report(*carrier_->FindTarget(order.instance)),
+      client, dialect_.report(*transport_->FindTarget(order.instance)),
       options_.max_answer_bytes,
       [this, service, order](const Result<TargetAnswer>& answer) {
         OnReport(service, order, answer);
@@ -179,8 +179,8 @@
 void StageService::OnReport(const std::string& service, const StageOrder& order,
                             const Result<TargetAnswer>& answer) {
   finished_calls_.push_back(std::move(calls_[order.instance]));
-  const TargetRecord* target = carrier_->FindTarget(order.instance);
-  TargetClient* client = carrier_->ClientForExtraCall(order.instance);
+  const TargetRecord* target = transport_->FindTarget(order.instance);
+  TargetClient* client = transport_->ClientForExtraCall(order.instance);
   if (!IsOk(answer) || !target || !client) {
     Finish(service, order, StageOrderOutcome::kRefused,
            IsOk(answer) ? "the engine is gone or takes no calls now"
--- a/src/entry/stage_service.h
+++ b/src/entry/stage_service.h
@@ -57,8 +57,8 @@
     std::size_t assumed_entries = 64;
   };
 
-  /// `store` and `carrier` must outlive this object.
-  StageService(ObjectStore* store, DirectTransport* carrier, Options options,
+  /// `store` and `transport` must outlive this object.
+  StageService(ObjectStore* store, DirectTransport* transport, Options options,
                OrderDialect dialect, Lease::Jitter jitter, Clock clock,
                IdSource ids, EventLog log);
   StageService(const StageService&) = delete;
@@ -101,7 +101,7 @@
   void Finish(const std::string& service, const StageOrder& order,
               StageOrderOutcome outcome, const std::string& detail);
 
-  DirectTransport* carrier_;
+  DirectTransport* transport_;
   Options options_;
   OrderDialect dialect_;
   Clock clock_;
--- a/tests/platform/direct_transport_test.cc
+++ b/tests/platform/direct_transport_test.cc
@@ -124,7 +124,7 @@
     return servers_[n].requests().size();
   }
   std::size_t open() { return dispatcher_.open_requests(); }
-  std::size_t running() { return dispatcher_.carrier().running(); }
+  std::size_t running() { return dispatcher_.transport().running(); }
 
  private:
   /// Without liveness probes, which would consume the scripts of callers'
--- a/tests/platform/settings_test.cc
+++ b/tests/platform/settings_test.cc
@@ -55,7 +55,7 @@
     REQUIRE(std::holds_alternative<PlatformSettings>(with));
     const auto& more = std::get<PlatformSettings>(with);
     CHECK(more.entries_address == "10.1.0.38:7380");
-    CHECK(more.processor == Approx(0.19));
+    CHECK(more.cpu_share == Approx(0.19));
     const auto problems = ProblemsOf(kGood + "ip=10.1.0.38\nport-range=many\n");
     REQUIRE(problems.size() == 1);
     CHECK(problems.front().key == "port-range");
--- a/tests/shell/stage_service_test.cc
+++ b/tests/shell/stage_service_test.cc
@@ -82,7 +82,7 @@
  public:
   Fixture()
       : flow_({}, {}, MakeRandomIdSource()),
-        carrier_(&io_, &flow_, CarrierOptions(), {}, {}, Now(),
+        carrier_(&io_, &flow_, TransportOptions(), {}, {}, Now(),
                  MakeNullEventLog()),
         service_(
             &store_, &carrier_, Options(), TestDialect(), [] { return 0.5; },
@@ -155,7 +155,7 @@
   Clock Now() {
     return [this] { return now_; };
   }
-  DirectTransport::Options CarrierOptions() {
+  DirectTransport::Options TransportOptions() {
     DirectTransport::Options options;
     options.make_client = [this](const std::string&) {
       return std::make_unique<EngineClient>(&io_, &orders, &silent);
