--- a/src/core/admission/entry_retry_budget.h
+++ b/src/core/admission/entry_retry_budget.h
@@ -37,7 +37,8 @@
     RetryPart part{10, 0};
     double initial = 0;  ///< Arrivals available at process start.
     double saved_per_request = 0;
-    Duration window = std::chrono::seconds(10);  ///< Of that limit.
+    /// Window of the operator's limit.
+    Duration window = std::chrono::seconds(10);
     /// Arrivals of one attempt; with a lower maximum, no attempt could ever be
     /// made.
     double min_saved = 1;
--- a/src/core/admission/retry_allowance.h
+++ b/src/core/admission/retry_allowance.h
@@ -18,8 +18,9 @@
   friend bool operator==(const RetryPart&, const RetryPart&) = default;
 };
 
-/// Limits the arrivals that all entries together cause at a service's targets
-/// by retries and hedges, in addition to a share of the traffic.
+/// Limits the arrivals (requests that reach targets) that all entries together
+/// cause at a service's targets by retries and hedges, in addition to a share
+/// of the traffic.
 ///
 /// The allowance is divided equally among the entries, and an entry cannot use
 /// what another leaves unused. If each entry could accumulate the same fixed
@@ -34,7 +35,7 @@
 /// allowance.
 class RetryAllowance {
  public:
-  double arrivals = 50;  ///< Of all entries, per service.
+  double arrivals = 50;  ///< Per window and service, all entries.
   /// Shares of the allowance that all entries may have accumulated at the start
   /// of a window, and that they earn during it. The remaining tenth covers
   /// arrivals that were allowed just before the window and arrive within it.
--- a/src/core/admission/retry_budget.h
+++ b/src/core/admission/retry_budget.h
@@ -14,21 +14,24 @@
 /// retried up to a limit of its own, fewer targets would receive a multiple of
 /// the load, and the outage would outlast its cause. Limiting retries to a
 /// share of the first attempts bounds that multiple for any number of callers.
+///
+/// The unit is arrivals: requests that reach targets. One retry may cause
+/// several.
 class RetryBudget {
  public:
   struct Options {
-    double share = 0.1;  ///< Retries per first attempt.
-    double burst = 10;   ///< Maximum retries that accumulate.
-    double initial = 0;  ///< Retries available at the start.
+    double share = 0.1;  ///< Arrivals earned per first attempt.
+    double burst = 10;   ///< Maximum arrivals that accumulate.
+    double initial = 0;  ///< Arrivals available at the start.
   };
 
   explicit RetryBudget(const Options& options)
       : options_(options), level_(options.initial) {}
 
-  /// Sets the number of retries earned per first attempt.
+  /// Sets the number of arrivals earned per first attempt.
   void SetShare(double share) { options_.share = share; }
 
-  /// Sets the maximum number of retries that accumulate; any excess is
+  /// Sets the maximum number of arrivals that accumulate; any excess is
   /// discarded.
   void SetBurst(double burst);
 
--- a/src/core/placement/engine_placement.cc
+++ b/src/core/placement/engine_placement.cc
@@ -501,7 +501,7 @@
     state->avoid_until = now + options_.avoid_stalled;
   } else if (refused) {
     state->progress_at = now;
-    // Refusals of calls sent before the engine was avoided do not count.
+    // Refusals that arrive while the engine is avoided do not count.
     if (now >= state->avoid_until) {
       state->avoid_until = now + RefusalBackoff(state->refusals++);
     }
--- a/src/core/placement/engine_placement.h
+++ b/src/core/placement/engine_placement.h
@@ -55,8 +55,9 @@
 /// No engine can serve the request in time, or all decode engines are full.
 struct EnginesBusy {
   Duration retry_after{0};
-  /// Predicted for the best engine considered, or `avoid_after_refusal` if all
-  /// decode engines are full.
+  /// Predicted time to the first event at the best engine considered, or, if
+  /// all decode engines are full, `avoid_after_refusal`, which predicts
+  /// nothing.
   Duration first_event{0};
 
   friend bool operator==(const EnginesBusy&, const EnginesBusy&) = default;
@@ -136,9 +137,10 @@
     PrefillTimeModel::Options prefill_time;
     RoleLoadMeter::Options load;
     std::size_t max_known_prefixes = 4096;  ///< For each engine.
-    /// Consecutive prompts whose KV cache no decode engine could fetch, after
-    /// which their prefill engine is avoided: its cache handles expire or its
-    /// links fail. A single loss may be the decode engine's fault.
+    /// Consecutive attempts that no decode engine started after the prefill,
+    /// after which the prefill engine is avoided. Its cache handles, by which
+    /// decode engines fetch the KV cache, probably expire, or its links fail. A
+    /// single such attempt may be the decode engine's fault.
     std::uint32_t max_lost_handles = 2;
     Duration avoid_lost_handles = std::chrono::milliseconds(1500);
   };
@@ -168,8 +170,8 @@
   void OnPrefilled(const AttemptId& attempt, TimePoint now);
   /// Records the first event of the answer.
   void OnAnswerStarted(const AttemptId& attempt, TimePoint now);
-  /// Records the end of the attempt. `refused` is true if the engine refused
-  /// it.
+  /// Records the end of the attempt. `refused` is true if the attempt provably
+  /// did not start, because the engine refused it or was unreachable.
   void OnEnded(const AttemptId& attempt, bool refused, TimePoint now);
   /// Discards the state of an engine whose process ended. Attempts sent to that
   /// process do not affect a later process with the same instance name.
--- a/src/core/placement/failure_guard.cc
+++ b/src/core/placement/failure_guard.cc
@@ -7,7 +7,7 @@
 Duration FailureGuard::RecordFailure(const std::string& instance,
                                      TimePoint now) {
   Record& record = records_[instance];
-  // Calls sent before the target was avoided do not count.
+  // Calls that break while the target is avoided do not count.
   if (now < record.avoid_until) {
     return Duration{0};
   }
--- a/src/core/placement/failure_guard.h
+++ b/src/core/placement/failure_guard.h
@@ -45,7 +45,8 @@
 
   bool IsAvoided(const std::string& instance, TimePoint now) const;
 
-  /// Returns true if `avoided` out of `of` targets may be avoided at once.
+  /// Returns true if `avoided` out of `of` targets may be avoided at the same
+  /// time.
   ///
   /// If this entry process's own network path is interrupted, calls to every
   /// target break, and all traffic would move to the few targets not called
--- a/src/core/placement/prefill_time_model.h
+++ b/src/core/placement/prefill_time_model.h
@@ -9,7 +9,7 @@
 namespace indigolead {
 
 /// Estimates the prefill time of a prompt as a fixed part plus a part for each
-/// token that is not cached.
+/// weighted token; cached tokens have a lower weight.
 ///
 /// The samples are times of whole calls, including the wait for other prompts
 /// at the engine. The model therefore follows the fastest sixteenth of the
@@ -38,7 +38,7 @@
 
   explicit PrefillTimeModel(Options options);
 
-  /// Adds a sample: the prefill of `tokens` uncached tokens took `took`. Calls
+  /// Adds a sample: the prefill of `tokens` weighted tokens took `took`. Calls
   /// known to have waited for other prompts should be left out.
   void OnPrefillDone(double tokens, Duration took);
 
--- a/src/core/placement/role_load.h
+++ b/src/core/placement/role_load.h
@@ -12,9 +12,9 @@
   friend bool operator==(const EngineLimits&, const EngineLimits&) = default;
 };
 
-/// Load of a service's prefill and decode work, averaged over time. Only the
-/// ratio matters, so an entry process that sees part of the traffic can measure
-/// it.
+/// Load of a service's prefill and decode work, averaged over time, in
+/// engine-seconds. Only the ratio matters, so an entry process that sees part
+/// of the traffic can measure it.
 struct RoleLoad {
   double prefill_load = 0;
   double decode_load = 0;
--- a/src/core/placement/role_load_meter.h
+++ b/src/core/placement/role_load_meter.h
@@ -20,8 +20,8 @@
     /// Time constant of the exponential decay; a measurement's weight falls to
     /// about a third in it. Loads alternate between long prompts and long
     /// answers in phases of 3 s and of 15 s, too fast for role changes that
-    /// take 3 s: with a window of 15 s the roles lagged each phase, and a fixed
-    /// plan served a tenth more.
+    /// take 3 s: with a window of 15 s the role changes lagged behind each
+    /// phase, and roles that never changed served a tenth more.
     Duration window = std::chrono::seconds(60);
     /// Minimum before a load is returned, to cover both phases of a slow
     /// alternation.
@@ -38,7 +38,8 @@
       : options_(options),
         idle_wait_(options.wait_samples, options.idle_quantile) {}
 
-  /// Records the prefill of `tokens` uncached tokens.
+  /// Records the prefill of `tokens` weighted tokens; see
+  /// `EngineAssignment::prefill_work`.
   void OnPrefillDone(double tokens, TimePoint now);
   /// Records the time from a decode request to its first event.
   void OnFirstEvent(Duration wait) { idle_wait_.Add(wait); }
--- a/src/core/request/attempt_memory.h
+++ b/src/core/request/attempt_memory.h
@@ -40,8 +40,8 @@
 
   explicit AttemptMemory(Options options) : options_(options) {}
 
-  /// Starts tracking an entry process. Returns false if `max_peers` others
-  /// are already tracked.
+  /// Starts tracking an entry process (a peer). Returns false if `max_peers`
+  /// others are already tracked.
   bool AddPeer(const Incarnation& peer);
 
   /// Returns what is known about `id`, sent by `peer` with `start_sequence`.
--- a/src/core/request/attempt_table.cc
+++ b/src/core/request/attempt_table.cc
@@ -78,7 +78,8 @@
   }
   if (status == AttemptMemory::Status::kRefused) {
     Refuse(link, *peer, start.id, start.start_sequence,
-           RefusalReason::kCancelledEarlier, "refused before it came", now);
+           RefusalReason::kCancelledEarlier, "already refused or cancelled",
+           now);
     return;
   }
   if (const auto reason = ReasonToRefuse(*peer, start, now);
@@ -147,7 +148,7 @@
   if (sequence != attempt->next_body_sequence ||
       body.size() + data.size() > options_.max_body_bytes) {
     RefuseHeldAttempt(attempt, RefusalReason::kOverloaded,
-                      "body lost or too long", now);
+                      "body chunk missing or body too long", now);
     return;
   }
   ++attempt->next_body_sequence;
--- a/src/core/request/attempt_table.h
+++ b/src/core/request/attempt_table.h
@@ -29,8 +29,8 @@
 /// attempt that was passed to the target's thread counts as running. It is
 /// refused afterwards only if that thread reports that no byte was written.
 ///
-/// Not thread-safe; must be used from one thread. Hooks run during the events
-/// and must not call back into the table.
+/// Not thread-safe; must be used from one thread. Hooks are called from within
+/// the `On...` functions and `Tick` and must not call back into the table.
 class AttemptTable {
  public:
   struct Options {
--- a/src/core/request/attempt_types.h
+++ b/src/core/request/attempt_types.h
@@ -12,7 +12,8 @@
 
 namespace indigolead {
 
-/// Number that the transport assigns to a connection to a peer.
+/// Number that the transport assigns to a link, that is, one connection to a
+/// peer.
 using LinkNumber = std::uint64_t;
 
 /// Why a side process refuses an attempt. Values match the wire protocol.
--- a/src/core/request/crash_ledger.h
+++ b/src/core/request/crash_ledger.h
@@ -57,6 +57,9 @@
 /// against all of them. A complete answer clears a request. A harmless request
 /// is blocked only if it was running in `crashes_to_block` crashes without an
 /// answer in between.
+///
+/// Used for targets that entries reach without a side, with reports exchanged
+/// through the store; `Quarantine` serves targets with a side.
 class CrashLedger {
  public:
   struct Options {
--- a/src/core/request/quarantine.h
+++ b/src/core/request/quarantine.h
@@ -55,27 +55,32 @@
 /// finished. Within an entry they are sent to the target that already runs a
 /// copy. A suspect is sent to the target that all entries choose by its hash,
 /// so copies started by two entries at the same time can crash only one target.
+///
+/// Used for targets with a side, through which entries exchange notices;
+/// `CrashLedger` serves targets that entries reach without one.
 class Quarantine {
  public:
   struct Options {
     std::size_t max_records = 4096;
     std::size_t max_finished = 65536;
+    /// How long a request stays a suspect after its last crash.
     Duration suspect_time = std::chrono::minutes(10);
     /// Crashes of one target that two entries report within this time are the
     /// same crash. Longer than the delay of a notice, shorter than the restart
     /// of a target.
     Duration same_crash_window = std::chrono::milliseconds(500);
-    /// How long a suspect is not retried after a crash (`crash_delay`), so that
-    /// other entries can report running copies, and after each such report
-    /// (`in_flight_delay`).
+    /// How long a suspect is not retried after a crash, so that other entries
+    /// can report running copies.
     Duration crash_delay = std::chrono::milliseconds(300);
+    /// How long a suspect is not retried after each such report.
     Duration in_flight_delay = std::chrono::milliseconds(1500);
     Duration announce_interval = std::chrono::milliseconds(400);
   };
 
   /// Quarantine limits of the request's deployment.
   struct Policy {
-    std::uint32_t observed_crashes = 2;
+    std::uint32_t observed_crashes = 2;  ///< Crashes that quarantine it.
+    /// How long a request stays quarantined.
     Duration time = std::chrono::minutes(30);
   };
 
@@ -101,7 +106,8 @@
 
   explicit Quarantine(Options options) : options_(options) {}
 
-  /// Returns whether the request may run now, and on which of `targets`.
+  /// Returns whether the request may run now, and where. `OnlyTo` names one of
+  /// `targets`, or the instance of a running copy, which `targets` may lack.
   Verdict Check(const Subject& subject, const std::vector<std::string>& targets,
                 TimePoint now) const;
 
--- a/src/core/request/request_flow.h
+++ b/src/core/request/request_flow.h
@@ -79,8 +79,9 @@
   Duration absence_grace = std::chrono::seconds(1);
   /// Longest wait for a target to become available.
   Duration no_target_wait = std::chrono::seconds(1);
-  /// Delay before the tried targets are tried again. Several such delays are
-  /// longer than the heartbeat interval after which a changed target is known.
+  /// Delay before the tried targets are tried again. A few such delays are
+  /// longer than the heartbeat interval, so that a later round sees the changed
+  /// state of a target.
   Duration retry_round_delay = std::chrono::milliseconds(200);
   /// Time without a message about an attempt after which the entry asks its
   /// side for the attempt's state.
@@ -167,10 +168,10 @@
 /// started is never reported as "not run", and one that is not idempotent is
 /// not sent again after it may have started.
 ///
-/// Each forward is an attempt with its own id. An attempt is known not to have
-/// started, is known to have finished, or its state is unknown. A successful
-/// send does not prove that it started. That it has not started must be proven,
-/// for example by its side's refusal of its id.
+/// Each forward of a request to a target is an attempt with its own id. An
+/// attempt is known not to have started, is known to have finished, or its
+/// state is unknown. A successful send does not prove that it started. That it
+/// has not started must be proven, for example by its side's refusal of its id.
 class RequestFlow {
  public:
   RequestFlow(RequestFlowOptions options, RequestFlowHooks hooks, IdSource ids);
--- a/src/core/request/request_flow_ends.cc
+++ b/src/core/request/request_flow_ends.cc
@@ -133,7 +133,7 @@
           it->attempt->started() ? Ending::kAmbiguous : Ending::kNotStarted,
           AttemptOutcome::kNotStarted,
           MakeSideRefusal("not_started",
-                          "The side did not receive the request."),
+                          "The side reports that the attempt did not start."),
           now);
       return;
     case AttemptKnowledge::kLost:
--- a/src/core/request/request_flow_time.cc
+++ b/src/core/request/request_flow_time.cc
@@ -120,7 +120,8 @@
 void RequestFlow::TickRequest(Request& it, TimePoint now) {
   if (now >= it.request->deadline) {
     // While the claim on the key is unanswered, an earlier request with the
-    // same key may have run, so "not-run" is not proven.
+    // same key may have run, so it is not proven that the request did not run.
+    // `Refuse` changes the state below if `may_have_run` is set.
     const bool claim_unanswered =
         it.stage == Stage::kClaim &&
         it.request->repeatability == Repeatability::kKeyed;
--- a/src/core/request/request_types.h
+++ b/src/core/request/request_types.h
@@ -63,8 +63,8 @@
   friend bool operator==(const CallerRequest&, const CallerRequest&) = default;
 };
 
-/// Identifies one connection to a side, the agent process beside a target. Each
-/// reconnect gets a new value.
+/// Identifies one connection ("link") to a side, the agent process beside a
+/// target. Each reconnect gets a new value.
 struct SideLink {
   std::uint64_t value = 0;
 
--- a/src/core/request/side_table.h
+++ b/src/core/request/side_table.h
@@ -15,7 +15,8 @@
 
 namespace indigolead {
 
-/// Sides known to an entry, connected or absent, and the attempts at each.
+/// Sides known to an entry, connected or absent (not connected), and the
+/// attempts at each.
 ///
 /// A side outlives its connection: an attempt whose connection broke still
 /// belongs to the same incarnation of the side and can be resumed on the next
--- a/src/core/roles/role_planner.h
+++ b/src/core/roles/role_planner.h
@@ -19,9 +19,9 @@
 /// State of one engine, as input to the planner.
 struct RoleTarget {
   std::string instance;
-  EngineRole role = EngineRole::kMixed;  ///< Role ordered last.
-  bool serving = true;                   ///< Up and in the ordered role.
-  bool changing = false;  ///< An ordered change is not confirmed yet.
+  EngineRole role = EngineRole::kMixed;  ///< Most recently requested role.
+  bool serving = true;                   ///< Up and in the requested role.
+  bool changing = false;  ///< A requested change is not confirmed yet.
   bool leaving = false;
 
   friend bool operator==(const RoleTarget&, const RoleTarget&) = default;
@@ -40,7 +40,7 @@
   EngineRole from = EngineRole::kMixed;
   EngineRole to = EngineRole::kMixed;
   RoleChangeCause cause = RoleChangeCause::kGain;
-  double gain_engine_s = 0;  ///< Work lost so far without the change.
+  double gain_engine_s = 0;  ///< Accumulated gain missed without the change.
   double cost_engine_s = 0;  ///< Work lost by it, times `role_change_cost`.
 
   friend bool operator==(const RoleChange&, const RoleChange&) = default;
@@ -58,11 +58,12 @@
 /// weighted by `role_change_cost`. Short swings of the mix thus cause no
 /// change, and waiting never loses much more than the cost of the change.
 ///
-/// Reversing a change additionally waits for a dwell time. Only one change is
-/// made at a time, which limits the cost of a wrong one.
+/// A change for its gain must not reverse the last one, in either role, within
+/// the dwell time, and does not use an engine that changed within it. Only one
+/// change is made at a time, which limits the cost of a wrong one.
 ///
-/// Ordered and unfinished changes are passed in with each call, as known to the
-/// store and the engines' sides. A controller that takes over during a
+/// Requested and unfinished changes are passed in with each call, as known to
+/// the store and the engines' sides. A controller that takes over during a
 /// change therefore neither repeats nor loses it.
 class RolePlanner {
  public:
--- a/src/core/routing/outlier_detector.h
+++ b/src/core/routing/outlier_detector.h
@@ -31,7 +31,7 @@
  public:
   struct Options {
     double slow_ratio = 3.0;     ///< Slowdown that makes a target suspect.
-    double healthy_ratio = 1.5;  ///< A probe up to this ratio clears it.
+    double healthy_ratio = 1.5;  ///< Slowdown up to which it is cleared.
     std::uint32_t min_samples = 8;
     std::uint32_t failures_to_suspect = 3;
     Duration probe_interval = std::chrono::seconds(1);
@@ -48,8 +48,9 @@
   /// Records a failure caused by the target.
   void OnFailure(OutlierState* state, TimePoint now);
 
-  /// Records that a probe was sent. The next one may follow after the interval
-  /// even if this one gets no response.
+  /// Records that a probe was sent. The next one is due after the interval even
+  /// if this one gets no response; the router also waits until it has no
+  /// request at the target.
   void OnProbe(OutlierState* state, TimePoint now) const;
 
   /// Returns the target's slowdown relative to its peers, at least 1.
--- a/src/core/routing/prefix_cache_hint.h
+++ b/src/core/routing/prefix_cache_hint.h
@@ -58,8 +58,10 @@
 
  private:
   struct Entry {
-    std::uint32_t tag = 0;        ///< Upper hash bits, made odd; 0 if empty.
-    std::uint32_t tick : 24 = 0;  ///< When last seen; wraps after 19 days.
+    std::uint32_t tag = 0;  ///< Upper hash bits, made odd; 0 if empty.
+    /// When last seen, in units of 0.1 s. Wraps after 19 days and is ambiguous
+    /// after half of that.
+    std::uint32_t tick : 24 = 0;
     std::uint32_t staleness : 8 =
         0;  ///< Low bits of `staleness_` when last seen.
   };
@@ -78,7 +80,7 @@
   std::uint64_t mask_;
   double half_life_ticks_;
   std::size_t size_ = 0;
-  /// Total staleness added by lost events, in fractions of a halving of
+  /// Total staleness added by lost events, in sixteenths of a halving of the
   /// confidence. The staleness of a block is the part added since the block was
   /// last seen.
   std::uint32_t staleness_ = 0;
--- a/src/core/routing/router.h
+++ b/src/core/routing/router.h
@@ -71,7 +71,8 @@
   AttemptWork work;
   std::uint64_t cached_tokens = 0;  ///< Prompt tokens expected to be cached.
   Duration expected_first_token{0};
-  Duration expected_end{0};  ///< Before calibration; passed to `OnSent`.
+  /// Not corrected by recent attempts; passed to `OnSent`.
+  Duration expected_end{0};
 
   friend bool operator==(const RouteLeg&, const RouteLeg&) = default;
 };
@@ -146,11 +147,13 @@
 /// Chooses the target of each attempt of one deployment.
 ///
 /// Each suitable target gets a cost in seconds: the prefill queued there, the
-/// prefill of the prompt tokens that its cache does not cover, the decode at
-/// its batch size, and penalties for full KV memory, another failure domain, a
-/// mismatching role and slowness. The choice among targets with nearly the best
-/// cost is random, so that routers that see the same reports do not all pick
-/// the same target.
+/// prefill of the prompt tokens that its cache does not cover, the wait for a
+/// slot, the decode at its batch size and the slowdown of the other requests.
+/// A mismatching role multiplies the request's own prefill and the decode terms
+/// other than the wait, slowness multiplies the sum, and full KV memory and
+/// another failure domain add penalties. The choice among targets with nearly
+/// the best cost is random, so that routers that see the same reports do not
+/// all pick the same target.
 ///
 /// Not thread-safe; owned by one dispatch thread. `Choose`, `OnSent`,
 /// `OnFirstToken`, `OnEnded`, `OnLoadReport` and `OnCacheEvents` do not
@@ -196,7 +199,7 @@
   bool OnSent(AttemptId attempt, const RouteLeg& leg,
               std::span<const std::uint64_t> prefix_blocks, TimePoint now);
 
-  /// Records the first byte of the answer.
+  /// Records the first token, taken to be the first byte of the answer.
   void OnFirstToken(AttemptId attempt, TimePoint now);
 
   /// Records the end. `kTargetFailed` counts as a failure of the target.
--- a/src/core/routing/target_load.h
+++ b/src/core/routing/target_load.h
@@ -10,7 +10,9 @@
 
 /// Load of a target as it reports it.
 struct TargetLoadReport {
-  TimePoint measured_at{};  ///< Arrival minus age, on the local clock.
+  /// Time of the measurement on the local clock: the arrival of the report
+  /// minus its stated age.
+  TimePoint measured_at{};
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint64_t queued_prefill_tokens = 0;
--- a/tests/core/admission/admission_test.cc
+++ b/tests/core/admission/admission_test.cc
@@ -344,7 +344,7 @@
 
 TEST_CASE("Admission keeps its invariants for random requests") {
   const bool held = rc::check(
-      "bounds, limits, and one final answer for each request",
+      "bounds, limits, and one final decision for each request",
       [](std::uint64_t seed) {
         RandomSource random = MakeSeededRandom(seed);
         AdmissionOptions options;
--- a/tests/core/admission/send_pacer_test.cc
+++ b/tests/core/admission/send_pacer_test.cc
@@ -59,7 +59,7 @@
   }
 }
 
-TEST_CASE("The first request waits for `not_before`") {
+TEST_CASE("No request is due before the given time") {
   SendPacer pacer;
   pacer.SetShare(kTwoPerSecond, 0, kStart + seconds(3), kStart);
   CHECK(pacer.WaitFor(kStart) == seconds(3));
--- a/tests/core/placement/engine_placement_test.cc
+++ b/tests/core/placement/engine_placement_test.cc
@@ -76,7 +76,7 @@
 // Requests with one shared prefix arrive at ten times the rate that its home
 // can prefill. The home and two more engines serve what they can in time; the
 // other requests are refused at once with a retry-after time.
-TEST_CASE("A burst for one prefix uses few homes and is refused beyond them") {
+TEST_CASE("A burst for one prefix uses few engines; the rest is refused") {
   const auto fleet = Fleet(15, 3);
   EnginePlacement placement = MakePlacement(1);
   std::map<std::string, int> placed;
--- a/tests/core/placement/failure_guard_test.cc
+++ b/tests/core/placement/failure_guard_test.cc
@@ -50,7 +50,7 @@
 
 // Guards against avoiding nearly all targets because this entry process's own
 // network path is interrupted, which breaks its calls to every target.
-TEST_CASE("More than two thirds of the targets are not avoided at once") {
+TEST_CASE("At most two thirds of the targets are avoided at the same time") {
   CHECK(FailureGuard::MayAvoidAtOnce(0, 0));
   CHECK(FailureGuard::MayAvoidAtOnce(2, 3));
   CHECK_FALSE(FailureGuard::MayAvoidAtOnce(3, 4));
--- a/tests/core/request/request_flow_direct_test.cc
+++ b/tests/core/request/request_flow_direct_test.cc
@@ -1,4 +1,5 @@
-// Tests of the request flow for targets that it reaches without a side.
+// Tests of the request flow with the options for targets that it reaches
+// without a side. The sides of `FlowDriver` stand in for the targets.
 
 #include <catch2/catch.hpp>
 
--- a/tests/core/request/route_table_test.cc
+++ b/tests/core/request/route_table_test.cc
@@ -35,7 +35,7 @@
     CHECK(NameAt(table, "menus.example", "/menus/print/2f") == "part");
     CHECK(NameAt(table, "menus.example", "/menus/2f") == "whole");
   }
-  SECTION("a prefix matches only up to its trailing slash") {
+  SECTION("a prefix matches only paths that contain its trailing slash") {
     CHECK(NameAt(table, "menus.example", "/menus/printed") == "whole");
     CHECK(NameAt(table, "menus.example", "/menu") == "none");
     CHECK(NameAt(table, "menus.example", "/menus") == "none");
--- a/tests/core/routing/router_test.cc
+++ b/tests/core/routing/router_test.cc
@@ -327,7 +327,7 @@
     slow.router.UpdateTarget(Engine("2"));
     CHECK_FALSE(slow.router.Choose(query, kStart).prefill.has_value());
   }
-  SECTION("the caller cannot split") {
+  SECTION("the query does not allow a split") {
     query.may_split = false;
     CHECK(fleet.router.Choose(query, kStart).leg.target == fleet.handles[2]);
   }
@@ -357,7 +357,7 @@
     fleet.router.OnEnded(Attempt(2), AttemptResult::kFinished, kStart);
     CHECK(fleet.router.OnSent(Attempt(4), leg, {}, kStart));
   }
-  SECTION("hundreds of rollouts do not exhaust the model name bits") {
+  SECTION("hundreds of model versions do not exhaust the model name table") {
     for (int version = 1; version < 300; ++version) {
       TargetView view = Engine("0");
       view.models = {"tarifa@" + std::to_string(version)};
