--- a/src/core/base/text_table.h
+++ b/src/core/base/text_table.h
@@ -11,7 +11,7 @@
  public:
   explicit TextTable(std::vector<std::string> header);
 
-  /// Appends a row, which must have as many cells as the header.
+  /// Appends a row. Missing cells are empty; surplus cells are dropped.
   void AddRow(std::vector<std::string> cells);
 
   /// Returns the header and the rows, one line each, two spaces between
--- a/src/core/claims/claim_home.h
+++ b/src/core/claims/claim_home.h
@@ -97,8 +97,8 @@
     std::vector<JournalRef> sources;
     std::set<JournalRef> absorbed;
     std::uint64_t ready_at = 0;  ///< Position that must be durable first.
-    /// True unless the slot is incomplete and the journal in the store does not
-    /// say so yet.
+    /// False while the slot is incomplete but the stored journal does not
+    /// record that yet.
     bool gaps_recorded = true;
     /// Incomplete sources whose writer may still be running.
     std::set<JournalRef> incomplete_sources;
--- a/src/core/claims/claim_journal.h
+++ b/src/core/claims/claim_journal.h
@@ -111,7 +111,8 @@
 /// A claim held only in memory would be lost with its home, and the caller's
 /// retry would run a second time. A grant is therefore released only when its
 /// record is in the store or, while the store does not answer, when every
-/// witness has marked this generation of the journal as incomplete (degraded).
+/// witness has marked this generation of the journal as degraded: the journal
+/// may lack grants.
 ///
 /// A successor seals the journal, so that the next conditional write of this
 /// home fails, and then asks the witnesses to mark the generation as sealed.
--- a/src/core/claims/claim_table.cc
+++ b/src/core/claims/claim_table.cc
@@ -110,8 +110,9 @@
 
 void ClaimTable::MarkEntryUnreachable(const Incarnation& entry, TimePoint now) {
   if (unreachable_since_.size() >= kMaxUnreachableEntries) {
-    // Claims of a removed element would stay running forever, so elements are
-    // removed only after the retention, which outlasts every request.
+    // If an entry process were removed earlier, its claims would stay running
+    // forever. The retention outlasts every request. The map grows past the
+    // limit while no entry process has been unreachable for that long.
     std::erase_if(unreachable_since_, [&](const auto& it) {
       return now - it.second >= options_.retention;
     });
--- a/src/core/claims/claim_types.h
+++ b/src/core/claims/claim_types.h
@@ -14,7 +14,9 @@
 
 /// Hash of client account, deployment and `Idempotency-Key`.
 using ClaimKey = TypedId<struct ClaimKeyTag>;
-/// Identifies one journal of a home. A fenced home opens a new journal.
+/// Identifies one journal of a home. Keys are divided into slots by hash; the
+/// home of a slot is the side process that decides on its keys. A fenced home
+/// opens a new journal.
 using JournalId = TypedId<struct JournalIdTag>;
 
 /// Returns the key of a claim. The length of each part is hashed too, so that
--- a/src/core/claims/journal_absorber.h
+++ b/src/core/claims/journal_absorber.h
@@ -9,8 +9,8 @@
 
 namespace indigolead {
 
-/// Takes over one journal of another home: seals it, reads it, and determines
-/// whether it holds every grant of that home.
+/// Takes over (absorbs) one journal of another home: seals it, reads it, and
+/// determines whether it holds every grant of that home.
 ///
 /// The journal is sealed before its records are read: after the seal, every
 /// conditional write of the old home fails, so no record is missed.
--- a/src/core/claims/slot_map.h
+++ b/src/core/claims/slot_map.h
@@ -24,6 +24,10 @@
 };
 
 /// Assigns every slot of a deployment's keys to a home.
+///
+/// An instance is "lost" while it is unreachable for too long and "removed"
+/// once the platform no longer lists it. A journal is "gone" once its writer
+/// has certainly stopped and "retired" once it has lost a slot.
 struct SlotMap {
   std::uint64_t epoch = 0;  ///< Increases by one with each change.
   std::vector<SlotAssignment> slots;
@@ -70,7 +74,8 @@
   /// Current state of the processes.
   struct Input {
     std::vector<HomeState> homes;  ///< Reachable homes.
-    /// Instances unreachable for longer than the caller's limit.
+    /// Instances unreachable for longer than the limit set by the user of this
+    /// class.
     std::set<std::string> lost;
     /// Instances that the platform no longer lists.
     std::set<std::string> removed;
--- a/src/core/config/spec_diff.h
+++ b/src/core/config/spec_diff.h
@@ -44,7 +44,8 @@
 /// Returns `changes` as lines "  path: before -> after".
 std::string ToText(const std::vector<FieldChange>& changes);
 
-/// Returns `conflicts` as a table with the columns field, was, yours, theirs.
+/// Returns `conflicts` as a table with the columns field, was, yours, theirs,
+/// and an untitled one that marks the fields changed by both edits.
 std::string ToText(const std::vector<EditConflict>& conflicts);
 
 }  // namespace indigolead
--- a/src/core/control/audit.h
+++ b/src/core/control/audit.h
@@ -60,7 +60,7 @@
 /// Returns the records of a segment at or after `since`.
 AuditSegment ReadAuditSegment(std::string_view text, WallMicros since);
 
-/// Returns the key of an entry's segment: "audit/ENTRY-SLOT". Each entry has a
+/// Returns the key of an entry's segment: "audit/ENTRY-INDEX". Each entry has a
 /// ring of segments, so that the trail is bounded and no two entries write to
 /// the same object.
 std::string AuditSegmentKey(const std::string& entry, std::size_t index);
--- a/src/core/control/lease.cc
+++ b/src/core/control/lease.cc
@@ -16,7 +16,7 @@
                "expected a lease as JSON, saw: " + std::move(detail)};
 }
 
-// Constructs in place: g++ 12 warns of uninitialised reads for the unused
+// Constructs in place: g++ 12 warns of uninitialized reads for the unused
 // members of a temporary variant.
 template <typename T>
 void Append(Lease::Actions* actions, T action) {
--- a/src/core/control/lease.h
+++ b/src/core/control/lease.h
@@ -61,7 +61,12 @@
 };
 
 /// Reason for which a holder's authority ended.
-enum class LeaseLoss { kLapsed, kPaused, kTaken, kResigned };
+enum class LeaseLoss {
+  kLapsed,   ///< Not renewed in time.
+  kPaused,   ///< Expired while the process was paused.
+  kTaken,    ///< The store shows no lease of this process.
+  kResigned  ///< Given up on request.
+};
 
 /// Returns the lower-case name of `loss`.
 std::string_view LeaseLossName(LeaseLoss loss);
@@ -77,6 +82,10 @@
 /// The caller passes in events with the time at which they were observed and
 /// carries out the returned actions. At most one read and one write are in
 /// flight.
+///
+/// An entry that does not hold the lease is a standby, which replaces a lost
+/// holder within seconds, or a reserve, which reads the lease seldom and takes
+/// it only if all standbys have failed.
 class Lease {
  public:
   struct Options {
@@ -141,9 +150,7 @@
 
   Lease(Options options, IdSource ids, Jitter jitter);
 
-  /// Makes this process a reserve or a standby. A standby, the default,
-  /// replaces a lost holder within seconds. A reserve reads the lease seldom
-  /// and takes it only if all standbys have failed.
+  /// Makes this process a reserve or a standby (the default).
   void SetReserve(bool reserve);
 
   /// Runs the timers; must be called several times per `pause_limit`.
--- a/src/core/control/order_executor.cc
+++ b/src/core/control/order_executor.cc
@@ -169,8 +169,8 @@
     Finish(OrderPhase::kInForce, "out of service", now);
     return;
   }
-  // Writes at once only if the number was just confirmed. The lease may have
-  // moved while the attempts ended.
+  // Writes at once only if the number was just confirmed. Another entry may
+  // have taken the lease while the attempts ended.
   if (now == step_since_ && now - confirmed_at_ < options_.authority_window) {
     Write(now);
     return;
--- a/src/core/control/order_executor.h
+++ b/src/core/control/order_executor.h
@@ -89,8 +89,8 @@
 
   struct Hooks {
     std::function<void(const OrderReport&)> report;
-    /// Opens or closes the gate of the target. While it is closed, new attempts
-    /// are rejected as not run.
+    /// Lets the target's side accept new attempts or, if `open` is false,
+    /// reject them as not run.
     std::function<void(bool open)> set_gate;
     /// Reads the newest fencing number from the store; answered by
     /// `OnConfirmed`.
--- a/src/core/control/stage_control.cc
+++ b/src/core/control/stage_control.cc
@@ -53,7 +53,7 @@
                : prefill_engines_[taken_ - other_engines_.size()];
   }
 
-  std::vector<const StagedEngine*> other_engines_;    ///< Decode already.
+  std::vector<const StagedEngine*> other_engines_;    ///< Decode or mixed.
   std::vector<const StagedEngine*> prefill_engines_;  ///< Would have to change.
   std::size_t taken_ = 0;
 };
@@ -76,7 +76,7 @@
   for (const StagedEngine& it : engines_) {
     const auto sent = sent_.find(it.instance);
     if (sent != sent_.end() && sent->second.role == it.role) {
-      // The change is done; a late copy of the order fails the precondition.
+      // The change is done; the engine refuses a late copy of the order.
       sent_.erase(sent);
     }
   }
--- a/src/core/control/stage_control.h
+++ b/src/core/control/stage_control.h
@@ -54,26 +54,27 @@
  public:
   struct Options {
     /// Minimum change of the plan, as a share of the engines and as a number of
-    /// engines; a plan that is off by less is kept. An entry that sees a
-    /// twentieth of the traffic can estimate the load only to within a tenth,
-    /// and each change makes an engine unavailable for seconds.
+    /// engines; a plan that is off by less is kept. One entry sees only part
+    /// of the traffic: with a twentieth of it, its estimate of the load is off
+    /// by up to a tenth. Each change makes an engine unavailable for seconds.
     double min_shift_share = 0.1;
     double min_shift_engines = 1;
     /// Time for which the load must require another plan before the plan is
-    /// changed. Longer than the bursts of one kind of work, which placement
-    /// absorbs.
+    /// changed. Longer than the bursts of one kind of work, which the choice
+    /// of the engine per request evens out.
     Duration shift_after = std::chrono::seconds(3);
     /// Minimum number of decode engines: with fewer, one loss would leave a
     /// single engine for all decode work. With more failure domains than this,
     /// each gets one, so that decode work continues if a domain is lost or
-    /// during the seconds in which no entry may give orders.
+    /// while the control lease passes from one entry to another, which takes
+    /// seconds.
     std::uint32_t min_decode = 2;
     /// Minimum number of prefill engines: with fewer, one loss would leave a
     /// single engine for all prefill work.
     std::uint32_t min_prefill = 2;
     /// Time for which the list of engines must be unchanged before the first
     /// orders. Engines register one after the other, and a partial list is no
-    /// basis for a plan. Later the list may change at any time.
+    /// basis for a plan. Not applied once the plan has been reached.
     Duration settle_time = std::chrono::milliseconds(1500);
     /// Time after which an accepted order that does not show in the list is
     /// sent again: twice the time of a change plus the list's lag.
@@ -97,9 +98,10 @@
   void OnEngines(const std::vector<StagedEngine>& engines, TimePoint now);
 
   /// Handles a restart of an engine. An order to the previous incarnation has
-  /// no effect on the new one: it is refused if it names the old incarnation's
-  /// order count. If the counts happen to agree, the registration shows the
-  /// resulting role, and the engine is ordered back.
+  /// no effect on the new one: the sender adds the number of orders that the
+  /// engine has taken since its start, and the engine refuses any other number.
+  /// If the numbers of both incarnations happen to agree, the registration
+  /// shows the resulting role, and the engine is ordered back.
   void OnRestarted(const std::string& instance) { sent_.erase(instance); }
 
   /// Updates the prefill and decode load of the engines. Returns the planned
--- a/src/core/membership/connection_plan.h
+++ b/src/core/membership/connection_plan.h
@@ -42,7 +42,8 @@
 /// Returns the addresses that the process opens and keeps connections to.
 ///
 /// A side selects entries by rendezvous hashing, so that each entry has about
-/// sides * entries_per_region * regions / entries targets at any fleet size.
+/// sides * entries_per_region * regions / entries connections to sides at any
+/// fleet size, unless a region has fewer than `entries_per_region` entries.
 /// Entries select their peers in the same way; if two select each other, the
 /// one with the smaller name opens the connection. Leaving entries are skipped.
 std::set<std::string> PlanConnections(
--- a/src/core/membership/entry_standing.h
+++ b/src/core/membership/entry_standing.h
@@ -8,9 +8,9 @@
 
 namespace indigolead {
 
-/// Whether an entry may use its share of a quantity, such as a rate limit, that
-/// the entries divide by their lists of entries alone. Depends on the ages of
-/// its registration and of its list.
+/// Whether an entry may use its share of a limit, such as a rate limit. Each
+/// entry computes its share from its own list of entries, without asking the
+/// others. Depends on the ages of its registration and of its list.
 enum class EntryStanding {
   kNotJoined,  ///< Not on every entry's list yet, or no longer.
   kStale,      ///< Its own list is old and may lack new entries.
@@ -20,7 +20,8 @@
 /// Times that determine an entry's standing.
 struct StandingTimes {
   /// Time from an entry's registration until every fresh list contains it: the
-  /// age at which a list becomes stale plus the age it may have when read.
+  /// sum of `fresh_list` and the longest time that a list may already be
+  /// outdated when it is read.
   Duration join_time;
   Duration fresh_list;  ///< A list older than this is stale.
 
--- a/src/core/membership/link_monitor.cc
+++ b/src/core/membership/link_monitor.cc
@@ -70,7 +70,7 @@
 
 void DialMonitor::OnLost(TimePoint now) {
   // Only a connection that lasted shows that the peer is healthy. A reset on
-  // every hello would let a peer that accepts and drops be dialled without
+  // every hello would let a peer that accepts and drops be dialed without
   // backoff.
   if (phase_ == Phase::kUp && now - up_since_ >= timing_.silence_timeout) {
     backoff_.Reset();
--- a/src/core/membership/link_monitor.h
+++ b/src/core/membership/link_monitor.h
@@ -119,7 +119,7 @@
   std::mt19937_64 random_;
 };
 
-/// Next action for the owner of a dialled address.
+/// Next action for the owner of a dialed address.
 enum class DialAction { kNone, kOpen, kGiveUp };
 
 /// Decides when to open the connection to an address, when to abandon the
--- a/src/core/membership/membership.h
+++ b/src/core/membership/membership.h
@@ -99,7 +99,7 @@
     /// the clock jumped. It does not count towards any timeout.
     Duration longest_tick_gap = std::chrono::seconds(2);
     std::size_t max_instances = 16384;
-    std::uint64_t seed = 0;
+    std::uint64_t seed = 0;  ///< Of the random number generator.
   };
 
   struct Hooks {
@@ -141,7 +141,7 @@
     MemberState state = MemberState::kGone;
   };
   struct Dial {
-    std::optional<TimePoint> connect_at;  ///< Set until dialled.
+    std::optional<TimePoint> connect_at;  ///< Set until dialed.
     std::optional<TimePoint> unwanted_since;
   };
 
--- a/src/core/membership/relay_choice.h
+++ b/src/core/membership/relay_choice.h
@@ -38,9 +38,9 @@
     /// With fewer entries in the failure domain, each reads the store itself,
     /// which then takes no more calls than a relay makes.
     std::size_t min_entries = 8;
-    /// Entries to which a relay with one whole core may relay. Each costs up to
-    /// a ten thousandth of a core during bursts of changes, so relaying takes
-    /// at most a tenth of the relay's CPU.
+    /// Entries to which a relay with one whole core may relay (its followers).
+    /// Each costs up to a ten thousandth of a core during bursts of changes, so
+    /// relaying takes at most a tenth of the relay's CPU.
     double followers_per_core = 1000;
     /// Time for which a relay is avoided after its first failure; doubles with
     /// each further one. A relay that is gone stays listed for minutes, and
--- a/src/core/membership/rendezvous.h
+++ b/src/core/membership/rendezvous.h
@@ -25,9 +25,10 @@
 /// preferred first; all of them if there are no more than `count`.
 ///
 /// Every process computes the same selection from the same list without
-/// coordination, and a change of the list changes only the selections that it
-/// affects. Failure domains are taken round robin in an order that depends on
-/// the key, so the loss of one domain loses at most its share, rounded up.
+/// coordination. Removing a candidate changes only the selections that
+/// contained it, and by one candidate each. Failure domains are taken round
+/// robin in an order that depends on the key, so the loss of one domain loses
+/// at most its share, rounded up.
 std::vector<std::size_t> ChooseByRendezvous(
     std::string_view key, const std::vector<RendezvousCandidate>& candidates,
     std::size_t count);
--- a/src/core/membership/target_directory.h
+++ b/src/core/membership/target_directory.h
@@ -66,9 +66,10 @@
 /// and its running requests continue. After an outage, however, the store has
 /// dropped the targets whose heartbeats it could not receive, and they register
 /// again within moments. Acting on such a list at once would leave no target
-/// for that time. Absence therefore counts only once the list is known as of
-/// `return_grace` after the store's return; the owner requests the list at that
-/// time, see `AbsenceDue`. Until then an unlisted target may have left, and
+/// for that time. A missing target is therefore treated as leaving only if a
+/// list that is up to date as of `return_grace` after the store's return still
+/// lacks it; the user of this class requests the list at that time, see
+/// `AbsenceDue`. Until then an unlisted target may have left, and
 /// listed targets are preferred. An outage too short for targets to be dropped,
 /// such as a single unanswered call, has no effect.
 ///
@@ -140,7 +141,7 @@
  private:
   struct Entry {
     TargetRecord record;
-    bool reported_leaving = false;  ///< Last reported as leaving to the caller.
+    bool reported_leaving = false;   ///< Last reported as leaving.
     bool announced_leaving = false;  ///< Announced by the target in this run.
     std::optional<TimePoint> missing_since;
   };
--- a/src/core/usage/steady_calendar.h
+++ b/src/core/usage/steady_calendar.h
@@ -14,9 +14,10 @@
 /// If the time of day steps by seconds and later back, requests are counted in
 /// the wrong window, and the reports of both windows are wrong. Calendar time
 /// is therefore the boot clock, which never steps, plus the offset between the
-/// two clocks that was observed for the longest time. A step shorter than the
-/// time before it has no effect. A process started during a step switches to
-/// the true time once it has observed it for longer than the step.
+/// two clocks that was observed for the longest time. A step that
+/// is undone sooner than the previous offset lasted has no effect. A process
+/// started while the time of day is wrong switches to the true time once it has
+/// observed it for longer than the wrong one.
 class SteadyCalendar {
  public:
   /// Records a simultaneous reading of both clocks. Must be called several
--- a/src/core/usage/usage_reporter.h
+++ b/src/core/usage/usage_reporter.h
@@ -130,7 +130,8 @@
   /// Returns the windows whose report was abandoned since the last call.
   std::vector<UsageWindow> TakeAbandoned();
   /// Returns the number of requests that arrived after the report of their
-  /// window was finalized, counted since the last call.
+  /// window was finalized, counted since the last call. Those of the window
+  /// finalized last are returned only after the next one is finalized.
   std::uint64_t TakeLateRequests();
 
  private:
--- a/tests/core/claims/claim_table_test.cc
+++ b/tests/core/claims/claim_table_test.cc
@@ -62,7 +62,7 @@
     CHECK(table.Query(other, kStart).decision.verdict ==
           ClaimVerdict::kBodyDiffers);
   }
-  SECTION("a run that never started frees the key") {
+  SECTION("a request that did not run frees its key") {
     table.End(MakeEnd(first, ClaimState::kNotRun), kStart);
     CHECK(table.Query(retry, kStart).claimed);
     // A late duplicate of the first report must not free the second claim.
@@ -94,7 +94,8 @@
     CHECK(table.Query(MakeQuery(3, 3), kStart).decision.verdict ==
           ClaimVerdict::kOverloaded);
   }
-  SECTION("the oldest response is dropped first and its key has already run") {
+  SECTION(
+      "the oldest response is dropped first and its retry gets kAlreadyRun") {
     const std::string long_body(80, 'x');
     table.End(MakeEnd(MakeQuery(1, 1), ClaimState::kFinished, long_body),
               kStart);
--- a/tests/core/claims/run_once_test.cc
+++ b/tests/core/claims/run_once_test.cc
@@ -25,14 +25,14 @@
 // are lost, repeated and reordered, homes are killed, paused and cut off, entry
 // processes are killed, writes take effect without a reply, the store is down
 // at times, and slots move. A second run, a false "not run" or a different
-// response to a retry would be a design fault, so the test uses arbitrary
-// seeds.
+// response to a retry would be a design fault. It may need a rare order of
+// events, so the test uses arbitrary seeds.
 TEST_CASE("A key runs at most once under random faults") {
   int runs = 0;
   int kills = 0;
   int degraded = 0;
-  const bool held =
-      rc::check("at most one run, true refusals, equal answers", [&] {
+  const bool held = rc::check(
+      "at most one run, a refused request has not run, equal responses", [&] {
         const auto seed = *rc::gen::arbitrary<std::uint64_t>();
         ClaimWorld world(seed, AllFaults());
         world.Run(1500, 60, 0.3);
--- a/tests/core/config/parser_fuzz_test.cc
+++ b/tests/core/config/parser_fuzz_test.cc
@@ -1,7 +1,7 @@
 // Feeds the parsers of external text with random corruptions of valid examples:
-// bytes changed, removed, inserted or duplicated. The random seeds are fixed so
-// that failures are reproducible, and the number of rounds is bounded so that
-// the test can be part of every run.
+// bytes changed, removed, inserted or duplicated, and text truncated. The
+// random seeds are fixed so that failures are reproducible, and the number of
+// rounds is bounded so that the test can be part of every run.
 
 #include <catch2/catch.hpp>
 #include <filesystem>
@@ -72,7 +72,7 @@
   }
 }
 
-TEST_CASE("Corrupted declarations are either rejected or parsed") {
+TEST_CASE("Corrupted declarations are rejected with a problem or round-trip") {
   const std::string example =
       ReadFile(INDIGOLEAD_SOURCE_DIR "/examples/unas-del-norte/templates.ini") +
       ReadFile(INDIGOLEAD_SOURCE_DIR
@@ -95,7 +95,7 @@
   }
 }
 
-TEST_CASE("Corrupted settings are either rejected or parsed") {
+TEST_CASE("Corrupted settings are parsed or rejected with a problem") {
   const std::string example =
       "[instance]\nname = entry-1\nfailure_domain = bilbao-a\nregion = norte\n"
       "[store]\naddress = 127.0.0.1:7000\ncall_deadline = 1500ms\n"
@@ -112,7 +112,8 @@
   }
 }
 
-TEST_CASE("Corrupted revisions are either rejected or parsed") {
+TEST_CASE(
+    "Corrupted revisions are rejected with a detail or can be re-encoded") {
   Revision revision;
   revision.number = 7;
   revision.spec.name = "tarifa-llm";
--- a/tests/core/control/audit_test.cc
+++ b/tests/core/control/audit_test.cc
@@ -15,7 +15,7 @@
           "mixed small@2",   at};
 }
 
-TEST_CASE("AuditTrail") {
+TEST_CASE("The audit trail is written to a ring of segments") {
   const TimePoint t0{seconds(100)};
   AuditTrail::Options options;
   options.entry = "entry-a";
--- a/tests/core/control/lease_fleet_test.cc
+++ b/tests/core/control/lease_fleet_test.cc
@@ -118,10 +118,10 @@
 
 // Guards against the load of lease reads in a large fleet. With 100 standbys,
 // each entry reads the lease every 1.5 s, although only one holder in a
-// thousand is lost per day. When entries only read less often, every 15 s, each
-// of them considered the lease lapsed between two reads and wrote to it, which
-// made more calls than before. Reads in ten minutes: 37,000 with all entries as
-// standbys, 6,300 with eight.
+// thousand is lost per day. With a longer read interval alone, 15 s, each entry
+// would consider the lease lapsed between two reads and write to it, which
+// makes more calls than reading every 1.5 s. Reads in ten minutes: 37,000 with
+// all entries as standbys, 6,300 with eight.
 TEST_CASE("A large fleet watches its lease with few calls") {
   Fleet fleet(100, 8);
   REQUIRE(fleet.holder());
--- a/tests/core/control/orders_test.cc
+++ b/tests/core/control/orders_test.cc
@@ -21,7 +21,7 @@
           Id128{1, 2}};
 }
 
-TEST_CASE("TargetOrder as JSON reads back") {
+TEST_CASE("An order round-trips through JSON") {
   CHECK(ValueOf(DecodeOrder(EncodeOrder(Order(17)))) == Order(17));
   CHECK(ErrorOf(DecodeOrder("{\"role\":\"x\"}")).code == ErrorCode::kProtocol);
 }
@@ -30,18 +30,19 @@
 // another entry took the lease with version 100. The order carries fencing
 // number 90, so whoever forwards orders must see from the versions that it was
 // written too late.
-TEST_CASE("WrittenUnderAuthority") {
+TEST_CASE(
+    "An order is valid only if written before its number was superseded") {
   LeaseRecord lease;
   lease.fencing_number = 100;
   lease.earlier = {80, 90};
 
-  SECTION("an order written before the lease changed hands is valid") {
+  SECTION("an order written before another entry took the lease is valid") {
     CHECK(WrittenUnderAuthority({Order(90), 95}, lease));
   }
   SECTION("an order written under an old number after that is not valid") {
     CHECK_FALSE(WrittenUnderAuthority({Order(90), 101}, lease));
   }
-  SECTION("it stays invalid after the lease has changed hands again") {
+  SECTION("it stays invalid after the lease was taken again") {
     CHECK_FALSE(WrittenUnderAuthority({Order(80), 95}, lease));
   }
   SECTION("an order under a number that is no longer listed is not valid") {
@@ -52,7 +53,7 @@
   }
 }
 
-TEST_CASE("EncodeStatus") {
+TEST_CASE("The status shows only values that are kept up to date") {
   SystemStatus status;
   status.entry = "entry-a";
   status.lease_holder =
--- a/tests/core/control/reconciler_test.cc
+++ b/tests/core/control/reconciler_test.cc
@@ -234,10 +234,10 @@
   }
 }
 
-// The lease changes hands during a change. The new holder must read all orders
-// before it writes any, and rewrite each one unchanged except for its own
-// fencing number. So no order is issued twice, and a late write of the previous
-// holder fails.
+// Another entry takes the lease during a change. The new holder must read all
+// orders before it writes any, and rewrite each one unchanged except for its
+// own fencing number. So no order is issued twice, and a late write of the
+// previous holder fails.
 TEST_CASE("Reconciler takes over from another lease holder") {
   ReconcilerFixture fixture(4);
   fixture.Converge();
@@ -258,7 +258,7 @@
       CHECK_FALSE(std::holds_alternative<Reconciler::WriteOrder>(action));
     }
   }
-  SECTION("a listing from before the lease changed hands is not used") {
+  SECTION("a listing from before the lease was taken is not used") {
     fixture.reconciler().Tick(lease.fencing_number, fixture.now());
     LeaseRecord old;
     old.fencing_number = 10;
@@ -336,7 +336,7 @@
   CHECK(fixture.reconciler().Tick(std::nullopt, fixture.now()).empty());
 }
 
-TEST_CASE("PlaceTargets") {
+TEST_CASE("Models and roles are placed on targets with few changes") {
   DeploymentSpec spec;
   spec.models = {{"small", "1", {}}, {"large", "1", {}}};
   std::vector<TargetObservation> targets(4);
@@ -344,7 +344,7 @@
     targets[i].name = "engine-" + std::to_string(i);
     targets[i].models = {i < 3 ? "large@1" : "small@1"};
   }
-  SECTION("distributes models and moves as few engines as possible") {
+  SECTION("models are distributed and as few engines as possible are moved") {
     const auto placed = PlaceTargets(spec, targets, {});
     CHECK(placed.at("engine-0").model == "large");
     CHECK(placed.at("engine-1").model == "large");
--- a/tests/core/control/stage_control_test.cc
+++ b/tests/core/control/stage_control_test.cc
@@ -117,8 +117,9 @@
 }
 
 // The lease holder plans several times a second, next to serving requests. It
-// has a hundredth of a core for all control work, which is 2.4 ms per plan.
-TEST_CASE("Planning for thousands of engines stays within its CPU budget") {
+// has a hundredth of a core for all control work, which leaves 2.4 ms per plan
+// at about four plans a second.
+TEST_CASE("Planning for thousands of engines takes a few milliseconds") {
   constexpr int kPlans = 20;
   constexpr double kSecondsEach = 0.0024;
   Fleet fleet(5000);
@@ -144,7 +145,7 @@
   SECTION("only the lease holder gives orders") {
     CHECK(fleet.Order(std::nullopt).empty());
   }
-  SECTION("all engines are ordered at once, as none serves yet") {
+  SECTION("all changes are ordered at once before the plan is first reached") {
     const auto orders = fleet.Order(9);
     REQUIRE(orders.size() == 14);
     CHECK(orders[0].fencing_number == 9);
@@ -287,7 +288,7 @@
   }
 }
 
-// The prefill load appears to be zero, or the whole load. A role with no
+// The measured load is all decode or all prefill. A role with no
 // engine, or with a single engine that is then lost, would serve no requests.
 TEST_CASE("Each role has two engines unless the fleet is too small") {
   for (const RoleLoad& load : {RoleLoad{1, 0}, RoleLoad{0, 1}}) {
--- a/tests/core/membership/link_monitor_test.cc
+++ b/tests/core/membership/link_monitor_test.cc
@@ -30,7 +30,8 @@
       {"we send, the peer does not", 1499ms, 1499ms, 0s, 1500ms,
        LinkAction::kCloseSilent},
       {"just not silent", 1499ms, 1400ms, 0s, 1499ms, LinkAction::kNone},
-      {"clock went back", 1s, 1s, 1s, 200ms, LinkAction::kNone},
+      {"poll earlier than the last event", 1s, 1s, 1s, 200ms,
+       LinkAction::kNone},
   };
   for (const Row& row : rows) {
     DYNAMIC_SECTION(row.name) {
@@ -103,7 +104,7 @@
     CHECK(dial.is_waiting());
     CHECK(dial.Poll(kStart + 1500ms + timing.backoff_min) == DialAction::kOpen);
   }
-  SECTION("a peer that accepts and drops is dialled with backoff") {
+  SECTION("a peer that accepts and drops is dialed with backoff") {
     TimePoint now = kStart;
     for (int n = 0; n < 10; ++n) {
       dial.OnUp(now);
--- a/tests/core/membership/membership_test.cc
+++ b/tests/core/membership/membership_test.cc
@@ -182,7 +182,7 @@
   membership.OnLinkUp(1, HelloOf("x"), kStart);
   membership.OnLinkDown(1, kStart);
 
-  SECTION("forward") {
+  SECTION("a tick long after the last event") {
     membership.Tick(kStart + 60s);
     CHECK(membership.StateOf("x") == MemberState::kSuspect);
     for (Duration t = 61s; t <= 71s; t += 1s) {
@@ -190,7 +190,7 @@
     }
     CHECK(membership.StateOf("x") == MemberState::kGone);
   }
-  SECTION("backward") {
+  SECTION("a tick earlier than the last event") {
     membership.Tick(kStart - 60s);
     CHECK(membership.StateOf("x") == MemberState::kSuspect);
     for (Duration t = -59s; t <= -49s; t += 1s) {
@@ -215,7 +215,7 @@
   CHECK(Has(dialled, ConnectTo{"x:1"}));
   CHECK(Has(dialled, ConnectTo{"y:1"}));
 
-  SECTION("two instances listed at one address are dialled once") {
+  SECTION("two instances listed at one address are dialed once") {
     list.push_back(Entry("z"));
     list.back().link_address = "x:1";
     membership.OnInstanceList(list, kStart + 2s);
--- a/tests/core/usage/steady_calendar_test.cc
+++ b/tests/core/usage/steady_calendar_test.cc
@@ -61,7 +61,8 @@
   }
 }
 
-TEST_CASE("A process started during a step switches to the true time later") {
+TEST_CASE(
+    "A process started while the time is wrong corrects its calendar later") {
   Machine machine;
   machine.Run(seconds(4), 2 * kSecond);
   CHECK(machine.Error() > kSecond);
