--- a/src/entry/claim_service.h
+++ b/src/entry/claim_service.h
@@ -13,8 +13,9 @@
 
 namespace indigolead {
 
-/// Connects the request flow to the homes of idempotency keys, and acts as a
-/// witness for the homes. Runs on the entry's dispatch thread.
+/// Connects the request flow to the sides that record idempotency keys (their
+/// homes), and holds marks on the journals of the homes (as a witness, see
+/// claim_journal.h). Runs on the entry's dispatch thread.
 class ClaimService {
  public:
   struct Options {
--- a/src/entry/control_events.h
+++ b/src/entry/control_events.h
@@ -32,9 +32,9 @@
     "An engine was ordered to take a role; the event gives the outcome."};
 inline constexpr EventInfo kRolesPlanned{
     4111, "roles-planned", EventSeverity::kInfo,
-    "The share of a service's engines that should decode has changed; the "
-    "loads "
-    "are in engines kept busy, as this entry sees them."};
+    "The share of a service's engines that should decode has changed; the load "
+    "fields give the number of engines that the load would occupy, as measured "
+    "by this entry."};
 inline constexpr EventInfo kLeaseStandby{
     4112, "lease-standby", EventSeverity::kInfo,
     "This entry became a standby, which watches the control lease closely to "
--- a/src/entry/crash_service.h
+++ b/src/entry/crash_service.h
@@ -22,7 +22,8 @@
 /// the objects of the others. Writes therefore never conflict, and the reports
 /// survive restarts. While the store is unavailable each entry counts alone.
 ///
-/// Runs on the thread of its stores.
+/// For entries that call their targets directly; `QuarantineService` is for
+/// entries that reach them through sides. Runs on the thread of its stores.
 class CrashService {
  public:
   struct Options {
@@ -32,7 +33,8 @@
     CrashLedger::Options ledger;
     ListWatcher::Options watch;  ///< Without the prefix.
     CallOptions write{CallPriority::kConfig, std::chrono::milliseconds(1500)};
-    /// Delay that batches non-urgent reports of answers that clear requests.
+    /// Delay that batches non-urgent reports of answered requests, which are no
+    /// longer suspects.
     Duration clear_batch_delay = std::chrono::seconds(2);
     /// Delay before a failed write is retried.
     Duration write_retry_delay = std::chrono::milliseconds(500);
--- a/src/entry/direct_dispatcher.h
+++ b/src/entry/direct_dispatcher.h
@@ -32,8 +32,9 @@
 /// Connects the request flow, placement, target directory and direct transport
 /// in an entry that calls its targets without sides.
 ///
-/// Shares one thread with the callers' server: on a fifth of a core, waking
-/// another thread costs more than the work handed to it.
+/// Shares one thread with the callers' server: an entry that is limited to
+/// a fifth of a core spends more on waking another thread than on the work
+/// handed to it.
 class DirectDispatcher {
  public:
   struct Options {
@@ -45,8 +46,8 @@
     FailureGuard::Options guard;
     CrashDetector::Options crashes;
     EntryRetryBudget::Options retry_budget;  ///< Per service.
-    /// If set, an allowance divided among the entries replaces the fixed part
-    /// of each budget.
+    /// If set, an allowance of retries for all entries together, divided among
+    /// them, replaces the fixed part of each budget.
     std::optional<RetryAllowance> retry_allowance;
     LimitShare::Options limit_share;
     /// Minimum retry delay told to a caller that was refused because no target
--- a/src/entry/events.h
+++ b/src/entry/events.h
@@ -57,10 +57,9 @@
     "An attempt failed after its first byte was written; it may have run."};
 inline constexpr EventInfo kAnswerEndDoubtful{
     1065, "answer-end-doubtful", EventSeverity::kInfo,
-    "A target's answer ended with its connection, without a length or chunks, "
-    "or ended inside an event; the fields give its size and the position of "
-    "the "
-    "end among the events."};
+    "The end of a target's answer is doubtful: it had neither a length nor "
+    "chunked framing and its connection closed, or it ended inside an event; "
+    "the fields give its size and the position of the end among the events."};
 inline constexpr EventInfo kTargetListChanged{
     1026, "target-changed", EventSeverity::kInfo,
     "The state that the entry assumes for a target has changed."};
@@ -84,7 +83,7 @@
     "The number of entries that share the retry budget has changed."};
 inline constexpr EventInfo kRosterEntryExpired{
     1034, "entry-expired", EventSeverity::kInfo,
-    "The registration of an expired entry was to be deleted; the fields give "
+    "A delete of an expired entry's registration has ended; the fields give "
     "the outcome."};
 inline constexpr EventInfo kRosterCallFailed{
     1035, "roster-call-failed", EventSeverity::kWarning,
@@ -100,7 +99,7 @@
 inline constexpr EventInfo kRunnerRefused{
     1037, "runner-refused", EventSeverity::kInfo,
     "An engine did not take over the decode of a prompt; another engine is "
-    "asked, without reading the prompt again."};
+    "asked, and the prefill is not repeated."};
 inline constexpr EventInfo kTargetLimitChanged{
     1038, "target-limit-changed", EventSeverity::kInfo,
     "A target reported a changed request limit, or no longer reports one."};
@@ -115,20 +114,21 @@
 
 inline constexpr EventInfo kTargetAskedRest{
     1056, "target-asked-rest", EventSeverity::kInfo,
-    "A target refused a request and asked this entry to pause requests."};
+    "A target refused a request and asked this entry for a cooldown."};
 inline constexpr EventInfo kTargetRestOver{
     1057, "target-rest-over", EventSeverity::kInfo,
-    "The pause that a target asked for is over; it may get requests again."};
+    "The cooldown that a target asked for is over; it may get requests again."};
 inline constexpr EventInfo kCallHeldBack{
     1058, "call-held-back", EventSeverity::kInfo,
-    "A call was not sent, since its target asked for a pause or is leaving."};
+    "A call was not sent, since its target asked for a cooldown or is "
+    "leaving."};
 inline constexpr EventInfo kTargetToldLeaving{
     1059, "target-told-leaving", EventSeverity::kInfo,
     "A target reported that it is leaving."};
 inline constexpr EventInfo kTargetNoticeUnreadable{
     1060, "target-notice-unreadable", EventSeverity::kWarning,
-    "A target's request for a pause or notice of leaving cannot be parsed; the "
-    "previous state stays."};
+    "A target's request for a cooldown or notice of leaving cannot be parsed; "
+    "the previous state stays."};
 
 inline constexpr EventInfo kTargetCrashed{
     1061, "target-crashed", EventSeverity::kWarning,
@@ -140,11 +140,11 @@
     "is silent."};
 inline constexpr EventInfo kCrashesTold{
     1063, "crashes-told", EventSeverity::kInfo,
-    "The crashes that this entry observed were reported to the other entries; "
-    "a failed report is retried."};
+    "A write of this entry's crash report has ended; the fields give the "
+    "outcome, and a failed write is retried."};
 inline constexpr EventInfo kCrashReportUnreadable{
     1064, "crash-report-unreadable", EventSeverity::kWarning,
-    "A crash report of another entry cannot be parsed and is ignored."};
+    "A stored crash report cannot be parsed and is ignored."};
 
 inline constexpr EventInfo kRetryCharged{
     1053, "retry-charged", EventSeverity::kInfo,
--- a/src/entry/lease_keeper.h
+++ b/src/entry/lease_keeper.h
@@ -21,9 +21,9 @@
     Duration call_deadline = std::chrono::seconds(2);
   };
   struct Hooks {
-    /// Called when authority under the fencing number begins.
+    /// Called when this entry may act as controller under the fencing number.
     std::function<void(FencingNumber)> on_gained;
-    /// Called when authority under the fencing number ends.
+    /// Called when it may no longer act under the fencing number.
     std::function<void(FencingNumber, LeaseLoss)> on_lost;
     Lease::Jitter jitter;
   };
@@ -35,7 +35,7 @@
   LeaseKeeper(const LeaseKeeper&) = delete;
   LeaseKeeper& operator=(const LeaseKeeper&) = delete;
 
-  /// Takes the lease as delivered by a watch.
+  /// Processes the state of the lease that a watch reported.
   void OnWatched(const LeaseView& view);
   /// See `Lease::SetReserve`.
   void SetReserve(bool reserve) { lease_.SetReserve(reserve); }
@@ -44,8 +44,8 @@
   /// Releases the lease if this entry holds it.
   void Resign();
 
-  /// Returns the fencing number to act under as of a fresh clock reading, if
-  /// there is authority.
+  /// Returns the fencing number to act under as of a fresh clock reading, or
+  /// nothing if this entry may not act as controller.
   std::optional<FencingNumber> Authority() const;
   const Lease& lease() const { return lease_; }
 
--- a/src/entry/load_control.h
+++ b/src/entry/load_control.h
@@ -20,8 +20,8 @@
 
 namespace indigolead {
 
-/// Connects admission and routing to the request flow, with one instance of
-/// each per deployment.
+/// Connects admission and routing to the request flow, with a separate
+/// `Admission` and `Router` for each deployment.
 ///
 /// Feeds them with the reports of sides and the flow's attempts, and implements
 /// the flow's hooks. Runs on the dispatch thread.
--- a/src/entry/order_forwarder.h
+++ b/src/entry/order_forwarder.h
@@ -47,7 +47,8 @@
   void OnSideUp(LinkId link, const std::string& instance, TimePoint now);
   void OnLinkDown(LinkId link);
 
-  /// Takes the lease and orders that the watch delivered for a newer version.
+  /// Processes the state of the lease and the orders that the watch reported
+  /// for a newer version.
   void OnState(const ControlState& state, TimePoint now);
 
   /// Takes the result of a listing requested through `read_state`.
--- a/src/entry/quarantine_service.h
+++ b/src/entry/quarantine_service.h
@@ -21,13 +21,14 @@
 ///
 /// Entries reach each other through the sides, to which all of them connect. A
 /// notice goes to every side of the deployment, since the sides run suspects
-/// separately; a few of them relay it to the other entries.
+/// separately; a few of them forward it to the other entries. `CrashService` is
+/// for entries that call their targets directly.
 class QuarantineService {
  public:
   struct Options {
     Quarantine::Options quarantine;
-    /// Number of sides asked to relay a notice. More than one, since a side may
-    /// be crashing.
+    /// Number of sides asked to forward a notice. More than one, since a side
+    /// may be crashing.
     std::size_t relay_count = 3;
     /// Delay before a suspect is retried if its attempt was not started, since
     /// the target already has another suspect in flight.
--- a/src/entry/request_guards.h
+++ b/src/entry/request_guards.h
@@ -45,9 +45,9 @@
 /// An event from the platform thread to the guards.
 using GuardEvent = std::variant<std::monostate, SlotMapRead, QuarantineChanged>;
 
-/// Protects the targets from callers' requests: each idempotency key runs at
-/// most once, and a request that kills its targets is quarantined. Connects
-/// both checks to the request flow. Runs on the entry's dispatch thread.
+/// Runs a request with an idempotency key at most once, and quarantines
+/// requests that crash their targets. Connects both checks to the request flow.
+/// Runs on the entry's dispatch thread.
 class RequestGuards {
  public:
   struct Options {
--- a/src/entry/roster_keeper.h
+++ b/src/entry/roster_keeper.h
@@ -14,11 +14,12 @@
 namespace indigolead {
 
 /// Registers this entry in the store, renews the registration, and counts the
-/// other entries.
+/// live entries.
 ///
-/// Every entry makes one write per renewal interval of its roster and one read,
-/// which may be stale, per `list_interval`. After a start it lists more often,
-/// until the list no longer changes. Runs on the thread of its store.
+/// Every entry renews its registration after half to all of the roster's
+/// renewal interval and lists the entries, with a read that may be stale, after
+/// half to all of `list_interval`. After a start it lists more often, until the
+/// list no longer changes. Runs on the thread of its store.
 class RosterKeeper {
  public:
   struct Options {
--- a/src/entry/slot_map_manager.h
+++ b/src/entry/slot_map_manager.h
@@ -31,8 +31,8 @@
     /// list counts as removed. Longer than `lost_after`, since the list also
     /// lags behind new instances.
     Duration unlisted_after = std::chrono::seconds(30);
-    /// Delay of the first map after the first home, so that more homes can
-    /// register.
+    /// Delay between the first registration of a home and the first map, so
+    /// that more homes can register.
     Duration first_wait = std::chrono::seconds(2);
     Duration plan_interval = std::chrono::milliseconds(250);
     Duration call_deadline = std::chrono::seconds(2);
--- a/src/entry/stage_service.h
+++ b/src/entry/stage_service.h
@@ -47,10 +47,11 @@
     /// before it sends its own.
     Duration separation = std::chrono::seconds(3);
     std::size_t max_answer_bytes = 64U << 10;
-    /// Expected number of entries that check the lease often: each of n entries
-    /// is one with probability standbys / n. Enough that some remain when a
-    /// failure domain is lost. One fleet start in 3,000 has none at all; the
-    /// reserves then take over after half a minute.
+    /// Expected number of standbys, that is, entries that check the lease
+    /// often. Each of n entries is a standby with probability standbys / n; the
+    /// others are reserves. Enough that some remain when a failure domain is
+    /// lost. One fleet start in 3,000 has none at all; the reserves then take
+    /// over after half a minute.
     double standbys = 8;
     /// Number of entries assumed until they are counted: when a large fleet
     /// starts at once, only a few entries should try to take the lease.
--- a/src/entry/usage_service.h
+++ b/src/entry/usage_service.h
@@ -47,13 +47,14 @@
     std::string finalized_key;   ///< Key of the finalized reports.
     UsageMeter::Options meter;
     UsageReporter::Options reporter;
-    /// A request is counted when its answer arrives and began up to this much
-    /// earlier, so counts are complete only up to this long ago.
+    /// A request is counted when its answer arrives, up to this long after it
+    /// began, so counts are complete only up to this long ago.
     Duration answer_time = std::chrono::milliseconds(300);
     /// Time after a window's end over which entries spread their writes.
     Duration write_spread = std::chrono::seconds(1);
     Duration retry_interval = std::chrono::seconds(1);
-    /// Age of a record's end after which none of it is still reported.
+    /// A record is deleted when its counts end this long ago, since none of
+    /// them is reported any more.
     Duration delete_after = std::chrono::minutes(15);
     Duration call_deadline = std::chrono::milliseconds(1500);
     std::size_t max_answer_bytes = 64U << 10;
--- a/src/store/call_limiter.h
+++ b/src/store/call_limiter.h
@@ -14,7 +14,7 @@
 /// Identifies a queued call.
 using CallTicket = std::uint64_t;
 
-/// Rate limiter with a priority queue for calls of the store.
+/// Rate limiter with a priority queue for calls to the store.
 ///
 /// The store limits the call rate of the whole fleet, so each process keeps to
 /// its share with a token bucket. Lease calls are granted first, and some
@@ -47,8 +47,8 @@
 
   /// Returns the earlier of the time at which the first queued call can be
   /// granted and the earliest deadline, or nothing if the queue is empty. With
-  /// `expiry_only`, only the deadlines count, because something else prevents a
-  /// grant.
+  /// `expiry_only`, only the deadlines count, because no connection is free for
+  /// another call.
   std::optional<TimePoint> NextEvent(TimePoint now, bool expiry_only) const;
 
   /// Returns true if a lease call is queued.
--- a/src/store/list_watcher.h
+++ b/src/store/list_watcher.h
@@ -20,15 +20,15 @@
 /// Lists the objects, then watches from the listed version. When the watch
 /// breaks or goes silent, it reads the changes since then, retrying with
 /// exponential backoff and jitter so that a fleet does not hit a recovering
-/// store all at once. Every second retry lists instead, because a store may
+/// store all at once. Every other retry lists instead, because a store may
 /// answer lists but not reads of changes; it also lists if the store no longer
 /// has the changes.
 ///
-/// Each retry opens a new connection and does not wait for earlier retries: one
-/// sent just before the store recovered would otherwise cost its whole
-/// deadline. A listing older than the held state is a stale read, which must
-/// not revert configuration; it is dropped and the watch resumes from the held
-/// version.
+/// Once the first list has succeeded, each retry opens a new connection and
+/// does not wait for earlier retries: one sent just before the store recovered
+/// would otherwise cost its whole deadline. A listing older than the held state
+/// is a stale read, which must not revert configuration; it is dropped and the
+/// watch resumes from the held version.
 ///
 /// Runs on the thread of its store.
 class ListWatcher {
@@ -42,9 +42,9 @@
     /// Allows the first list to be a few seconds old; the watch after it brings
     /// the state up to date.
     bool first_may_be_stale = false;
-    /// Delay between the end of a watch and the first retry, and the longest
-    /// time from the start of one retry to the next.
+    /// Delay between the end of a watch and the first retry.
     Duration min_backoff = std::chrono::milliseconds(200);
+    /// Longest time from the start of one retry to the next.
     Duration max_backoff = std::chrono::seconds(10);
     /// Deadline of one read of changes.
     Duration read_deadline = std::chrono::milliseconds(700);
--- a/src/store/object_store.h
+++ b/src/store/object_store.h
@@ -27,7 +27,7 @@
 /// reality.
 enum class InstanceState { kLive, kLeaving };
 
-/// Entry of the platform's instance list.
+/// Element of the platform's instance list.
 struct InstanceRecord {
   std::string name;
   std::string kind;  ///< "entry" or "target".
--- a/src/store/polled_watch.h
+++ b/src/store/polled_watch.h
@@ -15,8 +15,8 @@
 
 /// Watch made of consecutive long polls of the store.
 ///
-/// Ends when the first call fails; its owner then resumes or lists again. Runs
-/// on the thread of its store.
+/// Ends at the first call that fails; its owner then resumes or lists again.
+/// Runs on the thread of its store.
 class PolledWatch : public ObjectStore::Watch {
  public:
   using PollDone = std::function<void(Result<WatchBatch>)>;
--- a/src/store/relayed_poller.h
+++ b/src/store/relayed_poller.h
@@ -17,7 +17,7 @@
 enum class WaitMode { kWait, kNoWait };
 
 /// Makes the polls of one watch, through an entry that relays the store's
-/// changes if there is one, otherwise directly at the store.
+/// changes if there is one, otherwise by calling the store directly.
 ///
 /// No latency bound depends on the relay. A relay that fails, or does not
 /// respond within `answer_within`, is followed by a direct call that does not
--- a/src/store/watch_feed.h
+++ b/src/store/watch_feed.h
@@ -17,11 +17,11 @@
 /// Serves the polls of many watches of one prefix with few store calls.
 ///
 /// Every poll is answered by a store call that completed after the poll
-/// arrived. A response therefore shows the state after its request was sent,
-/// without synchronized clocks. No call is made while no poll is pending. A
-/// call that fails is repeated once at once, without waiting for changes,
-/// before the error is passed to the pending polls, since each poller would
-/// then call the store itself.
+/// arrived. A response is therefore older than its request by at most the
+/// relay's lag, without synchronized clocks. No call is made while no poll is
+/// pending. A call that fails is repeated once at once, without waiting for
+/// changes, before the error is passed to the pending polls, since each poller
+/// would then call the store itself.
 ///
 /// If the store no longer has the changes, it is listed once, and the pending
 /// polls receive the difference between the list and the state known to this
@@ -38,10 +38,10 @@
     /// Time within which a poll is answered, with or without changes, while the
     /// store works.
     Duration answer_within = std::chrono::milliseconds(600);
-    /// Time after the end of its wait at which an unanswered call is repeated
-    /// without waiting for changes, because the store may drop a call silently
-    /// or stop responding for a while. Repeats end shortly before the pollers
-    /// give up.
+    /// A call is repeated, without waiting for changes, if it is unanswered
+    /// this long after its wait should have ended, because the store may drop a
+    /// call silently or stop responding for a while. Repeats end shortly before
+    /// the pollers give up.
     Duration overdue_after = std::chrono::milliseconds(200);
     /// Maximum number of changes kept for pollers that are behind.
     std::size_t max_events = 4096;
--- a/src/store/watch_pace.h
+++ b/src/store/watch_pace.h
@@ -19,8 +19,8 @@
 class WatchPace {
  public:
   struct Options {
-    /// Interval between calls while changes are rare. Short enough to go
-    /// unnoticed by an operator who drains a target and checks the result.
+    /// Interval between calls while changes are rare. Short enough that
+    /// an operator who drains a target and checks the result notices no delay.
     Duration min_interval = std::chrono::milliseconds(200);
     /// Interval between calls while changes keep coming. A change is known
     /// after at most this time and the latency of one response.
--- a/src/wire/membership_service.h
+++ b/src/wire/membership_service.h
@@ -15,7 +15,7 @@
 
 /// Keeps a process connected to the peers that its membership plan names.
 ///
-/// Entries read the platform's instance list and forward the entries in it to
+/// Entries read the platform's instance list and forward its list of entries to
 /// their sides: thousands of sides that read it themselves would exceed the
 /// platform's call rate. Runs on the dispatch thread, like the links.
 class MembershipService {
--- a/src/wire/revision_exchange.h
+++ b/src/wire/revision_exchange.h
@@ -53,8 +53,9 @@
   /// Repeats offers to peers that still lack a revision.
   void Tick(TimePoint now);
 
-  /// Processes a revision from the store, in JSON. Returns the outcome; a value
-  /// that cannot be parsed is logged and returns `kOlder`.
+  /// Processes a revision from the store, in JSON. Returns the outcome,
+  /// which is `kOlder` also for a value that cannot be parsed, which is logged,
+  /// and for a deployment that this process does not keep.
   RevisionOutcome OfferFromStore(const std::string& json, TimePoint now);
 
   /// Lists the revisions that this process holds, for `Hello` and `Heartbeat`.
--- a/tests/shell/direct_rest_test.cc
+++ b/tests/shell/direct_rest_test.cc
@@ -1,5 +1,5 @@
-// Simulations with random faults in which targets ask for rest or announce that
-// they are leaving.
+// Simulations with random faults in which targets ask for a cooldown or
+// announce that they are leaving.
 
 #include <catch2/catch.hpp>
 
@@ -18,7 +18,7 @@
   for (std::uint64_t seed = 1; seed <= kSimulations && failed_runs < 10;
        ++seed) {
     const DirectSimulationReport report = RunDirectSimulation(seed, options);
-    INFO("world " << seed);
+    INFO("simulation seed " << seed);
     for (const std::string& it : report.violations) {
       UNSCOPED_INFO(it);
     }
@@ -33,7 +33,7 @@
 }
 
 /// Guards against calls of any kind to a target that has asked the entry for
-/// rest, whether they were decided before or after it asked.
+/// a cooldown, whether they were decided before or after it asked.
 TEST_CASE("A target at rest gets no calls in random simulations") {
   const DirectSimulationReport total = RunSimulations({.cooldowns = true});
   CHECK(total.cooldowns > 300);
--- a/tests/shell/direct_simulation_test.cc
+++ b/tests/shell/direct_simulation_test.cc
@@ -36,7 +36,7 @@
   for (std::uint64_t seed = first; seed < first + count && failed_runs < 10;
        ++seed) {
     const DirectSimulationReport report = RunDirectSimulation(seed);
-    INFO("world " << seed);
+    INFO("simulation seed " << seed);
     for (const std::string& it : report.violations) {
       UNSCOPED_INFO(it);
     }
@@ -67,7 +67,7 @@
 TEST_CASE("Calls for a former target at an address count against its limit") {
   for (const std::uint64_t seed :
        {1049, 1255, 1363, 2458, 2583, 2808, 3214, 3537, 3636, 3644}) {
-    INFO("world " << seed);
+    INFO("simulation seed " << seed);
     const DirectSimulationReport report = RunDirectSimulation(seed);
     for (const std::string& it : report.violations) {
       UNSCOPED_INFO(it);
--- a/tests/shell/entry_process_test.cc
+++ b/tests/shell/entry_process_test.cc
@@ -112,8 +112,8 @@
 }
 
 // The engine crashes during a stream. The caller already has a part of the
-// answer, so it cannot be replaced: the stream must end with an error event of
-// outcome "unknown", not normally.
+// answer, so the request cannot be retried on another engine: the stream must
+// end with an error event of outcome "unknown", not normally.
 TEST_CASE("A stream whose engine dies ends with an error event") {
   EngineOptions options = Engine();
   options.decode_tokens_per_s = 20;
--- a/tests/shell/roster_keeper_test.cc
+++ b/tests/shell/roster_keeper_test.cc
@@ -233,7 +233,7 @@
     fixture.Run(milliseconds(2600));
     CHECK(first.view.names.size() == 2);
   }
-  SECTION("the first list is read at once") {
+  SECTION("the entries are listed at once when frequent listing starts") {
     const TimePoint before = fixture.now;
     first.keeper.SetFrequentListing(true);
     fixture.Run(milliseconds(600));
--- a/tests/shell/watch_fleet_test.cc
+++ b/tests/shell/watch_fleet_test.cc
@@ -102,7 +102,9 @@
     CHECK(before > 2);
     CHECK(rate < before / 3);
   }
-  SECTION("one change per second causes less than one call per change") {
+  SECTION(
+      "at one change per second each entry makes less than one call per "
+      "change") {
     Fleet quiet(100, pace);
     const double calls =
         quiet.CallRate([&quiet] { quiet.MakeChanges(1, seconds(60)); });
@@ -121,7 +123,7 @@
     CHECK(fleet.longest_delay == kStoreAnswerTime);
     CHECK(fleet.reported_changes == fleet.store.changed_at.size() * 100);
   }
-  SECTION("an idle fleet calls once per wait") {
+  SECTION("each idle entry makes about one call per kWait") {
     fleet.timeline.RunFor(seconds(20));
     const double idle =
         fleet.CallRate([&fleet] { fleet.timeline.RunFor(seconds(60)); });
@@ -132,12 +134,12 @@
 // Guards against stale data that counts as current when the store becomes
 // unreachable between two calls of a watch. The watch must detect the outage
 // with its next call.
-TEST_CASE("A watch between calls does not claim current knowledge") {
+TEST_CASE("known_until of a watch does not advance without an answer") {
   Fleet fleet(1, {milliseconds(200), seconds(2)});
   Timeline& timeline = fleet.timeline;
   const PolledWatch& watch = *fleet.watches.front();
 
-  SECTION("nor while a call waits, since its connection may be dead") {
+  SECTION("while a call waits, since its connection may be dead") {
     timeline.RunFor(seconds(1));
     const TimePoint heard = watch.heard_at(timeline.now);
     const TimePoint known = watch.known_until(timeline.now);
