--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -8,7 +8,8 @@
 
 namespace indigolead::cli {
 
-/// Exit codes of every command.
+/// Exit codes of the commands. `side` differs: 1 means that its drain timeout
+/// ended attempts; 2 can also mean that it could not listen for links.
 inline constexpr int kExitOk = 0;
 inline constexpr int kExitFailed = 1;    ///< The command failed.
 inline constexpr int kExitUsage = 2;     ///< Invalid arguments or input files.
--- a/src/cli/commands.cc
+++ b/src/cli/commands.cc
@@ -151,7 +151,8 @@
   commands.push_back(
       {"replay",
        "TRACE [POLICY] | generate SCENARIO [SEED]",
-       "Replay a recorded trace through the decisions made under load.",
+       "Replay a recorded trace through routing, admission, retries and role "
+       "planning.",
        "Time is virtual and every draw is seeded, so the outcome repeats. "
        "Fails if an expectation\nof the trace is not met.",
        {"output"},
@@ -275,7 +276,7 @@
       others.size() > command->max_arguments) {
     err << "indigolead " << name << ": expected arguments "
         << (command->arguments.empty() ? "none" : command->arguments)
-        << ", seen " << others.size() << "\nTry: indigolead " << name
+        << ", got " << others.size() << "\nTry: indigolead " << name
         << " --help\n";
     return kExitUsage;
   }
--- a/src/cli/flags.cc
+++ b/src/cli/flags.cc
@@ -7,9 +7,11 @@
 
 DEFINE_string(settings, "",
               "Settings file (INI); docs/SETTINGS.md has its keys");
-DEFINE_string(as, "", "Command whose settings are checked: entry or side");
+DEFINE_string(as, "",
+              "Command whose settings are checked: entry, side or "
+              "platform-entry");
 DEFINE_string(store, "", "Object API at IP:PORT, overrides [store] address");
-DEFINE_string(entry, "", "HTTP address IP:PORT of any entry");
+DEFINE_string(entry, "", "Comma-separated HTTP addresses IP:PORT of entries");
 DEFINE_string(output, "table", "Output format: table or json");
 DEFINE_string(seen, "",
               "Revisions that the edit was made from, as NAME=NUMBER,...; 0: "
--- a/src/cli/operator_store.cc
+++ b/src/cli/operator_store.cc
@@ -80,7 +80,7 @@
   }
   if (!IsIpAndPort(address)) {
     *context.err << "indigolead: --store=IP:PORT or --settings=FILE with "
-                    "[store] address is needed; seen \""
+                    "[store] address is needed; got \""
                  << address << "\"\n";
     return nullptr;
   }
--- a/src/observe/event_log.h
+++ b/src/observe/event_log.h
@@ -16,8 +16,9 @@
 /// One numbered kind of log event. Constants of this type live in the
 /// `events.h` of the folder that logs them; docs/EVENTS.md lists them all.
 ///
-/// Numbers: 1xxx entry, 2xxx side, 3xxx platform, 4xxx control, 5xxx links and
-/// membership, 6xxx claims, 7xxx command line and settings, 8xxx routing.
+/// Numbers: 1xxx entry, 2xxx side, 3xxx store, 4xxx control, 5xxx links and
+/// membership, 6xxx claims, 7xxx processes, settings and platform, 8xxx
+/// routing.
 struct EventInfo {
   int number;
   std::string_view name;  ///< Stable, lower-case, hyphenated.
@@ -33,8 +34,8 @@
 using EventLog = std::function<void(const EventInfo&, const EventFields&)>;
 
 /// Returns an `EventLog` that writes one line per event to standard error
-/// through easylogging++: time, severity, number, name, fields as name=value.
-/// Events below `minimum` are dropped.
+/// through easylogging++: time, severity, process, number, name, fields as
+/// name=value. Events below `minimum` are dropped.
 EventLog MakeStderrEventLog(const std::string& process_name,
                             EventSeverity minimum);
 
--- a/src/observe/line_writer.h
+++ b/src/observe/line_writer.h
@@ -24,8 +24,9 @@
     int descriptor = 1;
     /// Capacity of the buffer in lines; several seconds at the maximum rate.
     std::size_t max_buffered_lines = 4096;
-    /// Above the busiest second observed (four lines for each of 100 requests)
-    /// and far below the rate at which formatting takes a fifth of a core.
+    /// More than the busiest second observed had (four lines for each of 100
+    /// requests), and far below the rate at which formatting takes a fifth of
+    /// a core.
     std::uint32_t max_lines_per_s = 600;
     /// Each flush costs a wake-up of the thread and a write.
     std::chrono::milliseconds flush_interval{100};
--- a/src/replay/engine_model.cc
+++ b/src/replay/engine_model.cc
@@ -145,6 +145,7 @@
     queued += it.prefill_left;
   }
   report.queued_prefill_tokens = static_cast<std::uint64_t>(queued);
+  // The model counts one byte for each token.
   report.kv_used_bytes = static_cast<std::uint64_t>(std::max(0.0, kv_used_));
   report.kv_capacity_bytes = costs_.kv_tokens;
   report.slots = costs_.slots;
--- a/src/replay/replay.cc
+++ b/src/replay/replay.cc
@@ -581,8 +581,8 @@
   engine.model.Reset();
   engine.model.stepping = false;
   for (const std::uint64_t it : engine.attempts) {
-    // All requests in flight fail, but only a poison request counts the crash
-    // as a kill.
+    // All requests in flight fail, but the crash counts towards quarantine
+    // only for a poison request.
     const bool poison = requests_[attempts_[it].request].record.event->poison;
     After(kDetection, [this, it, poison] { Fail(it, poison); });
   }
--- a/src/report/log_line.h
+++ b/src/report/log_line.h
@@ -35,7 +35,8 @@
 /// Parses a log line written by `FormatEvent` and the log prefix: time,
 /// severity, process, event number, event name, fields. Skips any text that a
 /// log collector added before the time. Returns nullopt if the line is
-/// truncated or not a log line.
+/// truncated or not a log line. Control characters, which `FormatEvent` writes
+/// as \xNN, are not restored.
 std::optional<LogLine> ParseLogLine(std::string_view text);
 
 }  // namespace indigolead::report
--- a/src/runtime/address.cc
+++ b/src/runtime/address.cc
@@ -9,7 +9,7 @@
 
 Result<boost::asio::ip::tcp::endpoint> ParseEndpoint(std::string_view text) {
   const Error invalid{ErrorCode::kInvalidInput, "address.parse", "",
-                      "expected IP:port, saw \"" + std::string(text) + "\""};
+                      "expected IP:port, got \"" + std::string(text) + "\""};
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos || colon == 0) {
     return invalid;
--- a/src/runtime/mailbox.h
+++ b/src/runtime/mailbox.h
@@ -43,7 +43,7 @@
 
 /// Bounded lock-free queue with one writer thread and one reader thread.
 ///
-/// A full ring is the process's back-pressure signal: `Push` returns false
+/// A full mailbox is the process's back-pressure signal: `Push` returns false
 /// instead of blocking, and the writer decides what to reject.
 template <typename T>
 class Mailbox {
@@ -61,7 +61,7 @@
   Mailbox& operator=(const Mailbox&) = delete;
 
   /// Appends `message` and wakes the reader. Returns false and leaves `message`
-  /// unchanged if the ring is full. Call on the writer's thread only.
+  /// unchanged if the mailbox is full. Call on the writer's thread only.
   bool Push(T&& message) {
     // The ring's push of a single element copies it; its range push moves it.
     auto first = std::make_move_iterator(&message);
--- a/src/side/attempt_service.h
+++ b/src/side/attempt_service.h
@@ -29,8 +29,8 @@
   };
   struct Hooks {
     std::function<bool(LinkId, const wire::Envelope&)> send;
-    /// Passes a command to the target's thread; returns false if its ring is
-    /// full.
+    /// Passes a command to the target's thread; returns false if its mailbox
+    /// is full.
     std::function<bool(TargetCommand&&)> command;
     /// Returns true while no new attempt may start because the target is being
     /// changed.
@@ -90,7 +90,7 @@
   EngineState engine_;
   std::optional<EngineLoad> load_;
   std::unordered_map<std::uint64_t, Quarantine> quarantines_;
-  /// Commands waiting for room in the ring; at most two for each attempt.
+  /// Commands waiting for room in the mailbox; at most two for each attempt.
   std::deque<TargetCommand> commands_;
   Gauge& running_gauge_;
   Gauge& buffered_gauge_;
--- a/src/side/claim_events.h
+++ b/src/side/claim_events.h
@@ -7,7 +7,7 @@
 
 inline constexpr EventInfo kClaimHomeChanged{
     6001, "claim-home-changed", EventSeverity::kInfo,
-    "The number of slots that this side decides on has changed."};
+    "The number of claim slots that this side decides on has changed."};
 inline constexpr EventInfo kClaimHomeDegraded{
     6002, "claim-home-degraded", EventSeverity::kWarning,
     "Keyed requests are granted from memory because the store does not "
--- a/src/side/claim_home_service.h
+++ b/src/side/claim_home_service.h
@@ -15,8 +15,9 @@
 
 namespace indigolead {
 
-/// Connects the claim home to the links and to the store. Runs on the side's
-/// dispatch thread, as do the store's callbacks.
+/// Connects the claim home, which decides whether keyed requests may run (see
+/// `ClaimHome`), to the links and to the store. Runs on the side's dispatch
+/// thread, as do the store's callbacks.
 class ClaimHomeService {
  public:
   struct Options {
--- a/src/side/events.h
+++ b/src/side/events.h
@@ -10,7 +10,8 @@
     "The side is running and accepts links."};
 inline constexpr EventInfo kSideStopped{
     2002, "side-stopped", EventSeverity::kInfo,
-    "The side stopped; cut counts attempts that its drain timeout ended."};
+    "The side stopped, or it could not start (error). The field cut counts the "
+    "attempts that its drain timeout ended."};
 inline constexpr EventInfo kSideLeaving{
     2003, "side-leaving", EventSeverity::kInfo,
     "The side refuses new attempts and lets the running ones finish."};
--- a/src/side/order_service.cc
+++ b/src/side/order_service.cc
@@ -75,7 +75,7 @@
 void OrderService::Write(std::uint64_t ticket, const SideOrder& order,
                          TimePoint write_by) {
   if (!hooks_.command(WriteOrderCommand{ticket, order, write_by})) {
-    executor_.OnWritten(ticket, OrderWriteResult::kNotWritten, "ring full",
+    executor_.OnWritten(ticket, OrderWriteResult::kNotWritten, "mailbox full",
                         clock_());
   }
 }
--- a/src/side/suspect_service.h
+++ b/src/side/suspect_service.h
@@ -12,8 +12,9 @@
 namespace indigolead {
 
 /// Prevents several suspect requests from running at this target at once, and
-/// relays entries' quarantine notices to the other entries. Runs on the side's
-/// dispatch thread and sees messages before the attempt service.
+/// relays entries' quarantine notices to the other entries. A request is a
+/// suspect if it was in flight when a target crashed (see `Quarantine`). Runs
+/// on the side's dispatch thread and sees messages before the attempt service.
 class SuspectService {
  public:
   struct Hooks {
@@ -24,8 +25,8 @@
 
   SuspectService(Hooks hooks, Clock clock);
 
-  /// Returns true if no other service needs the message: a notice about a
-  /// suspect, or a start that was refused here.
+  /// Returns true if no other service needs the message: a notice that
+  /// neither begins nor ends a quarantine, or a start that was refused here.
   bool HandleMessage(LinkId link, const wire::Envelope& message);
   void OnLinkUp(LinkId link, const wire::Hello& hello);
   void OnLinkDown(LinkId link);
--- a/src/side/target_messages.h
+++ b/src/side/target_messages.h
@@ -46,7 +46,7 @@
 /// Whether the target can serve, as last observed.
 enum class TargetCondition { kUnknown, kUp, kDown, kChanging };
 
-/// Load figures of the target and the time at which they were measured.
+/// Load figures of an engine and the time at which they were measured.
 struct EngineLoad {
   TimePoint measured_at;
   std::uint32_t running = 0;
--- a/src/side/target_worker.h
+++ b/src/side/target_worker.h
@@ -96,8 +96,8 @@
   std::vector<BrokenCall> broken_calls_;
   bool probing_ = false;
   boost::asio::steady_timer probe_timer_;
-  /// Events waiting for room in the ring. Bounded: calls do not read while an
-  /// event waits, so each adds at most the data of its read in progress.
+  /// Events waiting for room in the mailbox. Bounded: calls do not read while
+  /// an event waits, so each adds at most the data of its read in progress.
   std::deque<TargetEvent> outbox_;
   boost::asio::steady_timer outbox_timer_;
   std::unordered_map<std::uint64_t, std::unique_ptr<TargetClient::Call>>
--- a/src/target/fetch_answer.cc
+++ b/src/target/fetch_answer.cc
@@ -29,7 +29,7 @@
       done(ErrorOf(status));
     } else if (*too_long) {
       done(Error{ErrorCode::kProtocol, "target.fetch", "",
-                 "answer exceeds the size limit"});
+                 "response exceeds the size limit"});
     } else {
       done(std::move(*answer));
     }
--- a/standins/engine_server.h
+++ b/standins/engine_server.h
@@ -90,7 +90,7 @@
   struct Run;
   using RunPtr = std::shared_ptr<Run>;
 
-  /// Engine state: the current one, or the target of a pending change.
+  /// Engine state: the current one, or the one that a pending change leads to.
   struct State {
     std::string role;
     std::string model;
--- a/standins/run_log.h
+++ b/standins/run_log.h
@@ -18,7 +18,8 @@
   std::string path;
   std::string body_hash;  ///< 16 hex digits.
   bool finished = false;  ///< The response was completed.
-  bool cut = false;       ///< Ended by an order, a cancel or a crash.
+  bool cut = false;       ///< Ended before its response was complete: by
+                          ///< an order, a cancel or a crash.
 
   friend bool operator==(const RunRecord&, const RunRecord&) = default;
 };
--- a/tests/platform/change_waits_test.cc
+++ b/tests/platform/change_waits_test.cc
@@ -30,9 +30,9 @@
   const auto directory = platform::DispatcherOptions(settings).directory;
   const auto relayed = platform::RelayedStoreOptions(settings);
   const auto relay = platform::RelayOptions(settings);
-  // Response time of a healthy store; and a late thread plus the latency to a
-  // target.
+  // Response time of a healthy store.
   constexpr Duration kAnswer = milliseconds(100);
+  // Delay of a late thread plus the latency to a target.
   constexpr Duration kUse = milliseconds(150);
 
   SECTION("a change while the watch is established") {
--- a/tests/platform/day_files_test.cc
+++ b/tests/platform/day_files_test.cc
@@ -54,8 +54,9 @@
   return open != 0 ? "unterminated list" : (entries == 0 ? "no entries" : "");
 }
 
-// Guards against a malformed day file. Such a file is skipped when the days are
-// played, so the faults that it should reveal go unnoticed.
+// Guards against a malformed day file, a scenario of timed faults. Such a file
+// is skipped when the scenarios are run, so the faults that it should reveal go
+// unnoticed.
 TEST_CASE("Each day file in deploy/days is valid") {
   const std::filesystem::path folder =
       std::filesystem::path(INDIGOLEAD_SOURCE_DIR) / "deploy" / "days";
--- a/tests/platform/direct_prompt_test.cc
+++ b/tests/platform/direct_prompt_test.cc
@@ -116,8 +116,7 @@
   }
 
   /// `shared_part` identifies the shared prefix of the prompt, which decides
-  /// the prefill engine that is its home. With 0 the caller sends no prompt
-  /// parts.
+  /// its preferred prefill engine. With 0 the caller sends no prompt parts.
   void SendRequest(Duration time = milliseconds(1500),
                    std::uint64_t shared_part = 1) {
     status_.reset();
--- a/tests/platform/watch_relay_process_test.cc
+++ b/tests/platform/watch_relay_process_test.cc
@@ -80,8 +80,8 @@
       std::chrono::steady_clock::now() - start;
   const int calls = scene.platform.store.watch_calls() - before;
   // A relay makes at most one call for each of two watches per 0.2 of the
-  // bound, plus one open at the start and one just begun. Nine entries that
-  // each watch the store make 27 calls in the time of 19.
+  // bound, plus one open at the start and one just begun. Without a relay, nine
+  // entries make 27 calls in the time in which a relay may make 19.
   const double most = 2 * (elapsed.count() / (0.2 * kBound.count()) + 2);
   CHECK(calls <= most);
   CHECK(scene.NewRouteReachesAll());
--- a/tests/shell/command_line_test.cc
+++ b/tests/shell/command_line_test.cc
@@ -57,7 +57,7 @@
       {{"version", "--settings=a"}, "accepted are none"},
       {{"entry", "--settings"}, "--settings needs a value"},
       {{"entry"}, "--settings FILE is missing"},
-      {{"entry", "file"}, "expected arguments none, seen 1"},
+      {{"entry", "file"}, "expected arguments none, got 1"},
       {{"entry", "--settings=/nonexistent"}, "cannot be read: No such file"},
       {{"check"}, "give DIR, or --settings FILE"},
   };
--- a/tests/support/direct_simulation/notices.cc
+++ b/tests/support/direct_simulation/notices.cc
@@ -3,7 +3,7 @@
 #include "tests/support/direct_simulation/messages.h"
 #include "tests/support/direct_simulation/simulation.h"
 
-// Targets that ask an entry to back off, or announce that they leave.
+// Targets that request a cooldown, or announce that they leave.
 namespace indigolead::testing::direct_simulation {
 
 using std::chrono::milliseconds;
--- a/tests/support/fuzz.h
+++ b/tests/support/fuzz.h
@@ -61,9 +61,9 @@
   std::mt19937_64 random_;
 };
 
-/// Calls `parse` with every seed and with mutated seeds. An out-of-bounds read
-/// or an escaping exception may end the test program; the sanitizer run also
-/// reports out-of-bounds reads that do not crash.
+/// Calls `parse` with every input in `seeds` and with mutations of them. An
+/// out-of-bounds read or an escaping exception may end the test program; the
+/// sanitizer run also reports out-of-bounds reads that do not crash.
 inline void Fuzz(const std::vector<std::string>& seeds,
                  const std::function<void(const std::string&)>& parse) {
   Mutator mutator(20261202);
--- a/tests/support/store_fixture.h
+++ b/tests/support/store_fixture.h
@@ -55,7 +55,7 @@
 };
 
 /// Returns a store of kind "fake", "http", or "platform". The last is the
-/// users' platform, whose store has a different protocol.
+/// metadata store of the users' platform, which has a different protocol.
 std::unique_ptr<StoreFixture> MakeStoreFixture(const std::string& kind);
 
 }  // namespace indigolead::testing
